--- a/tools/guards.js
+++ b/tools/guards.js
@@ -251,8 +251,8 @@
   ],
   [
     'a new leader waits for leases of the former',
-    `${NODE_POOL}/poolLeader.js`,
-    'if (nowMs() < formerLapseAtMs)',
+    `${NODE_POOL}/lostRuns.js`,
+    'if (nowMs() < options.formerLapseAtMs)',
     'if (false)',
   ],
   [
