--- a/src/state/common/configuration.ts
+++ b/src/state/common/configuration.ts
@@ -1,12 +1,12 @@
 /**
- * The one configuration document: customers, the shapes they hold, the rules for spare capacity,
- * placement, routing and service-level objectives. Nothing is in force that is not in it.
+ * The configuration document: customers, the shapes they hold, the rules for spare capacity,
+ * placement, routing and service-level objectives. It is the only source of active configuration.
  */
 import * as Schema from 'effect/Schema';
 
 import * as units from './units.js';
 
-/** How close a job's accelerators must lie. */
+/** How close together a job's accelerators must be. */
 export const Adjacency = { worker: 'worker', rack: 'rack', zone: 'zone' } as const;
 
 /** One of the values of {@link Adjacency}. */
@@ -19,23 +19,23 @@
 export const Customer = Schema.Struct({
   customerId: units.Id,
   name: units.ShortText,
-  /** Weight among the customers' requests under load. */
+  /** Weight of the customer's requests against those of other customers under load. */
   requestWeight: units.numberBetween(0.01, 1000),
-  /** Slots of each upstream that the customer's requests may always have. */
+  /** Slots of each upstream that are always available to the customer's requests. */
   guaranteedSlots: units.integerBetween(0, 1024),
-  /** Most accelerators that all its jobs together may hold, in all cells. */
+  /** Maximum number of accelerators that all its jobs may hold in total, over all cells. */
   quotaAccelerators: units.integerBetween(0, 100_000),
 });
 
 /** See {@link Customer}. */
 export type Customer = typeof Customer.Type;
 
-/** A guaranteed shape: accelerators with adjacency that a customer can always reclaim in a cell. */
+/** A guaranteed shape: adjacent accelerators that a customer can always reclaim in a cell. */
 export const Shape = Schema.Struct({
   shapeId: units.Id,
   customerId: units.Id,
   cell: units.Id,
-  /** Accelerators of one instance of the shape. */
+  /** Accelerators in one instance of the shape. */
   accelerators: units.integerBetween(1, 4096),
   adjacency: AdjacencySchema,
   /** How many instances the customer holds. */
@@ -49,11 +49,11 @@
 export const SpareRule = Schema.Struct({
   ruleId: units.Id,
   customerIds: Schema.Array(units.Id),
-  /** Cells in which the rule holds; empty means all. */
+  /** Cells in which the rule applies; empty means all. */
   cells: Schema.Array(units.Id),
-  /** Weight among the borrowers of a cell. */
+  /** Weight against the other borrowers in a cell. */
   weight: units.numberBetween(0.01, 1000),
-  /** Most accelerators that one customer may borrow by the rule in one cell. */
+  /** Maximum number of accelerators that one customer may borrow under the rule in one cell. */
   maxAccelerators: units.integerBetween(1, 100_000),
   /** Whether a borrowed job is throttled before it is stopped. */
   throttleFirst: Schema.Boolean,
@@ -62,7 +62,7 @@
 /** See {@link SpareRule}. */
 export type SpareRule = typeof SpareRule.Type;
 
-/** A cell: one availability zone with the capacity that operators expect of it. */
+/** A cell: one availability zone with the capacity that operators expect in it. */
 export const Cell = Schema.Struct({
   cell: units.Id,
   region: units.Id,
@@ -78,17 +78,17 @@
 export const PlacementPolicy = Schema.Struct({
   /** Weight of completion time against fragmentation, 0 to 1. */
   completionWeight: units.Share,
-  /** Time that a reclaimed job has to checkpoint. */
+  /** Time allowed for a reclaimed job to checkpoint. */
   reclaimGraceMs: units.integerBetween(0, 600_000),
-  /** Jobs of at least this many accelerators get a reservation after a wait. */
+  /** Jobs with at least this many accelerators get a reservation after `largeJobWaitMs`. */
   largeJobAccelerators: units.integerBetween(1, 4096),
-  /** Wait after which a large job gets its reservation. */
+  /** Waiting time after which a large job gets a reservation. */
   largeJobWaitMs: units.DurationMs,
   /** Distinct jobs that must fail on a worker before it is quarantined. */
   quarantineFailures: units.integerBetween(1, 100),
-  /** Largest part of a cell's workers that may be quarantined at once. */
+  /** Largest share of a cell's workers that may be quarantined at the same time. */
   quarantineCapShare: units.Share,
-  /** Distinct good workers on which a job must fail before it is given up. */
+  /** Distinct healthy workers on which a job must fail before it becomes unrunnable. */
   unrunnableFailures: units.integerBetween(1, 100),
   /** Term of a task lease on a worker. */
   taskLeaseMs: units.integerBetween(1000, 3_600_000),
@@ -99,24 +99,24 @@
 
 /** Limits and prices of routing requests to upstreams. */
 export const RoutingPolicy = Schema.Struct({
-  /** Wait that a request would rather bear than go to another region. */
+  /** Extra queueing delay that a request accepts before it is routed to another region. */
   crossRegionPriceMs: units.integerBetween(0, 600_000),
-  /** Largest part of a region's requests that may go to another region. */
+  /** Largest share of a region's requests that may be routed to another region. */
   crossRegionMaxShare: units.Share,
-  /** Retries allowed for each answered request. */
+  /** Retries allowed per answered request. */
   retryBudgetShare: units.Share,
-  /** Largest part of the upstreams that may be ejected as outliers at once. */
+  /** Largest share of the upstreams that may be ejected as outliers at the same time. */
   ejectionCapShare: units.Share,
-  /** Deadline of a request that names none. */
+  /** Deadline of a request that does not specify one. */
   defaultDeadlineMs: units.integerBetween(1, 3_600_000),
-  /** Slots that operators expect of each upstream; guaranteed slots must fit in them. */
+  /** Slots that operators expect on each upstream; the sum of guaranteed slots must not exceed it. */
   slotsPerUpstream: Schema.optionalKey(units.integerBetween(1, 4096)),
 });
 
 /** See {@link RoutingPolicy}. */
 export type RoutingPolicy = typeof RoutingPolicy.Type;
 
-/** What an objective promises. */
+/** What an objective measures. */
 export const ObjectiveKind = {
   /** Jobs that claim a guaranteed shape start within the threshold. */
   startWithin: 'startWithin',
@@ -135,9 +135,9 @@
   customerId: units.Id,
   kind: Schema.Literals(['startWithin', 'answeredWithin', 'notRefused']),
   thresholdMs: units.DurationMs,
-  /** Part of the events that must be good, below 1. */
+  /** Share of the events that must be good, below 1. */
   target: units.numberBetween(0.5, 0.99999),
-  /** Period over which the target counts. */
+  /** Period over which the target is evaluated. */
   windowMs: units.integerBetween(60_000, 7_776_000_000),
 });
 
@@ -158,10 +158,10 @@
 /** See {@link ConfigurationDocument}. */
 export type ConfigurationDocument = typeof ConfigurationDocument.Type;
 
-/** The document with what the audit needs: one version as it is kept in the store. */
+/** One version of the document as stored, with the fields needed for the audit. */
 export const ConfigurationRecord = Schema.Struct({
   version: units.Count,
-  /** Chosen by the writer, so that a lost answer is settled by reading back. */
+  /** Chosen by the writer, which reads it back to find out whether a write whose answer was lost took effect. */
   writeId: units.CallerKey,
   author: units.ShortText,
   reason: units.ShortText,
@@ -172,5 +172,5 @@
 /** See {@link ConfigurationRecord}. */
 export type ConfigurationRecord = typeof ConfigurationRecord.Type;
 
-/** The version that a process has before it has seen any configuration. */
+/** Version of a process that has not received any configuration yet. */
 export const NO_VERSION = 0;
--- a/src/state/common/configurationChecks.ts
+++ b/src/state/common/configurationChecks.ts
@@ -1,6 +1,6 @@
 /**
- * What the schema can't say of the configuration document: its parts must agree with each other.
- * Each complaint names the path, the value and what is expected.
+ * Consistency checks of the configuration document that the schema can't express.
+ * Each issue names the path, the value and what is expected.
  */
 import * as errors from '../../base/common/errors.js';
 import * as schemaIssues from '../../base/common/schemaIssues.js';
@@ -10,15 +10,15 @@
 type Path = readonly (string | number)[];
 type Document = configuration.ConfigurationDocument;
 
-const issue = (path: Path, message: string): schemaIssues.FieldIssue => ({
+const createIssue = (path: Path, message: string): schemaIssues.FieldIssue => ({
   path,
   field: schemaIssues.formatPath(path),
   message,
 });
 
-const show = (value: unknown): string => JSON.stringify(value);
+const formatValue = (value: unknown): string => JSON.stringify(value);
 
-const duplicates = (
+const findDuplicates = (
   list: string,
   key: string,
   ids: readonly string[],
@@ -28,78 +28,83 @@
     return first === index
       ? []
       : [
-          issue(
+          createIssue(
             [list, index, key],
-            `${show(id)} is taken by ${list}[${first}]; a unique id expected`,
+            `${formatValue(id)} is taken by ${list}[${first}]; a unique id expected`,
           ),
         ];
   });
 
-const uniqueIds = (document: Document): readonly schemaIssues.FieldIssue[] => [
-  ...duplicates(
+const checkUniqueIds = (document: Document): readonly schemaIssues.FieldIssue[] => [
+  ...findDuplicates(
     'customers',
     'customerId',
     document.customers.map((it) => it.customerId),
   ),
-  ...duplicates(
+  ...findDuplicates(
     'shapes',
     'shapeId',
     document.shapes.map((it) => it.shapeId),
   ),
-  ...duplicates(
+  ...findDuplicates(
     'rules',
     'ruleId',
     document.rules.map((it) => it.ruleId),
   ),
-  ...duplicates(
+  ...findDuplicates(
     'cells',
     'cell',
     document.cells.map((it) => it.cell),
   ),
-  ...duplicates(
+  ...findDuplicates(
     'objectives',
     'objectiveId',
     document.objectives.map((it) => it.objectiveId),
   ),
 ];
 
-const references = (document: Document): readonly schemaIssues.FieldIssue[] => {
+const checkReferences = (document: Document): readonly schemaIssues.FieldIssue[] => {
   const customers = new Set(document.customers.map((it) => it.customerId));
   const cells = new Set(document.cells.map((it) => it.cell));
-  const known = (path: Path, id: string, ids: ReadonlySet<string>, what: string) => {
+  const checkKnown = (path: Path, id: string, ids: ReadonlySet<string>, what: string) => {
     if (ids.has(id)) return [];
     const expected = ids.size === 0 ? 'none is defined' : [...ids].join(', ');
-    return [issue(path, `${show(id)} is not a ${what}; expected one of: ${expected}`)];
+    return [createIssue(path, `${formatValue(id)} is not a ${what}; expected one of: ${expected}`)];
   };
   return [
     ...document.shapes.flatMap((it, index) => [
-      ...known(['shapes', index, 'customerId'], it.customerId, customers, 'customer'),
-      ...known(['shapes', index, 'cell'], it.cell, cells, 'cell'),
+      ...checkKnown(['shapes', index, 'customerId'], it.customerId, customers, 'customer'),
+      ...checkKnown(['shapes', index, 'cell'], it.cell, cells, 'cell'),
     ]),
     ...document.rules.flatMap((it, index) => [
       ...it.customerIds.flatMap((id, at) =>
-        known(['rules', index, 'customerIds', at], id, customers, 'customer'),
+        checkKnown(['rules', index, 'customerIds', at], id, customers, 'customer'),
       ),
-      ...it.cells.flatMap((id, at) => known(['rules', index, 'cells', at], id, cells, 'cell')),
+      ...it.cells.flatMap((id, at) => checkKnown(['rules', index, 'cells', at], id, cells, 'cell')),
     ]),
     ...document.objectives.flatMap((it, index) =>
-      known(['objectives', index, 'customerId'], it.customerId, customers, 'customer'),
+      checkKnown(['objectives', index, 'customerId'], it.customerId, customers, 'customer'),
     ),
   ];
 };
 
-const repeatedInRules = (document: Document): readonly schemaIssues.FieldIssue[] =>
+const checkRepeatedIds = (document: Document): readonly schemaIssues.FieldIssue[] =>
   document.rules.flatMap((rule, index) =>
     (['customerIds', 'cells'] as const).flatMap((list) =>
       rule[list].flatMap((id, at) =>
         rule[list].indexOf(id) === at
           ? []
-          : [issue(['rules', index, list, at], `${show(id)} stands twice; each id once expected`)],
+          : [
+              createIssue(
+                ['rules', index, list, at],
+                `${formatValue(id)} stands twice; each id once expected`,
+              ),
+            ],
       ),
     ),
   );
 
-const shapeFits = (document: Document): readonly schemaIssues.FieldIssue[] =>
+const checkShapeSizes = (document: Document): readonly schemaIssues.FieldIssue[] =>
   document.shapes.flatMap((shape, index) => {
     const cell = document.cells.find((it) => it.cell === shape.cell);
     if (cell === undefined) return [];
@@ -107,14 +112,14 @@
     if (shape.accelerators <= most) return [];
     const where = `one ${shape.adjacency} of cell ${cell.cell}`;
     return [
-      issue(
+      createIssue(
         ['shapes', index, 'accelerators'],
         `${shape.accelerators} given, at most ${most} expected: ${where} has no more`,
       ),
     ];
   });
 
-const cellsHold = (document: Document): readonly schemaIssues.FieldIssue[] =>
+const checkCellCapacity = (document: Document): readonly schemaIssues.FieldIssue[] =>
   document.cells.flatMap((cell, index) => {
     const shapes = document.shapes.filter((it) => it.cell === cell.cell);
     if (configurationPacking.canHold(cell, shapes)) return [];
@@ -122,33 +127,33 @@
     const capacity = cell.workers * cell.acceleratorsPerWorker;
     const ids = shapes.map((it) => it.shapeId).join(', ');
     return [
-      issue(
+      createIssue(
         ['cells', index],
-        `${show(cell.cell)} has ${capacity} accelerators, and shapes of ${wanted} (${ids}) don't ` +
+        `${formatValue(cell.cell)} has ${capacity} accelerators, and shapes of ${wanted} (${ids}) don't ` +
           'fit together with their adjacency; fewer or smaller shapes, or more workers, expected',
       ),
     ];
   });
 
-const quotasHold = (document: Document): readonly schemaIssues.FieldIssue[] =>
+const checkQuotas = (document: Document): readonly schemaIssues.FieldIssue[] =>
   document.customers.flatMap((customer, index) => {
     const shapes = document.shapes.filter((it) => it.customerId === customer.customerId);
     const held = configurationPacking.acceleratorsOf(shapes);
     if (held <= customer.quotaAccelerators) return [];
     return [
-      issue(
+      createIssue(
         ['customers', index, 'quotaAccelerators'],
-        `${customer.quotaAccelerators} given, at least ${held} expected: its shapes hold as many`,
+        `${customer.quotaAccelerators} given, at least ${held} expected: its shapes need as many`,
       ),
     ];
   });
 
-const slotsAddUp = (document: Document): readonly schemaIssues.FieldIssue[] => {
+const checkGuaranteedSlots = (document: Document): readonly schemaIssues.FieldIssue[] => {
   const { slotsPerUpstream } = document.routing;
   const guaranteed = document.customers.reduce((sum, it) => sum + it.guaranteedSlots, 0);
   if (slotsPerUpstream === undefined || guaranteed <= slotsPerUpstream) return [];
   return [
-    issue(
+    createIssue(
       ['routing', 'slotsPerUpstream'],
       `${slotsPerUpstream} given, at least ${guaranteed} expected: the customers' guaranteed ` +
         'slots add up to as many',
@@ -156,46 +161,46 @@
   ];
 };
 
-const objectivesAgree = (document: Document): readonly schemaIssues.FieldIssue[] =>
+const checkThresholds = (document: Document): readonly schemaIssues.FieldIssue[] =>
   document.objectives.flatMap((it, index) => {
     const isRefusal = it.kind === configuration.ObjectiveKind.notRefused;
     const path = ['objectives', index, 'thresholdMs'];
     if (isRefusal && it.thresholdMs !== 0) {
-      return [issue(path, `${it.thresholdMs} given, 0 expected for kind notRefused`)];
+      return [createIssue(path, `${it.thresholdMs} given, 0 expected for kind notRefused`)];
     }
     if (!isRefusal && it.thresholdMs === 0) {
-      return [issue(path, `0 given, at least 1 expected for kind ${it.kind}`)];
+      return [createIssue(path, `0 given, at least 1 expected for kind ${it.kind}`)];
     }
     return [];
   });
 
-const startNeedsShape = (document: Document): readonly schemaIssues.FieldIssue[] =>
+const checkStartObjectives = (document: Document): readonly schemaIssues.FieldIssue[] =>
   document.objectives.flatMap((it, index) => {
     const isStart = it.kind === configuration.ObjectiveKind.startWithin;
     const holdsShape = document.shapes.some((shape) => shape.customerId === it.customerId);
     if (!isStart || holdsShape) return [];
-    const message = `${show(it.customerId)} holds no shape; startWithin expects one with a shape`;
-    return [issue(['objectives', index, 'customerId'], message)];
+    const message = `${formatValue(it.customerId)} holds no shape; startWithin expects one with a shape`;
+    return [createIssue(['objectives', index, 'customerId'], message)];
   });
 
-const RULES = [
-  uniqueIds,
-  references,
-  repeatedInRules,
-  shapeFits,
-  cellsHold,
-  quotasHold,
-  slotsAddUp,
-  objectivesAgree,
-  startNeedsShape,
+const CHECKS = [
+  checkUniqueIds,
+  checkReferences,
+  checkRepeatedIds,
+  checkShapeSizes,
+  checkCellCapacity,
+  checkQuotas,
+  checkGuaranteedSlots,
+  checkThresholds,
+  checkStartObjectives,
 ];
 
 /**
  * @param document - a document that its schema accepts
- * @returns every complaint about how its parts agree
+ * @returns all inconsistencies between its parts
  */
 export const checkDocument = (document: Document): readonly schemaIssues.FieldIssue[] =>
-  RULES.flatMap((rule) => rule(document));
+  CHECKS.flatMap((check) => check(document));
 
 const MAX_SHOWN = 80;
 
@@ -205,30 +210,30 @@
     input,
   );
 
-/** The schema's complaints tell what is expected; this adds what is there. */
-const withValue = (input: unknown, it: schemaIssues.FieldIssue): schemaIssues.FieldIssue => {
+/** Adds the actual value to a schema issue, which names only the expected one. */
+const appendValue = (input: unknown, it: schemaIssues.FieldIssue): schemaIssues.FieldIssue => {
   const value = valueAt(input, it.path);
   if (value === undefined || it.message.includes(', got ')) return it;
-  const text = typeof value === 'number' ? String(value) : show(value);
+  const text = typeof value === 'number' ? String(value) : formatValue(value);
   return { ...it, message: `${it.message}, got ${text.slice(0, MAX_SHOWN)}` };
 };
 
 /**
- * @param input - what came from outside
- * @returns the document, or every complaint: the schema's, or else those across fields
+ * @param input - untrusted input
+ * @returns the document, or all issues: those of the schema, or if there are none, the inconsistencies
  */
 export const decodeDocument = (input: unknown): schemaIssues.Decoded<Document> => {
   const decoded = schemaIssues.decode(configuration.ConfigurationDocument, input);
   if (!decoded.isValid) {
-    return { isValid: false, issues: decoded.issues.map((it) => withValue(input, it)) };
+    return { isValid: false, issues: decoded.issues.map((it) => appendValue(input, it)) };
   }
   const issues = checkDocument(decoded.value);
   return issues.length === 0 ? decoded : { isValid: false, issues };
 };
 
 /**
- * @param issues - complaints
- * @returns the refusal that names them all
+ * @param issues - the issues found
+ * @returns the error that lists them all
  */
 export const refusal = (issues: readonly schemaIssues.FieldIssue[]): errors.AuburnliftError => {
   const text = issues.map((it) => `${it.field}: ${it.message}`).join('; ');
@@ -240,7 +245,7 @@
 
 /**
  * @param document - a document that its schema accepts
- * @throws AuburnliftError `invalidRequest` with all complaints in its facts
+ * @throws AuburnliftError `invalidRequest` with all issues in its facts
  */
 export const assertDocument = (document: Document): void => {
   const issues = checkDocument(document);
--- a/src/state/common/configurationDifference.ts
+++ b/src/state/common/configurationDifference.ts
@@ -1,5 +1,5 @@
 /**
- * What a change of the configuration changes, and what it does to work that runs.
+ * Differences between two configuration documents, and their effects on running jobs.
  */
 import * as configurationPacking from './configurationPacking.js';
 import type * as configuration from './configuration.js';
@@ -7,31 +7,31 @@
 
 type Document = configuration.ConfigurationDocument;
 
-/** One field that differs. */
+/** A field that differs. */
 export interface DocumentChange {
-  /** Path with ids in place of indexes, `shapes[pump-plan].count`. */
+  /** Path with ids in place of indexes, for example `shapes[pump-plan].count`. */
   readonly path: string;
-  /** As JSON; undefined where it was not there. */
+  /** As JSON; undefined if the field was absent. */
   readonly before: string | undefined;
   readonly after: string | undefined;
 }
 
-/** How much an effect matters. */
+/** Severity of an effect. */
 export const EffectLevel = {
   note: 'note',
-  /** Running guaranteed work loses its guarantee: needs the author's consent. */
+  /** A running guaranteed job loses its guarantee: needs the author's consent. */
   strands: 'strands',
-  /** It could not be found out, because a cell did not answer. */
+  /** The effect could not be determined, because a cell did not answer. */
   unknown: 'unknown',
 } as const;
 
 /** One of the values of {@link EffectLevel}. */
 export type EffectLevel = (typeof EffectLevel)[keyof typeof EffectLevel];
 
-/** What a change does besides its difference. */
+/** An effect of a configuration change on capacity or running jobs. */
 export interface ChangeEffect {
   readonly level: EffectLevel;
-  /** One sentence for people. */
+  /** One sentence for display. */
   readonly text: string;
 }
 
@@ -46,7 +46,7 @@
 const isRecord = (value: unknown): value is Readonly<Record<string, unknown>> =>
   typeof value === 'object' && value !== null && !Array.isArray(value);
 
-/** Leaves by path; a list of items with ids is keyed by them, so that an insertion moves nothing. */
+/** Collects leaf values by path. Lists of items with ids are keyed by id, so that an insertion doesn't shift paths. */
 const flatten = (value: unknown, path: string, leaves: Map<string, string>): void => {
   if (isRecord(value)) {
     for (const [key, child] of Object.entries(value)) {
@@ -71,9 +71,9 @@
 };
 
 /**
- * @param before - the older document, undefined before the first
+ * @param before - the older document, undefined if there is none
  * @param after - the newer one
- * @returns the fields that differ, in the order of the newer document, removed ones last
+ * @returns the fields that differ, in the order of the newer document, then the removed ones
  */
 export const compareDocuments = (
   before: Document | undefined,
@@ -90,12 +90,12 @@
 const runningGuaranteed = (jobs: readonly job.JobRecord[]): readonly job.JobRecord[] =>
   jobs.filter((it) => it.spec.claim === job.Claim.guaranteed && !job.isTerminal(it.state));
 
-const describe = (record: job.JobRecord): string =>
+const describeJob = (record: job.JobRecord): string =>
   `guaranteed job ${record.spec.jobId} of ${record.spec.customerId} (${record.state}) in ${
     record.spec.cell
   }`;
 
-const strandedBy = (record: job.JobRecord, after: Document): string | undefined => {
+const reasonForLostGuarantee = (record: job.JobRecord, after: Document): string | undefined => {
   const { customerId, cell, shapeId } = record.spec;
   if (!after.customers.some((it) => it.customerId === customerId)) {
     return `customer ${customerId} is gone`;
@@ -111,7 +111,7 @@
   return undefined;
 };
 
-const strandedByCount = (
+const findExcessHolders = (
   after: Document,
   jobs: readonly job.JobRecord[],
 ): readonly ChangeEffect[] =>
@@ -126,18 +126,24 @@
     return [{ level: EffectLevel.strands, text }];
   });
 
-const strandings = (after: Document, jobs: readonly job.JobRecord[]): readonly ChangeEffect[] => {
+const findLostGuarantees = (
+  after: Document,
+  jobs: readonly job.JobRecord[],
+): readonly ChangeEffect[] => {
   const lost = jobs.flatMap((record) => {
-    const why = strandedBy(record, after);
+    const why = reasonForLostGuarantee(record, after);
     if (why === undefined) return [];
     return [
-      { level: EffectLevel.strands, text: `${describe(record)} loses its guarantee: ${why}` },
+      { level: EffectLevel.strands, text: `${describeJob(record)} loses its guarantee: ${why}` },
     ];
   });
-  return [...lost, ...strandedByCount(after, jobs)];
+  return [...lost, ...findExcessHolders(after, jobs)];
 };
 
-const guaranteeNotes = (before: Document | undefined, after: Document): readonly ChangeEffect[] =>
+const describeGuaranteeChanges = (
+  before: Document | undefined,
+  after: Document,
+): readonly ChangeEffect[] =>
   after.cells.flatMap((cell) => {
     const held = (document: Document | undefined): number =>
       configurationPacking.acceleratorsOf(
@@ -153,11 +159,11 @@
   });
 
 /**
- * @param before - document in force
- * @param after - document that is asked for
+ * @param before - the active document
+ * @param after - the requested document
  * @param jobs - jobs of the cells that answered
  * @param unansweredCells - cells whose leader did not answer
- * @returns what operators must know before they agree
+ * @returns the effects that operators must know before they consent
  */
 export const effectsOf = (
   before: Document | undefined,
@@ -165,10 +171,10 @@
   jobs: readonly job.JobRecord[],
   unansweredCells: readonly string[],
 ): readonly ChangeEffect[] => [
-  ...strandings(after, runningGuaranteed(jobs)),
+  ...findLostGuarantees(after, runningGuaranteed(jobs)),
   ...unansweredCells.map((cell) => ({
     level: EffectLevel.unknown,
     text: `cell ${cell} does not answer, so its running jobs are not known`,
   })),
-  ...guaranteeNotes(before, after),
+  ...describeGuaranteeChanges(before, after),
 ];
--- a/src/state/common/configurationPacking.ts
+++ b/src/state/common/configurationPacking.ts
@@ -1,10 +1,10 @@
 /**
  * Whether all guaranteed shapes of a cell fit its workers and racks at the same time.
  *
- * A shape of adjacency `worker` must lie on one worker, `rack` in one rack, `zone` anywhere. The
- * exact question is bin packing, so three greedy orders are tried and one that works is enough. A
- * document may therefore be refused although a cleverer packing exists; it is never accepted
- * without one.
+ * A shape of adjacency `worker` must fit on one worker, `rack` in one rack, `zone` anywhere. The
+ * exact problem is bin packing, so three greedy orders are tried and one success is enough. A
+ * document may therefore be refused although a better packing exists; it is never accepted
+ * without a valid packing.
  */
 import type * as configuration from './configuration.js';
 
@@ -23,8 +23,8 @@
 
 const sum = (values: readonly number[]): number => values.reduce((all, it) => all + it, 0);
 
-/** Takes from the workers with the least left first, so that whole workers stay whole. */
-const takeFrom = (workers: number[], accelerators: number): void => {
+/** Takes from the workers with the least free capacity first, so that empty workers stay empty. */
+const takeAccelerators = (workers: number[], accelerators: number): void => {
   let left = accelerators;
   const order = workers.map((_free, index) => index);
   order.sort((a, b) => (workers[a] ?? 0) - (workers[b] ?? 0));
@@ -54,18 +54,18 @@
 const placeInRack = (racks: Racks, accelerators: number): boolean => {
   const rack = bestFit(racks, sum, accelerators);
   if (rack === undefined) return false;
-  takeFrom(rack, accelerators);
+  takeAccelerators(rack, accelerators);
   return true;
 };
 
-type Kind = configuration.Adjacency;
+type Adjacency = configuration.Adjacency;
 
-const ORDERS: readonly (readonly Kind[])[] = [
+const ORDERS: readonly (readonly Adjacency[])[] = [
   ['worker', 'rack'],
   ['rack', 'worker'],
 ];
 
-const sizesOf = (shapes: readonly configuration.Shape[], kind: Kind): number[] =>
+const sizesOf = (shapes: readonly configuration.Shape[], kind: Adjacency): number[] =>
   shapes
     .filter((it) => it.adjacency === kind)
     .flatMap((it) => Array.from({ length: it.count }, () => it.accelerators))
@@ -74,7 +74,7 @@
 const packInOrder = (
   cell: configuration.Cell,
   shapes: readonly configuration.Shape[],
-  order: readonly Kind[],
+  order: readonly Adjacency[],
 ): boolean => {
   const racks = createRacks(cell);
   const place = { worker: placeOnWorker, rack: placeInRack, zone: () => true };
@@ -93,15 +93,15 @@
 
 /**
  * @param shapes - shapes of one cell
- * @returns accelerators of all their instances
+ * @returns total accelerators of all their instances
  */
 export const acceleratorsOf = (shapes: readonly configuration.Shape[]): number =>
   sum(shapes.map((it) => it.accelerators * it.count));
 
 /**
- * @param cell - the cell with the capacity that operators expect
+ * @param cell - the cell with its expected capacity
  * @param shapes - its guaranteed shapes
- * @returns whether all instances fit together
+ * @returns whether all instances fit at the same time
  */
 export const canHold = (
   cell: configuration.Cell,
@@ -113,8 +113,8 @@
 
 /**
  * @param cell - the cell
- * @param adjacency - how close the accelerators must lie
- * @returns the most accelerators that one shape of the adjacency can have in the empty cell
+ * @param adjacency - how close together the accelerators must be
+ * @returns the maximum size of one shape of this adjacency in the empty cell
  */
 export const largestShape = (
   cell: configuration.Cell,
--- a/src/state/common/job.ts
+++ b/src/state/common/job.ts
@@ -1,5 +1,5 @@
 /**
- * Jobs: what a customer asks for, and the record that the cell's leader keeps in the store.
+ * Jobs: what a customer requests, and the record that the cell's leader stores.
  */
 import * as Schema from 'effect/Schema';
 
@@ -12,12 +12,12 @@
 /** One of the values of {@link Claim}. */
 export type Claim = (typeof Claim)[keyof typeof Claim];
 
-/** What a customer asks for. All members of the gang run together or none does. */
+/** What a customer requests. Either all members of the gang run at the same time or none does. */
 export const JobSpec = Schema.Struct({
-  /** Chosen by the submitter: submitting the same id again changes nothing. */
+  /** Chosen by the submitter; submitting the same id again has no effect. */
   jobId: units.CallerKey,
   customerId: units.Id,
-  /** Jobs of one kind have like run times; estimates are learned for each customer and kind. */
+  /** Jobs of one kind have similar run times; run times are estimated per customer and kind. */
   kind: units.Id,
   cell: units.Id,
   claim: Schema.Literals(['guaranteed', 'spare']),
@@ -25,36 +25,36 @@
   shapeId: Schema.optionalKey(units.Id),
   members: units.integerBetween(1, 64),
   acceleratorsPerMember: units.integerBetween(1, 64),
-  /** How close the members must lie to each other. */
+  /** How close together the members must be. */
   adjacency: configuration.AdjacencySchema,
-  /** What the submitter believes; far from the truth as often as not. */
+  /** Run time estimated by the submitter; often far off. */
   declaredRunMs: units.DurationMs,
-  /** Whether the job can be stopped at a checkpoint and go on from it. */
+  /** Whether the job can be stopped at a checkpoint and resumed from it. */
   isCheckpointable: Schema.Boolean,
-  /** Handed to the worker's tasks as it is. */
+  /** Passed unchanged to the worker's tasks. */
   payload: Schema.String.check(Schema.isMaxLength(4096)),
 });
 
 /** See {@link JobSpec}. */
 export type JobSpec = typeof JobSpec.Type;
 
-/** Where a job is in its life. `coordination/common/jobMachine` has the table of transitions. */
+/** Lifecycle state of a job. `coordination/common/jobMachine` has the transition table. */
 export const JobState = {
   /** Accepted and waiting. */
   queued: 'queued',
-  /** Its members hold reservations; nothing is committed. Kept in memory only. */
+  /** Its members hold reservations; nothing is committed yet. Never stored. */
   reserving: 'reserving',
   /** The placement is committed; its members are being started. */
   starting: 'starting',
   /** All members run. */
   running: 'running',
-  /** Its members are being stopped; `stopping` says why and what follows. */
+  /** Its members are being stopped; `stopCause` says why. */
   stopping: 'stopping',
   done: 'done',
-  /** It failed for a reason of its own. */
+  /** The failure was caused by the job itself. */
   failed: 'failed',
   cancelled: 'cancelled',
-  /** It failed on several good workers, or nothing could ever hold it. */
+  /** It failed on several healthy workers, or it can never be placed. */
   unrunnable: 'unrunnable',
 } as const;
 
@@ -73,7 +73,7 @@
   'unrunnable',
 ] as const;
 
-/** One member's place. */
+/** Placement of one member. */
 export const MemberPlacement = Schema.Struct({
   member: units.integerBetween(0, 63),
   workerId: units.Id,
@@ -87,9 +87,9 @@
 /** Why the members are being stopped. */
 export const StopCause = {
   cancelled: 'cancelled',
-  /** Another customer claims the accelerators that were lent. */
+  /** Another customer reclaims the accelerators that the job borrowed. */
   reclaimed: 'reclaimed',
-  /** Placements get better if the job moves. */
+  /** The job is moved to free adjacent accelerators for a large job. */
   compacted: 'compacted',
   /** A worker or task was lost. */
   memberLost: 'memberLost',
@@ -100,7 +100,7 @@
 /** One of the values of {@link StopCause}. */
 export type StopCause = (typeof StopCause)[keyof typeof StopCause];
 
-/** Why accelerators were held, for the ledger. */
+/** Why accelerators were allocated or unused, for the ledger. */
 export const HoldReason = {
   guarantee: 'guarantee',
   spare: 'spare',
@@ -108,19 +108,19 @@
   lostToFailure: 'lostToFailure',
   quarantined: 'quarantined',
   idle: 'idle',
-  /** The worker or its cell's leader did not answer, so nobody can say. */
+  /** The worker or its cell's leader did not answer, so the use is not known. */
   unreachable: 'unreachable',
 } as const;
 
 /** One of the values of {@link HoldReason}. */
 export type HoldReason = (typeof HoldReason)[keyof typeof HoldReason];
 
-/** One decision on a job, kept so that `explain` can tell it later. */
+/** A decision on a job, stored for `explain`. */
 export const JobDecision = Schema.Struct({
   atMs: units.Count,
   /** Name of the decision: `queued`, `placed`, `reclaimed` and so on. */
   what: units.Id,
-  /** One sentence for people. */
+  /** One sentence for display. */
   why: units.ShortText,
   configVersion: units.Count,
 });
@@ -128,10 +128,10 @@
 /** See {@link JobDecision}. */
 export type JobDecision = typeof JobDecision.Type;
 
-/** Decisions kept for each job; the oldest go first, but the first one stays. */
+/** Decisions retained per job: the first one and the most recent ones. */
 export const MAX_DECISIONS = 24;
 
-/** One failure of a member, for telling bad workers from bad jobs. */
+/** A failure of a member, used to attribute failures to the worker or the job. */
 export const MemberFailure = Schema.Struct({
   atMs: units.Count,
   workerId: units.Id,
@@ -141,25 +141,25 @@
 /** See {@link MemberFailure}. */
 export type MemberFailure = typeof MemberFailure.Type;
 
-/** What the cell's leader keeps of a job. */
+/** A job's record as the cell's leader stores it. */
 export const JobRecord = Schema.Struct({
   spec: JobSpec,
   state: Schema.Literals(JOB_STATES),
   submittedAtMs: units.Count,
-  /** Counts the starts; a token of an earlier attempt is refused. */
+  /** Number of starts; a token of an earlier attempt is refused. */
   attempt: units.Count,
   /** Epoch of the leader that committed the placement. */
   epoch: units.Count,
   /** Empty unless the job holds accelerators. */
   placement: Schema.Array(MemberPlacement),
-  /** The spare rule it borrows by. */
+  /** The spare rule under which it borrows. */
   ruleId: Schema.optionalKey(units.Id),
   stopCause: Schema.optionalKey(
     Schema.Literals(['cancelled', 'reclaimed', 'compacted', 'memberLost', 'memberFailed']),
   ),
   startedAtMs: Schema.optionalKey(units.Count),
   endedAtMs: Schema.optionalKey(units.Count),
-  /** Work kept by the last checkpoint. */
+  /** Work saved by the last checkpoint. */
   checkpointMs: units.Count,
   failures: Schema.Array(MemberFailure),
   decisions: Schema.Array(JobDecision),
@@ -176,8 +176,8 @@
 ]);
 
 /**
- * @param state - where the job is
- * @returns whether nothing can happen to it any more
+ * @param state - a job's state
+ * @returns whether the state is final
  */
 export const isTerminal = (state: JobState): boolean => TERMINAL_STATES.has(state);
 
@@ -190,11 +190,11 @@
 
 /**
  * @param record - a job
- * @param decision - what was decided about it
+ * @param decision - the decision to append
  * @returns the job with the decision appended, within {@link MAX_DECISIONS}
  */
 export const withDecision = (record: JobRecord, decision: JobDecision): JobRecord => {
   const [first, ...rest] = [...record.decisions, decision];
-  const kept = rest.slice(-(MAX_DECISIONS - 1));
-  return { ...record, decisions: first === undefined ? [] : [first, ...kept] };
+  const retained = rest.slice(-(MAX_DECISIONS - 1));
+  return { ...record, decisions: first === undefined ? [] : [first, ...retained] };
 };
--- a/src/state/common/pool/agentContract.ts
+++ b/src/state/common/pool/agentContract.ts
@@ -1,5 +1,5 @@
 /**
- * What the leader and an agent tell each other, and what an agent asks of its worker.
+ * Messages between the leader and an agent, and between an agent and its worker.
  */
 import * as Schema from 'effect/Schema';
 
@@ -7,22 +7,22 @@
 import * as poolWorker from './poolWorker.js';
 
 /**
- * The leader's fences are multiples of this. With those between an agent refuses orders to a former life of
- * its worker before the leader has heard of the new one.
+ * The leader's fences are multiples of this. With the values in between, an agent fences off orders to a previous
+ * incarnation of its worker before the leader knows of the new one.
  */
 export const FENCE_STEP = 8;
 
-/** The leader renews its authority and the tasks' leases, and waits for news. */
+/** The leader renews its authority and the tasks' leases, and waits for changes. */
 export const SyncRequest = Schema.Struct({
-  /** Rises with each leader; the agent refuses every lower one from then on. */
+  /** Increases with each leader; the agent refuses every lower one from then on. */
   fence: units.Count,
-  /** Life of the worker for which the lease and the acknowledgement hold; 0 where none is known. */
+  /** Incarnation of the worker to which the lease and the acknowledgement apply; 0 if none is known. */
   incarnationMs: units.Count,
   /** End of the tasks' leases on the worker's clock; 0 renews none. */
   leaseUntilMs: units.Count,
-  /** Ends up to this one are stored and may be forgotten. */
+  /** Acknowledges ended runs up to this sequence number: they are stored, the worker may drop them. */
   seenUpTo: units.Count,
-  /** Version of the news that the leader has; the answer waits for a later one. */
+  /** Version of the worker state that the leader has; the answer waits for a later one. */
   knownVersion: units.Count,
   waitMs: units.DurationMs,
 });
@@ -30,16 +30,16 @@
 /** See {@link SyncRequest}. */
 export type SyncRequest = typeof SyncRequest.Type;
 
-/** What an agent knows of its worker. */
+/** The state of an agent's worker as known to the agent. */
 export const WorkerNews = Schema.Struct({
-  /** Names one life of the agent's process. */
+  /** Identifies one incarnation of the agent's process. */
   bootId: Schema.String,
   version: units.Count,
   worker: Schema.optionalKey(poolWorker.WorkerInfo),
   view: Schema.optionalKey(poolWorker.WorkerView),
-  /** Fence under which the worker gave the view. */
+  /** Fence under which the worker sent the report. */
   viewFence: units.Count,
-  /** Time since the agent has the view, by the agent's clock. */
+  /** Time since the agent received the report, by the agent's clock. */
   viewAgeMs: units.Count,
 });
 
@@ -50,26 +50,26 @@
 export const StartCommand = Schema.Struct({
   task: Schema.String,
   run: units.Count,
-  /** Names the payload among those of the message. */
+  /** Selects the payload in the request's `payloads`. */
   jobId: Schema.String,
   /** On the worker's clock; the start is refused once it has passed. */
   leaseUntilMs: units.Count,
-  /** Checkpoint to go on from; empty where there is none. */
+  /** Checkpoint to resume from; empty if there is none. */
   saved: Schema.String,
-  /** Consent of the policy service, where the queue needs one. */
+  /** Approval by the policy service, if the queue needs one. */
   ticket: Schema.optionalKey(Schema.String),
 });
 
 /** See {@link StartCommand}. */
 export type StartCommand = typeof StartCommand.Type;
 
-/** One run to stop; once stopped the run is refused for good. */
+/** One run to stop; after that, any start of the run is refused. */
 export const StopCommand = Schema.Struct({ task: Schema.String, run: units.Count });
 
 /** See {@link StopCommand}. */
 export type StopCommand = typeof StopCommand.Type;
 
-/** Sets the share at which a task works. */
+/** Sets the share of full speed at which a task runs. */
 export const PaceCommand = Schema.Struct({
   task: Schema.String,
   run: units.Count,
@@ -79,12 +79,12 @@
 /** See {@link PaceCommand}. */
 export type PaceCommand = typeof PaceCommand.Type;
 
-/** Orders for one life of one worker. */
+/** Orders for one incarnation of one worker. */
 export const OrderRequest = Schema.Struct({
   fence: units.Count,
   workerId: Schema.String,
   incarnationMs: units.Count,
-  /** Payloads by job. */
+  /** Payloads by job id. */
   payloads: Schema.Record(Schema.String, Schema.String),
   starts: Schema.Array(StartCommand),
   stops: Schema.Array(StopCommand),
@@ -94,52 +94,52 @@
 /** See {@link OrderRequest}. */
 export type OrderRequest = typeof OrderRequest.Type;
 
-/** What became of an order. */
+/** Outcome of an order. */
 export const OrderOutcome = {
   accepted: 'accepted',
-  /** Refused, and no copy of it can take effect any more. */
+  /** Refused, and no copy of it can take effect later. */
   refused: 'refused',
-  /** It may have taken effect, or still may. */
+  /** It may have taken effect, or may still do so. */
   unknown: 'unknown',
 } as const;
 
 /** One of the values of {@link OrderOutcome}. */
 export type OrderOutcome = (typeof OrderOutcome)[keyof typeof OrderOutcome];
 
-/** What became of one start, stop or pace. */
+/** Result of one start, stop or pace order. */
 export const OrderResult = Schema.Struct({
   task: Schema.String,
   run: units.Count,
   outcome: Schema.Literals(['accepted', 'refused', 'unknown']),
   /** Why it was refused, for the log. */
   reason: Schema.String,
-  /** An attempt to give it got no answer: that copy may still be carried out, whatever became of the others. */
+  /** An attempt to deliver it was not acknowledged: that copy may still be executed, whatever `outcome` says. */
   hasOpenCopy: Schema.Boolean,
 });
 
 /** See {@link OrderResult}. */
 export type OrderResult = typeof OrderResult.Type;
 
-/** Results in the order of the request's starts, stops and paces, and the worker as it is after them. */
+/** Results in the order of the request's starts, stops and paces, and the worker's state. */
 export const OrderReply = Schema.Struct({
   starts: Schema.Array(OrderResult),
   stops: Schema.Array(OrderResult),
   paces: Schema.Array(OrderResult),
   news: WorkerNews,
-  /** Whether the news is of after the orders. */
+  /** Whether the worker reported its state after the orders were sent. */
   isNewsLater: Schema.Boolean,
 });
 
 /** See {@link OrderReply}. */
 export type OrderReply = typeof OrderReply.Type;
 
-/** An agent as the leader calls it. Throws where the answer is missing. */
+/** Calls of the leader to an agent. They throw if no answer arrives. */
 export interface AgentLink {
   readonly sync: (url: string, request: SyncRequest) => Promise<WorkerNews>;
   readonly order: (url: string, request: OrderRequest) => Promise<OrderReply>;
 }
 
-/** A start as the worker gets it. */
+/** A start order as sent to the worker. */
 export interface WorkerStart {
   readonly task: string;
   readonly run: number;
@@ -150,35 +150,35 @@
   readonly ticket: string | undefined;
 }
 
-/** What the worker made of one attempt to give it an order. */
+/** Result of one attempt to deliver an order to the worker. */
 export interface WorkerAnswer {
   readonly outcome: OrderOutcome;
   readonly reason: string;
 }
 
-/** What became of an order over all attempts to give it. */
+/** Result of an order over all delivery attempts. */
 export interface AttemptedOrder extends WorkerAnswer {
   readonly hasOpenCopy: boolean;
 }
 
-/** What the agent asks a worker for its list by. */
+/** An agent's request for a worker's report. */
 export interface ViewRequest {
   readonly fence: number;
-  /** 0 renews nothing. */
+  /** 0 renews no lease. */
   readonly leaseUntilMs: number;
   readonly seenUpTo: number;
-  /** How long the worker may wait for an end. */
+  /** How long the worker may wait for a run to end before it answers. */
   readonly waitMs: number;
 }
 
-/** A worker's list, or why there is none. */
+/** A worker's report, or why there is none. */
 export type ViewAnswer =
   | { readonly outcome: 'view'; readonly view: poolWorker.WorkerView }
   | { readonly outcome: 'refused' | 'unknown'; readonly reason: string };
 
-/** The worker beside an agent. None of the calls throws. */
+/** Calls of an agent to the worker on its machine. None of them throws. */
 export interface WorkerLink {
-  /** @param workerId - the life that is meant; any other refuses */
+  /** @param workerId - the intended incarnation; any other refuses the order */
   readonly start: (workerId: string, order: WorkerStart) => Promise<WorkerAnswer>;
   readonly stop: (
     workerId: string,
@@ -188,6 +188,6 @@
     workerId: string,
     order: PaceCommand & { readonly fence: number },
   ) => Promise<WorkerAnswer>;
-  /** @param workerId - undefined where the worker is not known yet */
+  /** @param workerId - undefined if the worker is not known yet */
   readonly view: (workerId: string | undefined, request: ViewRequest) => Promise<ViewAnswer>;
 }
--- a/src/state/common/pool/poolConfiguration.ts
+++ b/src/state/common/pool/poolConfiguration.ts
@@ -1,16 +1,16 @@
 /**
- * The part of the operators' configuration that a pool works by.
+ * The part of the operators' configuration that pools use.
  */
 import type * as poolJob from './poolJob.js';
 
-/** A queue of jobs and how it is reached. */
+/** A queue of jobs and the route to it. */
 export interface Queue {
   readonly policy: poolJob.QueuePolicy;
-  /** Host name that calls of the queue carry. */
+  /** Host name of calls to the queue. */
   readonly host: string;
-  /** What the path of its calls begins with. */
+  /** Path prefix of calls to the queue. */
   readonly pathPrefix: string;
-  /** Needs no credential. */
+  /** Calls need no credential. */
   readonly isPublic: boolean;
   readonly timeoutMs: number;
 }
@@ -18,17 +18,17 @@
 /** A service whose workers run tasks. */
 export interface Service {
   readonly name: string;
-  /** Path at which a worker tells its health. */
+  /** Path of a worker's health check. */
   readonly healthPath: string;
-  /** Its machines are switched off until they are moved to another pool. */
+  /** Its machines are powered off until they are moved to another pool. */
   readonly isStandby: boolean;
 }
 
-/** A customer with its credentials and guarantee. */
+/** A customer with its credentials and its guarantee. */
 export interface PoolCustomer {
   readonly customerId: string;
   readonly apiKeys: readonly string[];
-  /** Accelerators that belong to its jobs of priority 0 at all times. */
+  /** Accelerators that are guaranteed to its jobs of priority 0 at all times. */
   readonly guaranteedAccelerators: number;
 }
 
@@ -41,14 +41,14 @@
   readonly maxBodyBytes: number;
 }
 
-/** A configuration with the revision of the store's record that holds it. */
+/** A configuration with the revision of its record in the store. */
 export interface HeldConfiguration {
   readonly configuration: PoolConfiguration;
   readonly revision: number;
 }
 
 /**
- * @param configuration - the configuration in force
+ * @param configuration - the active configuration
  * @param host - host name of a call
  * @param path - path of the call
  * @returns the queue with the longest matching prefix
@@ -58,18 +58,18 @@
   host: string,
   path: string,
 ): Queue | undefined => {
-  let best: Queue | undefined;
+  let longest: Queue | undefined;
   for (const queue of configuration.queues) {
     const isMatch = queue.host === host && path.startsWith(queue.pathPrefix);
-    if (isMatch && queue.pathPrefix.length > (best?.pathPrefix.length ?? -1)) best = queue;
+    if (isMatch && queue.pathPrefix.length > (longest?.pathPrefix.length ?? -1)) longest = queue;
   }
-  return best;
+  return longest;
 };
 
 /**
- * @param configuration - the configuration in force
+ * @param configuration - the active configuration
  * @param apiKey - credential of a call
- * @returns the customer that it belongs to
+ * @returns the customer to whom it belongs
  */
 export const findCustomer = (
   configuration: PoolConfiguration,
--- a/src/state/common/pool/poolJob.ts
+++ b/src/state/common/pool/poolJob.ts
@@ -1,12 +1,12 @@
 /**
- * Jobs of a pool: steps with dependencies, each of tasks with a vector of resources. The pool is the
- * set of workers of one service over all availability zones.
+ * Jobs of a pool: steps with dependencies, each with tasks that have a resource request. A pool is
+ * the set of workers of one service over all availability zones.
  */
 import * as Schema from 'effect/Schema';
 
 import * as units from '../units.js';
 
-/** What one task takes of a worker, or what a worker has. */
+/** Resources that a task requests, or that a worker has. */
 export const Resources = Schema.Struct({
   cpuMillicores: units.Count,
   memoryMb: units.Count,
@@ -16,49 +16,49 @@
 /** See {@link Resources}. */
 export type Resources = typeof Resources.Type;
 
-/** Most tasks of one step; beyond it a job's progress would outgrow one value of the store. */
+/** Maximum tasks per step; with more, a job's progress would exceed the size of one value of the store. */
 export const MAX_TASKS_PER_STEP = 5000;
 
-/** Most steps of one job. */
+/** Maximum steps per job. */
 export const MAX_STEPS = 100;
 
-/** Like tasks that become ready together. */
+/** Identical tasks that become ready at the same time. */
 export const Step = Schema.Struct({
   count: units.integerBetween(1, MAX_TASKS_PER_STEP),
   resources: Resources,
-  /** What the submitter believes a task takes; far from the truth as often as not. */
+  /** The submitter's estimate of a task's run time; often far off. */
   estimatedMs: units.Count,
-  /** Earlier steps whose tasks must all be done first. */
+  /** Indexes of earlier steps whose tasks must all be done first. */
   after: Schema.Array(units.Count),
   isCheckpointing: Schema.Boolean,
-  /** All tasks run together or none does. */
+  /** Either all tasks run at the same time or none does. */
   isGang: Schema.Boolean,
-  /** On more than one rack the tasks take several times as long. */
+  /** If spread over more than one rack, the tasks take several times as long. */
   isSameRack: Schema.Boolean,
-  /** Label that a worker must have. */
+  /** Label that the worker must have. */
   requiredLabel: Schema.optionalKey(Schema.String),
-  /** Rack where the data is; elsewhere the tasks take several times as long. */
+  /** Rack that holds the data; on other racks the tasks take several times as long. */
   preferredRack: Schema.optionalKey(Schema.String),
-  /** Most tasks of the step on one worker; 0 sets no limit. */
+  /** Maximum tasks of the step per worker; 0 means no limit. */
   maxPerWorker: units.Count,
-  /** Copies of a task may run in parallel. */
+  /** Duplicates of a task may run in parallel. */
   isSpeculative: Schema.Boolean,
-  /** Runs until the job is cancelled and is started again however it ends. */
+  /** Runs until the job is cancelled; restarted however a run ends. */
   isLongRunning: Schema.Boolean,
-  /** What the tasks run; tasks of one image behave alike. */
+  /** Image that the tasks run; tasks of the same image behave alike. */
   image: Schema.optionalKey(Schema.String),
-  /** Tail latency that a long-running task owes its own users; 0 sets none. */
+  /** Target tail latency of a long-running task towards its own users; 0 means none. */
   targetLatencyMs: units.Count,
-  /** Takes only processor time that other tasks leave; its processor share takes no room. */
+  /** Uses only processor time left over by other tasks; its processor request consumes no capacity. */
   isFiller: Schema.Boolean,
-  /** Tasks that the system may keep away at once; absent where nothing was asked for. */
+  /** Tasks that the system may make unavailable at the same time; absent if not specified. */
   maxUnavailable: Schema.optionalKey(units.Count),
 });
 
 /** See {@link Step}. */
 export type Step = typeof Step.Type;
 
-/** Times at which the steps run anew. */
+/** Times at which the steps are repeated. */
 export const Schedule = Schema.Struct({
   /** Unix milliseconds of the first occurrence. */
   firstAtMs: units.Count,
@@ -69,43 +69,43 @@
 /** See {@link Schedule}. */
 export type Schedule = typeof Schedule.Type;
 
-/** What the configuration says of a queue's jobs. */
+/** Policy of the configuration for a queue's jobs. */
 export const QueuePolicy = Schema.Struct({
   queue: Schema.String,
   /** Service whose workers run the tasks. */
   service: Schema.String,
-  /** 0 comes first and may preempt the others. */
+  /** 0 is the highest and may preempt the others. */
   priority: units.Count,
-  /** Failed runs after which a task is given up. */
+  /** Failed runs after which a task fails for good. */
   attempts: units.Count,
-  /** A job is in time within this multiple of its longest chain of work, plus the objective. */
+  /** A job meets its deadline within this multiple of its longest chain of work, plus `objectiveMs`. */
   stretch: Schema.Number,
   objectiveMs: units.Count,
-  /** The queue's starts need the policy service's consent. */
+  /** Starts in the queue need approval by the policy service. */
   needsAdvice: Schema.Boolean,
 });
 
 /** See {@link QueuePolicy}. */
 export type QueuePolicy = typeof QueuePolicy.Type;
 
-/** A job as it was accepted; never changed afterwards. */
+/** A job as accepted; it never changes afterwards. */
 export const PoolJob = Schema.Struct({
   jobId: units.CallerKey,
   customerId: Schema.String,
-  /** Handed to the worker with each task as it is. */
+  /** Passed unchanged to the worker with each task. */
   payload: Schema.String,
   steps: Schema.Array(Step),
   schedule: Schema.optionalKey(Schedule),
-  /** Unix milliseconds at the entry that accepted it. */
+  /** Unix milliseconds by the clock of the entry that accepted it. */
   acceptedAtMs: units.Count,
-  /** The queue's policy when the job came; holds on where the queue has gone since. */
+  /** The queue's policy when the job was accepted; it applies even if the queue has been removed since. */
   policy: QueuePolicy,
 });
 
 /** See {@link PoolJob}. */
 export type PoolJob = typeof PoolJob.Type;
 
-/** Where a job is, as callers see it. */
+/** State of a job as reported to callers. */
 export const PoolJobState = {
   queued: 'queued',
   running: 'running',
@@ -123,7 +123,7 @@
 /**
  * @param a - resources
  * @param b - resources
- * @param times - how often `b` is added; negative to take it away
+ * @param times - how often `b` is added; negative to subtract
  * @returns their sum
  */
 export const addResources = (a: Resources, b: Resources, times = 1): Resources => ({
@@ -136,9 +136,9 @@
   needed === 0 ? Number.MAX_SAFE_INTEGER : Math.max(0, Math.floor(free / needed));
 
 /**
- * @param free - room
- * @param needed - what one task takes
- * @returns how many such tasks the room holds
+ * @param free - free capacity
+ * @param needed - resource request of one task
+ * @returns how many such tasks fit into the free capacity
  */
 export const timesThatFit = (free: Resources, needed: Resources): number =>
   Math.min(
@@ -149,7 +149,7 @@
 
 /**
  * @param step - a step
- * @returns what one of its tasks takes of a worker's room
+ * @returns the capacity that one of its tasks consumes on a worker
  */
 export const roomOf = (step: Step): Resources =>
   step.isFiller ? { ...step.resources, cpuMillicores: 0 } : step.resources;
--- a/src/state/common/pool/poolKeys.ts
+++ b/src/state/common/pool/poolKeys.ts
@@ -2,31 +2,31 @@
  * Keys of the pool's records in the platform's store.
  */
 
-/** What the leader watches: jobs as they come, cancellations, agents and leadership. */
+/** Prefix that the leader watches: new jobs, cancellations, agents and leadership. */
 export const LIVE = 'auburnlift/live/';
 
-/** Jobs as they were accepted, and their cancellations. */
+/** Prefix of the accepted jobs and their cancellations. */
 export const JOBS = 'auburnlift/live/jobs/';
 
-/** Leased entries of agents. */
+/** Prefix of the agents' leased records. */
 export const AGENTS = 'auburnlift/live/agents/';
 
-/** The two records of leadership. */
+/** Prefix of the two leadership records. */
 export const LEADERSHIP = 'auburnlift/live/leadership/';
 
-/** Leased: stands while the leader is alive. */
+/** Leased key that exists while the leader is alive. */
 export const LEADER = `${LEADERSHIP}leader`;
 
-/** A number that only rises; each take-over takes the next one. */
+/** Key of the leader epoch, a number that increases with each takeover. */
 export const EPOCH = `${LEADERSHIP}epoch`;
 
-/** Jobs' progress, written by the leader alone; outside of what it watches. */
+/** Prefix of the jobs' progress, written only by the leader; outside the prefix that it watches. */
 export const PROGRESS = 'auburnlift/progress/';
 
-/** Leased entries of entries and schedulers, for each other; outside of what the leader watches. */
+/** Prefix of the leased records for discovery among entries and schedulers; the leader doesn't watch it. */
 export const PEERS = 'auburnlift/peers/';
 
-/** Programs that others find by a leased entry. */
+/** Programs that are discovered by a leased record. */
 export const PeerRole = { entry: 'entry', scheduler: 'scheduler' } as const;
 
 /** One of the values of {@link PeerRole}. */
@@ -35,11 +35,11 @@
 /**
  * @param role - which program
  * @param nodeId - its machine
- * @returns the key of its leased entry
+ * @returns the key of its leased record
  */
 export const peerKey = (role: PeerRole, nodeId: string): string => `${PEERS}${role}/${nodeId}`;
 
-/** What a record of a job holds. */
+/** Content of a job's record. */
 export const JobPart = { spec: 'spec', cancel: 'cancel' } as const;
 
 /** One of the values of {@link JobPart}. */
@@ -58,7 +58,7 @@
  */
 export const jobKey = (jobId: string, part: JobPart): string => `${jobPrefix(jobId)}${part}`;
 
-/** A job's key, taken apart. */
+/** The parts of a job's key. */
 export interface ParsedJobKey {
   readonly jobId: string;
   readonly part: string;
@@ -66,7 +66,7 @@
 
 /**
  * @param key - a key of the store
- * @returns its parts, or undefined where it is no key of a job
+ * @returns its parts, or undefined if it is not a job's key
  */
 export const parseJobKey = (key: string): ParsedJobKey | undefined => {
   if (!key.startsWith(JOBS)) return undefined;
@@ -77,7 +77,7 @@
 
 /**
  * @param agentId - an agent
- * @returns the key of its entry
+ * @returns the key of its record
  */
 export const agentKey = (agentId: string): string => `${AGENTS}${agentId}`;
 
--- a/src/state/common/pool/poolSettings.ts
+++ b/src/state/common/pool/poolSettings.ts
@@ -3,41 +3,41 @@
  */
 import type * as http from '../../../base/common/http.js';
 
-/** What a process is told when it starts, and again when its settings change. */
+/** Settings that a process reads when it starts and again when they change. */
 export interface PoolSettings {
-  /** The machine; unique at any time, and given again to nobody while it lives. */
+  /** Id of the machine; unique at any time, and not reused while the machine exists. */
   readonly nodeId: string;
   readonly zone: string;
   readonly region: string;
-  /** Where other processes of the system reach this one. */
+  /** Address for other processes of the system. */
   readonly peers: http.Address;
-  /** Where a scheduler reaches the entry on its own machine; absent for other programs. */
+  /** Address of the entry on a scheduler's own machine; absent for other programs. */
   readonly ownEntry?: http.Address;
-  /** Where clients reach an entry; absent for other programs. */
+  /** Address of an entry for clients; absent for other programs. */
   readonly front?: http.Address;
-  /** Where an entry is asked whether it wants new connections. */
+  /** Address of an entry's readiness check, which tells whether it wants new connections. */
   readonly readiness?: http.Address;
-  /** Where an agent hears its worker. */
+  /** Address at which an agent receives its worker's heartbeats. */
   readonly heartbeats?: http.Address;
-  /** Where an agent reaches its worker. */
+  /** Address of an agent's worker. */
   readonly worker?: http.Address;
-  /** Service whose worker stands beside an agent. */
+  /** Service of an agent's worker. */
   readonly service?: string;
   readonly store: http.Address;
-  /** The policy service, where queues need its consent. */
+  /** Address of the policy service, if queues need its approval. */
   readonly advice?: http.Address;
-  /** A worker says that it lives about this often. */
+  /** Approximate interval of a worker's heartbeats. */
   readonly heartbeatMs: number;
-  /** A stopped process is killed after this time. */
+  /** Time after which a process that was asked to stop is killed. */
   readonly graceMs: number;
   readonly maxLeaseMs: number;
-  /** How much longer a task takes away from its data or its rack. */
+  /** Factor by which a task takes longer on remote data or when its gang spans racks. */
   readonly farFactor: number;
-  /** A job's state is told at least this long after its end. */
+  /** A job's state must be available for at least this long after its end. */
   readonly statusMs: number;
-  /** A withdrawn credential must be refused this long after the withdrawal. */
+  /** A revoked credential must be refused within this time after its revocation. */
   readonly revokeMs: number;
-  /** A gang's members wait this long for each other. */
+  /** How long a gang's members wait for each other. */
   readonly gangMs: number;
   /** Shortest lease that the store grants. */
   readonly minStoreLeaseMs: number;
--- a/src/state/common/pool/poolWorker.ts
+++ b/src/state/common/pool/poolWorker.ts
@@ -1,21 +1,21 @@
 /**
- * Workers of a pool and what runs on them, as their agents tell.
+ * Workers of a pool and their runs, as reported by their agents.
  */
 import * as Schema from 'effect/Schema';
 
 import * as units from '../units.js';
 import * as poolJob from './poolJob.js';
 
-/** Whether a worker takes new tasks. */
+/** Whether a worker accepts new tasks. */
 export const WorkerState = { ready: 'ready', draining: 'draining', gone: 'gone' } as const;
 
 /** One of the values of {@link WorkerState}. */
 export type WorkerState = (typeof WorkerState)[keyof typeof WorkerState];
 
-/** One life of a worker. */
+/** One incarnation of a worker. */
 export const WorkerInfo = Schema.Struct({
   workerId: Schema.String,
-  /** Unix milliseconds of the worker's start: tells two lives under one id apart. */
+  /** Unix milliseconds of the worker's start: distinguishes incarnations with the same id. */
   incarnationMs: units.Count,
   service: Schema.String,
   zone: Schema.String,
@@ -23,9 +23,9 @@
   capacity: poolJob.Resources,
   labels: Schema.Array(Schema.String),
   rack: Schema.optionalKey(Schema.String),
-  /** The machine under the worker, where the platform names it. */
+  /** The machine that hosts the worker, if the platform reports it. */
   machineId: Schema.optionalKey(Schema.String),
-  /** Least time that a draining worker still has. */
+  /** Minimum time that a draining worker has left. */
   remainingMs: Schema.optionalKey(units.Count),
 });
 
@@ -35,37 +35,37 @@
 /** How a run ended. */
 export const EndKind = {
   done: 'done',
-  /** By its own fault or the worker's. */
+  /** Because of its own fault or the worker's. */
   failed: 'failed',
   stopped: 'stopped',
-  /** Its lease ran out. */
+  /** Its lease expired. */
   lapsed: 'lapsed',
   /** Another member of its gang ended. */
   broken: 'broken',
-  /** The other members of its gang did not come in time. */
+  /** The other members of its gang did not start in time. */
   alone: 'alone',
 } as const;
 
 /** One of the values of {@link EndKind}. */
 export type EndKind = (typeof EndKind)[keyof typeof EndKind];
 
-/** Something that runs on a worker. */
+/** A run in progress on a worker. */
 export const RunningTask = Schema.Struct({
   task: Schema.String,
   run: units.Count,
-  /** Checkpoint from which the task can go on; empty where there is none. */
+  /** Checkpoint from which the task can resume; empty if there is none. */
   saved: Schema.String,
   percent: Schema.Number,
-  /** Tail latency in milliseconds of a task that serves, otherwise processor use; a rough figure. */
+  /** Tail latency in milliseconds of a serving task, otherwise processor use; a rough figure. */
   loadFigure: Schema.optionalKey(Schema.Number),
 });
 
 /** See {@link RunningTask}. */
 export type RunningTask = typeof RunningTask.Type;
 
-/** Something that ran on a worker; listed until it is acknowledged. */
+/** A run that ended on a worker; reported until it is acknowledged. */
 export const EndedRun = Schema.Struct({
-  /** Rises within one life of the worker. */
+  /** Increases within one incarnation of the worker. */
   sequence: units.Count,
   task: Schema.String,
   run: units.Count,
@@ -76,10 +76,10 @@
 /** See {@link EndedRun}. */
 export type EndedRun = typeof EndedRun.Type;
 
-/** What a worker said of itself at one moment. */
+/** A worker's report of its runs at one instant. */
 export const WorkerView = Schema.Struct({
   incarnationMs: units.Count,
-  /** The worker's own steady clock. */
+  /** The worker's own monotonic clock. */
   clockMs: units.Count,
   running: Schema.Array(RunningTask),
   ended: Schema.Array(EndedRun),
@@ -88,7 +88,7 @@
 /** See {@link WorkerView}. */
 export type WorkerView = typeof WorkerView.Type;
 
-/** Names a task of a job. */
+/** Identifies a task of a job. */
 export interface TaskName {
   readonly jobId: string;
   readonly occurrence: number;
@@ -105,7 +105,7 @@
 
 /**
  * @param text - a task's name
- * @returns its parts, or undefined where it is none
+ * @returns its parts, or undefined if it is not a task's name
  */
 export const parseTaskName = (text: string): TaskName | undefined => {
   const parts = /^(.+)\.(\d+)\.(\d+)\.(\d+)$/.exec(text);
--- a/src/state/common/pool/progressRecord.ts
+++ b/src/state/common/pool/progressRecord.ts
@@ -1,16 +1,16 @@
 /**
- * A job's progress as the leader keeps it in the store: one row a task that was ever started, short
- * since it is written with every start and end.
+ * A job's progress as the leader stores it: one row per task that was ever started. The rows are
+ * compact, because the record is rewritten with every start and end.
  */
 import type * as poolJob from './poolJob.js';
 
-/** Where a task is. */
+/** State of a task. */
 export const TaskPhase = {
   waiting: 'waiting',
-  /** Given to a worker; it runs there, will run there or has run there. */
+  /** Assigned to a worker, on which it will run, is running or has run. */
   assigned: 'assigned',
   done: 'done',
-  /** Failed as often as the queue allows. */
+  /** All runs that the queue allows have failed. */
   failed: 'failed',
 } as const;
 
@@ -19,40 +19,40 @@
 
 const PHASES: readonly TaskPhase[] = ['waiting', 'assigned', 'done', 'failed'];
 
-/** What lasts of one task. */
+/** The stored state of one task. */
 export interface TaskRow {
   readonly occurrence: number;
   readonly step: number;
   readonly index: number;
-  /** Numbers the task's starts, from 1; 0 before the first. */
+  /** Number of the last start, from 1; 0 before the first. */
   readonly run: number;
   readonly phase: TaskPhase;
   readonly failures: number;
-  /** Run whose failure was counted last. */
+  /** The last run whose failure was counted. */
   readonly failedRun: number;
   /** Worker of the last run; empty before the first. */
   readonly workerId: string;
   readonly incarnationMs: number;
-  /** Agent beside that worker; a later life of its worker has none of the run. */
+  /** Agent of that worker; a later incarnation of its worker doesn't have the run. */
   readonly agentId: string;
-  /** Checkpoint from which the next run goes on; empty where there is none. */
+  /** Checkpoint from which the next run resumes; empty if there is none. */
   readonly saved: string;
-  /** Unix milliseconds at which the last run was given; 0 where that is not known. */
+  /** Unix milliseconds at which the last run was assigned; 0 if not known. */
   readonly startedAtWallMs: number;
-  /** How much longer the last run takes where it is than near its data; 0 where that is not known. */
+  /** Factor by which the last run takes longer on its worker than with local data; 0 if not known. */
   readonly distanceFactor: number;
-  /** Its work near its data, seen when it was done; 0 where that is not known. */
+  /** Its run time with local data, determined when it was done; 0 if not known. */
   readonly workMs: number;
-  /** An earlier run that was given up and done all the same; 0 where there is none. */
+  /** An earlier run that was declared lost but was done nevertheless; 0 if there is none. */
   readonly earlierDoneRun: number;
-  /** Unix milliseconds until which an unanswered copy of the last run's order may come; 0 where none may. */
+  /** Unix milliseconds until which an unacknowledged copy of the last run's start order may arrive; 0 if none can. */
   readonly lateUntilWallMs: number;
 }
 
-/** What lasts of a job besides its specification. */
+/** The stored state of a job, besides its specification. */
 export interface ProgressRecord {
   readonly state: poolJob.PoolJobState;
-  /** Unix milliseconds of its end; 0 before. */
+  /** Unix milliseconds of its end; 0 before it ends. */
   readonly endedAtMs: number;
   readonly tasks: readonly TaskRow[];
 }
@@ -122,7 +122,7 @@
 
 /**
  * @param record - a job's progress
- * @returns its text in the store
+ * @returns its serialized record
  */
 export const encodeProgress = (record: ProgressRecord): string =>
   JSON.stringify({ ...record, tasks: record.tasks.map(toWireRow) });
@@ -130,7 +130,7 @@
 /**
  * @param text - a record that the leader wrote
  * @returns the progress
- * @throws SyntaxError where it is not JSON
+ * @throws SyntaxError if it is not JSON
  */
 export const decodeProgress = (text: string): ProgressRecord => {
   const wire = JSON.parse(text) as WireRecord;
--- a/src/state/common/serviceLevel.ts
+++ b/src/state/common/serviceLevel.ts
@@ -1,17 +1,17 @@
 /**
- * Counts of good and bad events against service-level objectives, as processes keep them.
+ * Counts of good and bad events per service-level objective, as processes store them.
  */
 import * as Schema from 'effect/Schema';
 
 import * as units from './units.js';
 
-/** Length of the shortest time that is counted apart. */
+/** Length of one bucket, the finest resolution of the counts. */
 export const BUCKET_MS = 300_000;
 
 /** Buckets of an hour. */
 export const BUCKETS_PER_HOUR = 12;
 
-/** Hours for which counts are kept: three days, and the hour that is running. */
+/** Hours for which counts are retained: three days, and the current hour. */
 export const KEPT_HOURS = 73;
 
 const Buckets = Schema.Array(units.Count).check(
@@ -19,7 +19,7 @@
   Schema.isMaxLength(BUCKETS_PER_HOUR),
 );
 
-/** What one objective counted in an hour, by bucket. */
+/** Counts of one objective in an hour, by bucket. */
 export const ObjectiveHour = Schema.Struct({
   objectiveId: units.Id,
   good: Buckets,
@@ -29,7 +29,7 @@
 /** See {@link ObjectiveHour}. */
 export type ObjectiveHour = typeof ObjectiveHour.Type;
 
-/** What one run of one process counted in an hour. It is the only writer of the record. */
+/** Counts of one incarnation of one process in an hour. It is the only writer of the record. */
 export const ServiceLevelHour = Schema.Struct({
   hour: units.Count,
   objectives: Schema.Array(ObjectiveHour),
--- a/src/state/common/settings.ts
+++ b/src/state/common/settings.ts
@@ -1,11 +1,11 @@
 /**
- * Settings of the programs. A process learns its addresses, region and availability zone from them.
+ * Settings of the programs, including a process's addresses, region and availability zone.
  */
 import * as Schema from 'effect/Schema';
 
 import * as units from './units.js';
 
-/** Where a server listens; port 0 takes any free port. */
+/** Address on which a server listens; port 0 selects any free port. */
 export const Listen = Schema.Struct({
   host: Schema.String.check(Schema.isMinLength(1), Schema.isMaxLength(253)),
   port: units.integerBetween(0, 65_535),
@@ -24,25 +24,25 @@
   processId: units.Id,
   region: units.Id,
   zone: units.Id,
-  /** Where other processes of the system reach this one. */
+  /** Address for other processes of the system. */
   peers: Listen,
   /** Shared by the system's processes. */
   peerSecret: Secret,
   logLevel: Schema.Literals(['debug', 'info', 'warn', 'error']),
-  /** Longest time that a graceful shutdown waits for what is in flight. */
+  /** Longest time that a graceful shutdown waits for requests in flight. */
   drainMs: units.DurationMs,
 };
 
 const storeAccess = {
   storeUrl: units.Url,
   storeTimeoutMs: units.integerBetween(10, 60_000),
-  /** Term of the leases by which the process is found and leads. */
+  /** Term of the process's leases, for discovery and leadership. */
   leaseMs: units.integerBetween(500, 600_000),
-  /** Other entries or schedulers that are asked for the configuration while the store is down. */
+  /** Other entries or schedulers to ask for the configuration while the store is unavailable. */
   peerUrls: Schema.optionalKey(Schema.Array(units.Url)),
 };
 
-/** An operator's token, kept hashed. */
+/** An operator's token, stored as a hash. */
 export const OperatorToken = Schema.Struct({
   operatorId: units.Id,
   role: Schema.Literals(['read', 'write']),
@@ -58,17 +58,17 @@
 export const EntrySettings = Schema.Struct({
   ...common,
   ...storeAccess,
-  /** Where callers and customers reach it. */
+  /** Address for callers and customers. */
   callers: Listen,
-  /** Where operators reach the console and the operators' API. */
+  /** Address of the operators' console and API. */
   operators: Listen,
   operatorTokens: Schema.Array(OperatorToken),
   maxBodyBytes: units.integerBetween(1, 1_073_741_824),
-  /** Requests that the entry holds at once. */
+  /** Maximum number of requests in flight. */
   maxOpenRequests: units.integerBetween(1, 1_000_000),
-  /** Bytes of callers' bodies that the entry holds at once; 64 MB where absent. */
+  /** Maximum bytes of request bodies held in memory; 64 MB if absent. */
   maxOpenBytes: Schema.optionalKey(units.integerBetween(1, 1_073_741_824)),
-  /** Period in which agents register with the entry; a minute where absent. */
+  /** Interval at which agents register with the entry; a minute if absent. */
   registerMs: Schema.optionalKey(units.integerBetween(2000, 600_000)),
 });
 
@@ -84,7 +84,7 @@
 /** The worker on an agent's VM. */
 export const AgentWorker = Schema.Struct({
   workerId: units.Id,
-  /** Where the platform's worker answers. */
+  /** Address of the platform's worker. */
   url: units.Url,
   rack: units.Id,
   accelerators: units.integerBetween(0, 64),
@@ -98,13 +98,13 @@
 /** Settings of `auburnlift-agent`. */
 export const AgentSettings = Schema.Struct({
   ...common,
-  /** Entries of the region to ask first, for instance the balancer in front of them. */
+  /** Entries of the region to contact first, for example the load balancer in front of them. */
   entryUrls: Schema.Array(units.Url).check(Schema.isMinLength(1)),
-  /** Absent where no worker is on the VM. */
+  /** Absent if no worker runs on the VM. */
   worker: Schema.optionalKey(AgentWorker),
-  /** Period of heartbeats to the cell's leader and the entries. */
+  /** Interval of heartbeats to the cell's leader and the entries. */
   reportMs: units.integerBetween(100, 60_000),
-  /** Requests that wait for a slot of the upstream. */
+  /** Maximum number of requests that wait for a slot of the upstream. */
   maxQueued: units.integerBetween(0, 100_000),
   maxBodyBytes: units.integerBetween(1, 1_073_741_824),
 });
--- a/src/state/common/store.ts
+++ b/src/state/common/store.ts
@@ -1,72 +1,72 @@
 /**
  * The contract with the platform's key-value service: compare-and-swap, leases and watches.
  *
- * Every call may fail in two ways that differ for the caller: `storeUnavailable` means that nothing
- * was written, {@link StoreOutcomeUnknown} that a write may have taken effect although its answer
- * was lost. Values are text of at most a megabyte. Each call counts against the service's budget,
- * a waiting watch as one.
+ * Every call may fail in two ways: `storeUnavailable` means that nothing was written,
+ * {@link StoreOutcomeUnknown} means that a write may have taken effect although its answer was
+ * lost. Values are text of at most a megabyte. Each call counts against the service's request
+ * budget; a waiting watch counts as one call.
  */
 
-/** A key with its value; the revision grows with every write to any key. */
+/** A key with its value; the revision increases with every write to any key. */
 export interface StoreEntry {
   readonly key: string;
   readonly value: string;
   readonly revision: number;
 }
 
-/** Revision to pass where the key must not exist yet. */
+/** Revision to pass if the key must not exist yet. */
 export const ABSENT_REVISION = 0;
 
-/** Largest value that the platform's service takes. */
+/** Largest value that the platform's service accepts. */
 export const MAX_VALUE_BYTES = 1_048_576;
 
-/** A write that takes effect only if nobody wrote the key since it was read. */
+/** A write that takes effect only if the key has not been written since it was read. */
 export interface CompareAndSwap {
   readonly key: string;
-  /** The revision that was read, {@link ABSENT_REVISION} for a key that must not exist. */
+  /** The revision that was read, or {@link ABSENT_REVISION} for a key that must not exist. */
   readonly expectedRevision: number;
   /** `null` deletes the key. */
   readonly value: string | null;
-  /** The key goes away with this lease. */
+  /** The key is deleted when this lease ends. */
   readonly leaseId?: string;
 }
 
-/** What became of a compare-and-swap. */
+/** Result of a compare-and-swap. */
 export type SwapResult =
   | { readonly isSwapped: true; readonly revision: number }
-  /** Somebody else wrote first; `current` is what stands there now. */
+  /** Another writer was first; `current` is the present entry. */
   | { readonly isSwapped: false; readonly current: StoreEntry | undefined };
 
-/** What a watch saw. */
+/** Result of a watch. */
 export interface WatchResult {
-  /** Keys of the prefix that changed after the given revision, as they are now. */
+  /** Entries with the prefix that changed after the given revision, in their present state. */
   readonly entries: readonly StoreEntry[];
-  /** Keys of the prefix that were deleted or whose lease lapsed. */
+  /** Keys with the prefix that were deleted or whose lease expired. */
   readonly deletedKeys: readonly string[];
-  /** To be given to the next watch. */
+  /** Revision to pass to the next watch. */
   readonly revision: number;
-  /** The service no longer remembers everything since the given revision: list again. */
+  /** The service no longer has all changes since the given revision: list again. */
   readonly isGap: boolean;
 }
 
-/** The service as the system uses it. Every method may throw `storeUnavailable`. */
+/** The key-value service. Every method may throw `storeUnavailable`. */
 export interface Store {
   readonly get: (key: string) => Promise<StoreEntry | undefined>;
-  /** Entries of a prefix in the order of their keys, with the revision they were read at. */
+  /** Entries with a prefix, ordered by key, with the revision at which they were read. */
   readonly list: (
     prefix: string,
   ) => Promise<{ readonly entries: readonly StoreEntry[]; readonly revision: number }>;
-  /** @throws StoreOutcomeUnknown where the answer was lost */
+  /** @throws StoreOutcomeUnknown if the answer was lost */
   readonly compareAndSwap: (swap: CompareAndSwap) => Promise<SwapResult>;
-  /** @returns an id that lapses unless it is renewed within the time */
+  /** @returns the id of a lease, which expires unless it is renewed within the time */
   readonly grantLease: (ttlMs: number) => Promise<string>;
   /**
-   * @param timeoutMs - after it the renewal counts as failed; of no use to its holder later
-   * @returns whether the lease still stood
+   * @param timeoutMs - timeout of the call; a later answer no longer helps the lease holder
+   * @returns whether the lease was still valid
    */
   readonly renewLease: (leaseId: string, timeoutMs?: number) => Promise<boolean>;
   readonly revokeLease: (leaseId: string) => Promise<void>;
-  /** Waits for a change after the revision; gives an empty result when the wait is over. */
+  /** Waits for a change after the revision; returns an empty result if there is none within `waitMs`. */
   readonly watch: (
     prefix: string,
     afterRevision: number,
@@ -75,10 +75,10 @@
   ) => Promise<WatchResult>;
 }
 
-/** Thrown where a write may have taken effect: read back and look for the write id. */
+/** Thrown if a write may have taken effect: read the key back and compare the write id. */
 export class StoreOutcomeUnknown extends Error {
   /**
-   * @param message - what the line said
+   * @param message - the underlying failure
    */
   constructor(message: string) {
     super(message);
--- a/src/state/common/task.ts
+++ b/src/state/common/task.ts
@@ -1,11 +1,11 @@
 /**
- * Tasks: the members of a job as agents and workers see them.
+ * Tasks: the members of a job as agents and workers run them.
  */
 import * as Schema from 'effect/Schema';
 
 import * as units from './units.js';
 
-/** Names one start of one member. The same token twice is the same start. */
+/** Identifies one start of one member. Repeating a token repeats the same start. */
 export const TaskToken = Schema.Struct({
   jobId: units.CallerKey,
   attempt: units.Count,
@@ -16,18 +16,18 @@
 export type TaskToken = typeof TaskToken.Type;
 
 /**
- * @param token - names one start of one member
- * @returns the token as a key
+ * @param token - identifies one start of one member
+ * @returns the token as a string key
  */
 export const tokenKey = (token: TaskToken): string =>
   `${token.jobId}/${token.attempt}/${token.member}`;
 
-/** Where a task is, as its agent reports it. */
+/** State of a task, as reported by its agent. */
 export const TaskPhase = {
-  /** Accelerators are held for it under a reservation lease. */
+  /** Accelerators are reserved for it under a lease. */
   reserved: 'reserved',
   running: 'running',
-  /** Asked to checkpoint and stop, within its grace. */
+  /** Asked to checkpoint and stop within its grace period. */
   stopping: 'stopping',
   done: 'done',
   failed: 'failed',
@@ -37,14 +37,14 @@
 /** One of the values of {@link TaskPhase}. */
 export type TaskPhase = (typeof TaskPhase)[keyof typeof TaskPhase];
 
-/** What an agent says about one task. */
+/** An agent's report of one task. */
 export const TaskReport = Schema.Struct({
   token: TaskToken,
   phase: Schema.Literals(['reserved', 'running', 'stopping', 'done', 'failed', 'stopped']),
   accelerators: Schema.Array(units.integerBetween(0, 63)),
-  /** Work done since the job's very first start, as far as the worker's lagged report says. */
+  /** Work done since the job's first start, according to the worker's delayed report. */
   progressMs: units.Count,
-  /** Work that a restart would keep. */
+  /** Work that a restart would preserve. */
   checkpointMs: units.Count,
   reason: Schema.optionalKey(units.ShortText),
 });
@@ -52,7 +52,7 @@
 /** See {@link TaskReport}. */
 export type TaskReport = typeof TaskReport.Type;
 
-/** Holds accelerators for a member until it is started, released or the reservation lapses. */
+/** Reserves accelerators for a member until it is started or released, or the reservation expires. */
 export const ReserveCommand = Schema.Struct({
   type: Schema.Literal('reserve'),
   token: TaskToken,
@@ -60,14 +60,14 @@
   leaseMs: units.DurationMs,
 });
 
-/** Gives up a reservation. */
+/** Releases a reservation. */
 export const ReleaseCommand = Schema.Struct({ type: Schema.Literal('release'), token: TaskToken });
 
 /** Starts a reserved member. */
 export const StartCommand = Schema.Struct({
   type: Schema.Literal('start'),
   token: TaskToken,
-  /** Work that the last checkpoint kept. */
+  /** Work saved by the last checkpoint. */
   resumeFromMs: units.Count,
   payload: Schema.String,
 });
@@ -76,7 +76,7 @@
 export const StopCommand = Schema.Struct({
   type: Schema.Literal('stop'),
   token: TaskToken,
-  /** Time for a checkpoint; 0 stops at once. */
+  /** Time for a checkpoint; 0 stops the member immediately. */
   graceMs: units.DurationMs,
 });
 
@@ -87,13 +87,13 @@
   share: units.Share,
 });
 
-/** Asks for a checkpoint while the member goes on. */
+/** Requests a checkpoint while the member continues to run. */
 export const CheckpointCommand = Schema.Struct({
   type: Schema.Literal('checkpoint'),
   token: TaskToken,
 });
 
-/** What a cell's leader may ask of an agent. */
+/** A command of a cell's leader to an agent. */
 export const TaskCommand = Schema.Union([
   ReserveCommand,
   ReleaseCommand,
--- a/src/state/common/test/configurationChecks.test.ts
+++ b/src/state/common/test/configurationChecks.test.ts
@@ -1,5 +1,5 @@
 /**
- * Each rule of the document has a case that it refuses, with path, value and what is expected.
+ * Each consistency check has a document that it refuses, with path, value and what is expected.
  */
 import * as assert from 'node:assert/strict';
 import * as test from 'node:test';
@@ -25,7 +25,7 @@
   readonly message: RegExp;
 }
 
-const REFUSED: readonly RefusedCase[] = [
+const REFUSED_CASES: readonly RefusedCase[] = [
   {
     name: 'a customer twice',
     part: { customers: [red, blue, red] },
@@ -57,25 +57,25 @@
     message: /"red-start".*unique/,
   },
   {
-    name: 'a shape of nobody',
+    name: 'a shape of an unknown customer',
     part: { shapes: [{ ...shape, customerId: 'green' }], objectives: [] },
     field: 'shapes[0].customerId',
     message: /"green" is not a customer; expected one of: red, blue/,
   },
   {
-    name: 'a shape nowhere',
+    name: 'a shape in an unknown cell',
     part: { shapes: [{ ...shape, cell: 'west' }] },
     field: 'shapes[0].cell',
     message: /"west" is not a cell; expected one of: north, south/,
   },
   {
-    name: 'a rule for nobody',
+    name: 'a rule for an unknown customer',
     part: { rules: [{ ...rule, customerIds: ['red', 'green'] }] },
     field: 'rules[0].customerIds[1]',
     message: /"green"/,
   },
   {
-    name: 'a rule nowhere',
+    name: 'a rule for an unknown cell',
     part: { rules: [{ ...rule, cells: ['west'] }] },
     field: 'rules[0].cells[0]',
     message: /"west"/,
@@ -87,7 +87,7 @@
     message: /"red" stands twice/,
   },
   {
-    name: 'an objective for nobody',
+    name: 'an objective for an unknown customer',
     part: { objectives: [{ ...objective, customerId: 'green' }] },
     field: 'objectives[0].customerId',
     message: /"green"/,
@@ -123,7 +123,7 @@
     message: /25 given, at most 24 expected/,
   },
   {
-    name: 'shapes larger than their cell together',
+    name: 'shapes that exceed their cell in total',
     part: {
       shapes: [
         { ...shape, count: 4 },
@@ -134,7 +134,7 @@
     message: /"north" has 32 accelerators, and shapes of 33 \(red-plan, more\)/,
   },
   {
-    name: 'a rack shape beside worker shapes that leave no rack',
+    name: 'a rack shape together with worker shapes that leave no rack free',
     part: {
       shapes: [
         { ...shape, accelerators: 24, adjacency: 'rack' },
@@ -158,13 +158,13 @@
     message: /2 given, at least 3 expected/,
   },
   {
-    name: 'a number out of its limits',
+    name: 'a number out of range',
     part: { customers: [{ ...red, guaranteedSlots: -1 }, blue] },
     field: 'customers[0].guaranteedSlots',
     message: /integer from 0 to 1024, got -1/,
   },
   {
-    name: 'a field that nobody knows',
+    name: 'an unknown field',
     part: { placement: { ...SAMPLE.placement, colour: 'red' } },
     field: 'placement.colour',
     message: /./,
@@ -175,7 +175,7 @@
   assert.deepEqual(configurationChecks.decodeDocument(SAMPLE), { isValid: true, value: SAMPLE });
 });
 
-for (const it of REFUSED) {
+for (const it of REFUSED_CASES) {
   test.test(`refused: ${it.name}`, () => {
     const decoded = configurationChecks.decodeDocument({ ...SAMPLE, ...it.part });
     assert.ok(!decoded.isValid);
@@ -190,28 +190,28 @@
   readonly (readonly [string, number, number])[],
   boolean,
 ])[] = [
-  ['four whole workers', [['worker', 8, 4]], true],
+  ['four full workers', [['worker', 8, 4]], true],
   [
-    'a whole rack and a whole worker',
+    'a full rack and a full worker',
     [
       ['rack', 24, 1],
       ['worker', 8, 1],
     ],
     true,
   ],
-  ['halves that pair up', [['worker', 4, 8]], true],
-  ['fives waste a worker each', [['worker', 5, 5]], false],
+  ['half workers in pairs', [['worker', 4, 8]], true],
+  ['shapes of five, one per worker', [['worker', 5, 5]], false],
   [
-    'rack of 16 beside two workers',
+    'a rack shape of 16 and two full workers',
     [
       ['rack', 16, 1],
       ['worker', 8, 2],
     ],
     true,
   ],
-  ['two racks of 16', [['rack', 16, 2]], false],
+  ['two rack shapes of 16', [['rack', 16, 2]], false],
   [
-    'zone takes the rest',
+    'a zone shape takes the remaining accelerators',
     [
       ['rack', 20, 1],
       ['zone', 12, 1],
@@ -233,7 +233,7 @@
   });
 }
 
-test.test('a difference names items by id, so that an insertion moves nothing', () => {
+test.test('a difference identifies items by id, so that an insertion shifts no paths', () => {
   const green = { ...blue, customerId: 'green', name: 'Green' };
   const after = {
     ...SAMPLE,
--- a/src/state/common/test/configurationDifference.test.ts
+++ b/src/state/common/test/configurationDifference.test.ts
@@ -1,5 +1,5 @@
 /**
- * What a change would take from guaranteed work that runs is told before it is written.
+ * Effects of a configuration change on running guaranteed jobs are reported before it is written.
  */
 import * as assert from 'node:assert/strict';
 import * as test from 'node:test';
@@ -100,7 +100,7 @@
   });
 }
 
-test.test('a cell that does not answer is told as unknown', () => {
+test.test('a cell that does not answer is reported as unknown', () => {
   const [effect] = configurationDifference.effectsOf(SAMPLE, SAMPLE, [], ['south']);
   assert.equal(effect?.level, 'unknown');
 });
--- a/src/state/common/test/configurationSample.ts
+++ b/src/state/common/test/configurationSample.ts
@@ -1,9 +1,9 @@
 /**
- * A small valid document for tests.
+ * A small valid configuration document for tests.
  */
 import type * as configuration from '../configuration.js';
 
-/** Two customers, two cells of three racks of workers with eight accelerators. */
+/** Two customers and two cells with three racks in total; each worker has eight accelerators. */
 export const SAMPLE: configuration.ConfigurationDocument = {
   customers: [
     {
--- a/src/state/common/upstreamContract.ts
+++ b/src/state/common/upstreamContract.ts
@@ -5,16 +5,16 @@
 
 import * as units from './units.js';
 
-/** What an upstream tells its agent, every few seconds and before it leaves. */
+/** An upstream's announcement to its agent, sent every few seconds and before it shuts down. */
 export const Announcement = Schema.Struct({
   upstreamId: units.Id,
-  /** Where it serves requests. */
+  /** Address at which it serves requests. */
   url: units.Url,
-  /** Requests that it works on at once. */
+  /** Requests that it processes concurrently. */
   slots: units.integerBetween(1, 4096),
-  /** Connections that it accepts. */
+  /** Maximum number of connections that it accepts. */
   connections: units.integerBetween(1, 65_536),
-  /** It finishes what it has and takes nothing new. */
+  /** It is draining: it completes its requests and accepts no new ones. */
   isLeaving: Schema.Boolean,
 });
 
--- a/src/state/common/worker.ts
+++ b/src/state/common/worker.ts
@@ -1,11 +1,11 @@
 /**
- * Workers as a cell knows them, and the accelerators they hold.
+ * Workers of a cell and their accelerators.
  */
 import * as Schema from 'effect/Schema';
 
 import * as units from './units.js';
 
-/** A worker's place and capacity, as its agent registers it. */
+/** A worker's location and capacity, as registered by its agent. */
 export const WorkerInfo = Schema.Struct({
   workerId: units.Id,
   /** Availability zone; the cell of the same name schedules the worker. */
@@ -15,21 +15,21 @@
   accelerators: units.integerBetween(0, 64),
   cores: units.integerBetween(1, 4096),
   memoryBytes: units.Count,
-  /** Where the worker's agent listens. */
+  /** Address of the worker's agent. */
   agentUrl: units.Url,
 });
 
 /** See {@link WorkerInfo}. */
 export type WorkerInfo = typeof WorkerInfo.Type;
 
-/** Whether a worker may be given work. */
+/** Whether a worker may receive tasks. */
 export const WorkerHealth = {
   ready: 'ready',
-  /** Its agent does not answer; its tasks count as running until their leases have lapsed. */
+  /** Its agent does not answer; its tasks count as running until their leases have expired. */
   unreachable: 'unreachable',
-  /** Tasks failed on it again and again; only probes are placed there. */
+  /** Tasks failed on it repeatedly; only probes are placed there. */
   quarantined: 'quarantined',
-  /** It announced that it leaves. */
+  /** It announced that it is leaving the pool. */
   leaving: 'leaving',
 } as const;
 
--- a/src/state/common/workerContract.ts
+++ b/src/state/common/workerContract.ts
@@ -1,19 +1,19 @@
 /**
- * The contract with the platform's worker: it runs tasks under leases and reports with a lag.
+ * The contract with the platform's worker: it runs tasks under leases and reports with a delay.
  *
  * Every call may be lost before or after it took effect, and may be repeated; each is idempotent by
- * its key. A task whose lease lapses is stopped by the worker itself.
+ * its key. The worker itself stops a task whose lease expires.
  */
 
-/** A task to be started. */
+/** A task to start. */
 export interface WorkerStart {
-  /** Names one start; the same key again is the same start. */
+  /** Identifies one start; repeating the key repeats the same start. */
   readonly key: string;
   readonly accelerators: readonly number[];
   readonly payload: string;
-  /** Work that the last checkpoint kept. */
+  /** Work saved by the last checkpoint. */
   readonly resumeFromMs: number;
-  /** The task stops when its lease is not renewed within this time. */
+  /** The task stops unless its lease is renewed within this time. */
   readonly leaseMs: number;
 }
 
@@ -27,22 +27,22 @@
   readonly reason: string;
 }
 
-/** The worker's lagged report. */
+/** The worker's delayed report. */
 export interface WorkerUsage {
-  /** How old the figures are. */
+  /** Age of the figures. */
   readonly lagMs: number;
   readonly tasks: readonly WorkerTask[];
 }
 
-/** The worker as the agent on its VM uses it. Methods throw where no answer came. */
+/** Calls of an agent to the worker on its VM. Methods throw if no answer arrives. */
 export interface Worker {
   readonly start: (start: WorkerStart) => Promise<void>;
   readonly renew: (keys: readonly string[], leaseMs: number) => Promise<void>;
   readonly checkpoint: (key: string) => Promise<void>;
   readonly throttle: (key: string, share: number) => Promise<void>;
-  /** Checkpoints within the grace where the task can, then stops. */
+  /** Checkpoints within the grace period if the task supports it, then stops. */
   readonly stop: (key: string, graceMs: number) => Promise<void>;
-  /** Drops what the worker remembers of ended tasks. */
+  /** Removes ended tasks from the worker's report. */
   readonly forget: (keys: readonly string[]) => Promise<void>;
   readonly report: () => Promise<WorkerUsage>;
 }
--- a/src/state/node/httpStore.ts
+++ b/src/state/node/httpStore.ts
@@ -1,8 +1,8 @@
 /**
  * The platform's key-value service over HTTP with JSON bodies.
  *
- * Guards against answers that are lost: a write whose exchange broke after it was sent may have
- * taken effect, so it ends as `StoreOutcomeUnknown` and never as a plain failure.
+ * Handles lost answers: a write whose exchange failed after it was sent may have taken effect, so
+ * it throws `StoreOutcomeUnknown` and never a plain failure.
  */
 import * as errors from '../../base/common/errors.js';
 import * as http from '../../base/common/http.js';
@@ -14,15 +14,15 @@
   readonly url: string;
   readonly timeoutMs: number;
   readonly call: http.HttpCall;
-  /** Counts each call, since the service has a budget. */
+  /** Counts every call, since the service has a request budget. */
   readonly metrics: metrics.Metrics;
 }
 
-/** Time on top of a watch's own wait before it counts as silent. */
+/** Time allowed for a watch to answer in addition to its own wait. */
 const WATCH_SLACK_MS = 2000;
 
 const unavailable = (message: string): errors.AuburnliftError =>
-  errors.fail('storeUnavailable', `the platform's store does not answer: ${message}`, {
+  errors.fail('storeUnavailable', `the platform's store is unavailable: ${message}`, {
     retryAfterMs: 2000,
   });
 
@@ -31,13 +31,13 @@
 const UNAVAILABLE = 503;
 
 /**
- * The service refuses with 4xx and says with 503 that it did nothing. Any other failure may come
- * from something in between, after the write took effect.
+ * With a 4xx status or 503 the service has not carried out the request. Any other failure may come
+ * from an intermediary, after the write took effect.
  */
-const failureOf = (status: number): Error => {
-  if (status === TOO_LARGE) return errors.fail('tooLarge', 'the value is above a megabyte');
-  const isUnseen = status < SERVER_ERROR || status === UNAVAILABLE;
-  const failure = isUnseen ? http.HttpFailure.notSent : http.HttpFailure.lost;
+const errorForStatus = (status: number): Error => {
+  if (status === TOO_LARGE) return errors.fail('tooLarge', 'the value exceeds one megabyte');
+  const hadNoEffect = status < SERVER_ERROR || status === UNAVAILABLE;
+  const failure = hadNoEffect ? http.HttpFailure.notSent : http.HttpFailure.lost;
   return new http.HttpCallError(failure, `status ${status}`);
 };
 
@@ -63,7 +63,7 @@
       timeoutMs,
       ...(signal === undefined ? {} : { signal }),
     });
-    if (reply.status !== 200) throw failureOf(reply.status);
+    if (reply.status !== 200) throw errorForStatus(reply.status);
     return JSON.parse(Buffer.from(reply.body).toString('utf8')) as unknown;
   };
   const read = async <T>(
@@ -86,9 +86,9 @@
       options.metrics.count('auburnlift_store_failures_total', { operation });
       const { kind, message } = errors.normalize(thrown);
       if (kind === 'tooLarge') throw thrown;
-      const isUnseen =
+      const isNotSent =
         thrown instanceof http.HttpCallError && thrown.failure === http.HttpFailure.notSent;
-      if (isUnseen) throw unavailable(message);
+      if (isNotSent) throw unavailable(message);
       throw new store.StoreOutcomeUnknown(message);
     }
   };
--- a/src/state/node/httpWorker.ts
+++ b/src/state/node/httpWorker.ts
@@ -13,7 +13,7 @@
 
 /**
  * @param options - how the worker is reached
- * @returns the worker; its methods throw where no answer came
+ * @returns the worker; its methods throw if no answer arrives
  */
 export const createHttpWorker = (options: HttpWorkerOptions): workerContract.Worker => {
   const address = http.parseAddress(options.url);
@@ -26,7 +26,7 @@
       body: Buffer.from(JSON.stringify(body)),
       timeoutMs: options.timeoutMs,
     });
-    if (reply.status !== 200) throw new Error(`the worker answered ${reply.status}`);
+    if (reply.status !== 200) throw new Error(`the worker answered with status ${reply.status}`);
     return JSON.parse(Buffer.from(reply.body).toString('utf8')) as unknown;
   };
   return {
