--- a/src/platform/adviceClient.ts
+++ b/src/platform/adviceClient.ts
@@ -1,5 +1,5 @@
 /**
- * The policy service over its one call.
+ * Client of the policy service, which has a single call.
  */
 import * as Schema from 'effect/Schema';
 
@@ -8,34 +8,34 @@
 import * as schemaIssues from '../base/common/schemaIssues.js';
 import type * as adviceDesk from '../coordination/node/pool/adviceDesk.js';
 
-/** How the service is reached. */
+/** Options of the client. */
 export interface AdviceClientOptions {
-  /** Undefined where the deployment has none. */
+  /** Address of the policy service; undefined if none is configured. */
   readonly address: () => http.Address | undefined;
   readonly call: http.HttpCall;
 }
 
 const Reply = Schema.Struct({
-  /** Rows of a worker's id and the ticket for it. */
+  /** Pairs of a worker's id and the ticket for it. */
   allowed: Schema.optionalKey(Schema.Array(Schema.Tuple([Schema.String, Schema.String]))),
   valid_ms: Schema.optionalKey(Schema.Number),
 });
 
-/** Validity of a ticket whose answer names none. */
+/** Validity of tickets if the reply does not specify it. */
 const DEFAULT_VALID_MS = 1000;
 
 const OK = 200;
 
 /**
- * @param options - how the service is reached
- * @returns asks the service about workers for a step
+ * @param options - options of the client
+ * @returns a function that asks the service which workers may run a step
  */
 export const createAdviceClient =
   (options: AdviceClientOptions): adviceDesk.AdviceDeskOptions['ask'] =>
   async (stepKey, workerIds, timeoutMs) => {
     const address = options.address();
     if (address === undefined) {
-      throw errors.fail('notFound', 'the deployment names no policy service', { field: 'hint' });
+      throw errors.fail('notFound', 'no policy service is configured', { field: 'hint' });
     }
     const reply = await options.call({
       address,
@@ -46,13 +46,13 @@
       timeoutMs,
     });
     if (reply.status !== OK) {
-      throw errors.fail('overloaded', `the policy service answered ${reply.status}`);
+      throw errors.fail('overloaded', `the policy service answered with status ${reply.status}`);
     }
     const parsed = JSON.parse(Buffer.from(reply.body).toString('utf8')) as unknown;
     const { allowed = [], valid_ms: validMs = DEFAULT_VALID_MS } = schemaIssues.decodeOrFail(
       Reply,
       parsed,
-      'the advice',
+      'the policy service reply',
       schemaIssues.Excess.ignore,
     );
     return { ticketsByWorker: new Map(allowed), validMs };
--- a/src/platform/bootSettings.ts
+++ b/src/platform/bootSettings.ts
@@ -1,6 +1,6 @@
 /**
- * The platform's settings file (TOML), decoded into the product's settings. Fields that are not known
- * here are ignored: new ones may come.
+ * The platform's settings file (TOML), decoded into the product's settings. Unknown fields are ignored,
+ * because the platform may add new ones.
  */
 import * as fs from 'node:fs';
 
@@ -12,7 +12,7 @@
 import * as schemaIssues from '../base/common/schemaIssues.js';
 import type * as poolSettings from '../state/common/pool/poolSettings.js';
 
-/** Variable that holds the path of the settings file. */
+/** Environment variable with the path of the settings file. */
 const PATH_VARIABLE = 'AUBURNLIFT_BOOT';
 
 const AddressText = Schema.String.check(
@@ -28,27 +28,27 @@
   ip: Schema.String,
   zone: Schema.String,
   region: Schema.String,
-  /** First and last port that the processes may use among themselves. */
+  /** First and last port for connections between the system's processes. */
   port_range: Schema.Tuple([Positive, Positive]),
   heartbeat_ms: Positive,
-  /** Where the worker of a `side` machine answers. */
+  /** Address of the worker of a `side` machine. */
   app: Schema.optionalKey(AddressText),
-  /** Service of the worker beside the agent. */
+  /** Service of the agent's worker. */
   backend: Schema.optionalKey(Schema.String),
-  /** The policy service. */
+  /** Address of the policy service. */
   hint: Schema.optionalKey(Schema.String),
   listen: Schema.Struct({
     front: Schema.optionalKey(AddressText),
     ready: Schema.optionalKey(AddressText),
-    /** Where the worker beside an agent sends its heartbeats. */
+    /** Address to which the agent's worker sends heartbeats. */
     control: Schema.optionalKey(AddressText),
   }),
   platform: Schema.Struct({ addr: AddressText, ttl_min_ms: Positive }),
   bounds: Schema.Struct({
     grace_s: Positive,
-    /** The longest lease of a task. */
+    /** Longest task lease. */
     hold_max_ms: Positive,
-    /** A task away from its data, or a gang on several racks, takes this many times as long. */
+    /** Factor by which a task with remote data, or a gang on several racks, takes longer. */
     far_x: Schema.optionalKey(Positive),
     status_s: Positive,
     revoke_ms: Positive,
@@ -58,7 +58,7 @@
 
 type BootFile = typeof BootFile.Type;
 
-/** Programs of one machine share its ports: each has its own among those between processes. */
+/** Programs on one machine share its port range: each has its own offset into it. */
 const PORT_OFFSETS = { entry: 0, scheduler: 1, agent: 0 } as const;
 
 /** A program that serves pools. */
@@ -113,7 +113,7 @@
 
 /**
  * @param text - content of the settings file
- * @param path - its path, for messages
+ * @param path - its path, for error messages
  * @param program - which program reads it
  * @returns the program's settings
  * @throws AuburnliftError `invalidRequest` that names the file and the field
@@ -135,7 +135,7 @@
 
 /**
  * @returns path of the settings file
- * @throws AuburnliftError `invalidRequest` where the variable is not set
+ * @throws AuburnliftError `invalidRequest` if the variable is not set
  */
 export const bootPath = (): string => {
   const path = process.env[PATH_VARIABLE];
@@ -151,7 +151,7 @@
  * @param path - path of the settings file
  * @param program - which program reads it
  * @returns the program's settings
- * @throws AuburnliftError `invalidRequest` where the file can't be read or does not fit
+ * @throws AuburnliftError `invalidRequest` if the file can't be read or is invalid
  */
 export const readBootSettings = (path: string, program: PoolProgram): poolSettings.PoolSettings => {
   let text: string;
--- a/src/platform/heartbeatApi.ts
+++ b/src/platform/heartbeatApi.ts
@@ -1,5 +1,5 @@
 /**
- * Where a worker says that it lives, drains or ends.
+ * HTTP API for a worker's heartbeats and deregistration.
  */
 import type * as logging from '../base/common/logging.js';
 import type * as metrics from '../base/common/metrics.js';
@@ -7,8 +7,8 @@
 import * as httpServer from '../transport/node/httpServer.js';
 import * as workerWire from './workerWire.js';
 
-const HEARTBEAT = '/-/Instances.Heartbeat/';
-const DEPARTURE = '/-/Instances.Deregister/';
+const HEARTBEAT_PREFIX = '/-/Instances.Heartbeat/';
+const DEREGISTER_PREFIX = '/-/Instances.Deregister/';
 
 const BAD_REQUEST = 400;
 const NOT_FOUND = 404;
@@ -20,7 +20,7 @@
   readonly metrics: metrics.Metrics;
 }
 
-const idIn = (path: string, prefix: string): string =>
+const workerIdIn = (path: string, prefix: string): string =>
   decodeURIComponent(path.slice(prefix.length));
 
 /**
@@ -28,8 +28,8 @@
  * @returns its handler
  */
 export const createHeartbeatApi = (options: HeartbeatApiOptions): httpServer.Handler => {
-  const beat = (request: httpServer.ServerRequest): httpServer.ServerReply => {
-    const workerId = idIn(request.path, HEARTBEAT);
+  const handleHeartbeat = (request: httpServer.ServerRequest): httpServer.ServerReply => {
+    const workerId = workerIdIn(request.path, HEARTBEAT_PREFIX);
     const heartbeat = workerWire.decodeHeartbeat(workerId, request.body);
     if (heartbeat === undefined) {
       options.metrics.count('auburnlift_heartbeats_unreadable_total');
@@ -43,9 +43,9 @@
     return httpServer.jsonReply({});
   };
   return (request) => {
-    if (request.path.startsWith(HEARTBEAT)) return Promise.resolve(beat(request));
-    if (request.path.startsWith(DEPARTURE)) {
-      options.agent.noteDeparture(idIn(request.path, DEPARTURE));
+    if (request.path.startsWith(HEARTBEAT_PREFIX)) return Promise.resolve(handleHeartbeat(request));
+    if (request.path.startsWith(DEREGISTER_PREFIX)) {
+      options.agent.noteDeparture(workerIdIn(request.path, DEREGISTER_PREFIX));
       return Promise.resolve(httpServer.jsonReply({}));
     }
     return Promise.resolve(httpServer.jsonReply({}, NOT_FOUND));
--- a/src/platform/jobApi.ts
+++ b/src/platform/jobApi.ts
@@ -1,5 +1,5 @@
 /**
- * What clients speak to an entry: POST, GET and DELETE of a job, and how many jobs of a queue wait.
+ * HTTP API of an entry for clients: POST, GET and DELETE of a job, and the number of pending jobs of a queue.
  */
 import * as Schema from 'effect/Schema';
 
@@ -15,15 +15,15 @@
 /** What the API needs. */
 export interface JobApiOptions {
   readonly desk: jobDesk.JobDesk;
-  /** Accepted jobs of a queue of which no task has started. */
+  /** Number of accepted jobs of a queue of which no task has started. */
   readonly pending: (queue: string) => Promise<number>;
   readonly maxBodyBytes: () => number;
   /**
-   * Whether callers should open their next connection elsewhere: an open one stays with this entry
-   * even after the balancer has taken it out of rotation.
+   * Whether callers should open their next connection to another entry: an open connection stays with
+   * this entry even after the load balancer has taken it out of rotation.
    */
   readonly sendsAway: () => boolean;
-  /** A record of a job was stored. */
+  /** Called when a record of a job was stored. */
   readonly onDidStore: (jobId: string, part: poolKeys.JobPart) => void;
   readonly newRequestId: () => string;
   readonly nowMs: () => number;
@@ -34,12 +34,12 @@
 const KEY_HEADER = 'auburnlift-key';
 const DEADLINE_HEADER = 'auburnlift-deadline-ms';
 
-/** A caller that names no deadline waits about this long. */
+/** Approximate time that a caller without a deadline header waits. */
 const DEFAULT_DEADLINE_MS = 3000;
 
 const JOB_ID = /^[0-9a-fA-F]{16}$/;
 
-/** Longest payload of a job. */
+/** Maximum payload of a job. */
 const MAX_PAYLOAD_BYTES = 4000;
 
 const Count = Schema.Number.check(
@@ -68,7 +68,7 @@
   gang: optional(Schema.Boolean),
   same_rack: optional(Schema.Boolean),
   requires: optional(Schema.String),
-  /** Names a rack. */
+  /** Name of the preferred rack. */
   affinity: optional(Schema.String),
   max_per_server: optional(Count),
   speculative: optional(Schema.Boolean),
@@ -82,13 +82,13 @@
 const WireJob = Schema.Struct({
   spec: optional(Schema.String),
   steps: optional(Schema.Array(WireStep)),
-  /** How often the steps run; 0 or absent without a schedule. */
+  /** How often the steps run; 0 or absent if there is no schedule. */
   repeats: optional(Count),
   start_time_ms: optional(Milliseconds),
   interval_ms: optional(Milliseconds),
 });
 
-const textOrNone = <TName extends string>(
+const optionalText = <TName extends string>(
   name: TName,
   value: string | undefined,
 ): Partial<Record<TName, string>> =>
@@ -112,12 +112,12 @@
     isCheckpointing: step.checkpoint ?? false,
     isGang: step.gang ?? false,
     isSameRack: step.same_rack ?? false,
-    ...textOrNone('requiredLabel', step.requires),
-    ...textOrNone('preferredRack', step.affinity),
+    ...optionalText('requiredLabel', step.requires),
+    ...optionalText('preferredRack', step.affinity),
     maxPerWorker: step.max_per_server ?? 0,
     isSpeculative: step.speculative ?? false,
     isLongRunning: step.long_running ?? false,
-    ...textOrNone('image', step.image),
+    ...optionalText('image', step.image),
     targetLatencyMs: Math.round(step.target_ms ?? 0),
     isFiller: step.fills ?? false,
     ...(step.may_miss === undefined ? {} : { maxUnavailable: step.may_miss }),
@@ -157,7 +157,7 @@
   return Number.isFinite(given) && given > 0 ? given : DEFAULT_DEADLINE_MS;
 };
 
-/** A host name without its port. */
+/** Returns the host name without the port. */
 const hostOf = (request: httpServer.ServerRequest): string =>
   (request.headers.host ?? '').replace(/:\d+$/, '');
 
@@ -166,7 +166,7 @@
  * @returns its handler
  */
 export const createJobApi = (options: JobApiOptions): httpServer.Handler => {
-  const answer = async (
+  const handleCall = async (
     request: httpServer.ServerRequest,
     call: jobDesk.Call,
   ): Promise<httpServer.ServerReply> => {
@@ -177,7 +177,7 @@
       return httpServer.jsonReply({ pending: await options.pending(queue.policy.queue) });
     }
     if (!JOB_ID.test(jobId)) {
-      throw errors.fail('notFound', 'a job is named by 16 hexadecimal digits; nothing ran', {
+      throw errors.fail('notFound', 'a job id must have 16 hexadecimal digits; nothing ran', {
         field: 'path',
       });
     }
@@ -196,7 +196,10 @@
         options.onDidStore(jobId, poolKeys.JobPart.cancel);
         return httpServer.jsonReply({});
       default:
-        throw errors.fail('invalidRequest', `no method ${request.method} here; nothing ran`);
+        throw errors.fail(
+          'invalidRequest',
+          `method ${request.method} is not supported; nothing ran`,
+        );
     }
   };
 
@@ -212,7 +215,7 @@
     let reply: httpServer.ServerReply;
     let reason: string | undefined;
     try {
-      reply = await answer(request, call);
+      reply = await handleCall(request, call);
     } catch (thrown) {
       reply = httpServer.errorReply(thrown);
       reason = errors.normalize(thrown).message;
--- a/src/platform/operatorConfiguration.ts
+++ b/src/platform/operatorConfiguration.ts
@@ -1,5 +1,5 @@
 /**
- * The operators' configuration as the platform keeps it, decoded into what a pool works by.
+ * The operators' configuration as the platform stores it, decoded into the pool's configuration.
  */
 import * as Schema from 'effect/Schema';
 
@@ -7,7 +7,7 @@
 import * as schemaIssues from '../base/common/schemaIssues.js';
 import type * as poolConfiguration from '../state/common/pool/poolConfiguration.js';
 
-/** Key of the record that holds the newest configuration. */
+/** Key of the record with the newest configuration. */
 export const CONFIGURATION_KEY = 'op/config';
 
 const Route = Schema.Struct({
@@ -15,7 +15,7 @@
   host: Schema.optionalKey(Schema.String),
   prefix: Schema.String,
   timeout_ms: Schema.optionalKey(Schema.Number),
-  /** What a job may take beyond its work and still be in time. */
+  /** Time that a job may take beyond its work and still meet its deadline. */
   slo_ms: Schema.optionalKey(Schema.Number),
   prio: Schema.optionalKey(Schema.Number),
   /** Service whose workers run the queue's tasks. */
@@ -23,7 +23,7 @@
   attempts: Schema.optionalKey(Schema.Number),
   stretch: Schema.optionalKey(Schema.Number),
   public: Schema.optionalKey(Schema.Boolean),
-  /** Stands where the policy service has to consent to each start. */
+  /** Present if the policy service has to approve each start. */
   hint: Schema.optionalKey(Schema.Unknown),
 });
 
@@ -47,7 +47,7 @@
   limits: Schema.optionalKey(Schema.Struct({ max_body_bytes: Schema.optionalKey(Schema.Number) })),
 });
 
-/** A queue without a limit of its own waits this long for an answer of the system. */
+/** Timeout of calls to a queue without a timeout of its own. */
 const DEFAULT_TIMEOUT_MS = 3000;
 
 const DEFAULT_MAX_BODY_BYTES = 262_144;
@@ -69,9 +69,9 @@
 });
 
 /**
- * @param text - the record
+ * @param text - the value of the record
  * @returns the configuration
- * @throws AuburnliftError `invalidRequest` where it can't be read
+ * @throws AuburnliftError `invalidRequest` if it can't be decoded
  */
 export const decodeConfiguration = (text: string): poolConfiguration.PoolConfiguration => {
   let parsed: unknown;
--- a/src/platform/platformStore.ts
+++ b/src/platform/platformStore.ts
@@ -1,8 +1,8 @@
 /**
  * The platform's key-value service as the product's record store.
  *
- * Guards against answers that are lost: a write whose exchange broke after it was sent ends as
- * `StoreOutcomeUnknown`, never as a plain failure, since it may take effect now or seconds later.
+ * Handles lost answers: a write whose exchange failed after it was sent throws `StoreOutcomeUnknown`,
+ * never a plain failure, since it may take effect now or seconds later.
  */
 import * as clock from '../base/common/clock.js';
 import * as errors from '../base/common/errors.js';
@@ -11,25 +11,25 @@
 import * as recordStore from '../state/common/pool/recordStore.js';
 import * as store from '../state/common/store.js';
 
-/** How the service is reached. */
+/** Options of the store client. */
 export interface PlatformStoreOptions {
-  /** Read for each call: a reload of the settings may change it. */
+  /** Evaluated for each call: a reload of the settings may change the address. */
   readonly address: () => http.Address;
   readonly call: http.HttpCall;
   readonly metrics: metrics.Metrics;
-  /** Longest wait for an answer to begin; a watch waits this much longer than it asked for. */
+  /** Longest wait for an answer to begin; added to the wait that a watch requests. */
   readonly timeoutMs: number;
-  /** Longest wait over all ways to the service, for calls that are no watches. */
+  /** Longest total wait over the direct path and relays, for calls other than watches. */
   readonly totalMs?: number;
-  /** For the pauses between attempts to get a page; without it a list ends with the first page that fails. */
+  /** For the pauses between attempts to read a page; without it, a list fails with the first page that fails. */
   readonly clock?: clock.Clock;
-  /** Something of an answer has come, by whichever way. */
+  /** Called when any part of an answer arrives, directly or relayed, unless its status is 429 or 503. */
   readonly onDidHear?: () => void;
 }
 
 /**
- * A value of a megabyte takes 1.6 s on a line of 7 Mbit/s, which all calls of a machine share; what the store
- * remembers of changes reaches back 20 s.
+ * A value of one megabyte takes 1.6 s over a link of 7 Mbit/s, which all calls of a machine share; the store's
+ * change history covers only 20 s.
  */
 export const TRANSFER: http.TransferLimits = {
   maxMs: 15_000,
@@ -38,28 +38,28 @@
 };
 
 /**
- * Attempts to get a page that follows others: begun again from its first page, a list of many pages would need a time
- * without any failure that is as long as the whole list.
+ * Attempts per page after the first: if a failure restarted the list from its first page, a list of many pages could
+ * succeed only in a period without any failure that is as long as the entire list.
  */
 const PAGE_ATTEMPTS = 5;
 
 const PAGE_PAUSE_MS = 200;
 
-/** An item as the service writes it. */
+/** An item in the service's format. */
 interface WireItem {
   readonly key: string;
   /** Base64. */
   readonly value?: string;
   /** Revision of the last change. */
   readonly rev: number;
-  /** Stands on an event of a removal. */
+  /** True for an event that removed the key. */
   readonly tombstone?: boolean;
 }
 
 interface WirePage {
   readonly items?: readonly WireItem[];
   readonly more_pages?: boolean;
-  /** Revision of the whole store when the answer was made. */
+  /** Revision of the entire store when the answer was created. */
   readonly as_of: number;
 }
 
@@ -68,7 +68,7 @@
   readonly as_of: number;
 }
 
-/** What differs from call to call. */
+/** Options of a single call. */
 interface SendOptions {
   readonly body?: object;
   readonly timeoutMs?: number;
@@ -80,7 +80,7 @@
 const NOT_FOUND = 404;
 const GONE = 410;
 const CONDITION_FAILED = 412;
-const TOO_MANY = 429;
+const TOO_MANY_REQUESTS = 429;
 const SERVER_ERROR = 500;
 const UNAVAILABLE = 503;
 
@@ -100,30 +100,30 @@
   JSON.parse(Buffer.from(reply.body).toString('utf8')) as T;
 
 const unavailable = (operation: string, reason: string): errors.AuburnliftError =>
-  errors.fail('storeUnavailable', `the store did not answer ${operation}: ${reason}`, {
+  errors.fail('storeUnavailable', `store operation ${operation} failed: ${reason}`, {
     retryAfterMs: 1000,
   });
 
-/** Several events of one key count as the last of them. */
-const toWatchResult = (seen: WireEvents): store.WatchResult => {
+/** Uses only the last of several events of one key. */
+const toWatchResult = (reply: WireEvents): store.WatchResult => {
   const last = new Map<string, WireItem>();
-  for (const event of seen.events ?? []) last.set(event.key, event);
+  for (const event of reply.events ?? []) last.set(event.key, event);
   const items = [...last.values()];
   return {
     entries: items.filter((it) => it.tombstone !== true).map(decodeValue),
     deletedKeys: items.filter((it) => it.tombstone === true).map((it) => it.key),
-    revision: seen.as_of,
+    revision: reply.as_of,
     isGap: false,
   };
 };
 
 /**
- * @param options - how the service is reached
+ * @param options - options of the store client
  * @returns the store
  */
 export const createPlatformStore = (options: PlatformStoreOptions): recordStore.RecordStore => {
-  const noteArrival = (status: number): void => {
-    if (status !== TOO_MANY && status !== UNAVAILABLE) options.onDidHear?.();
+  const reportArrival = (status: number): void => {
+    if (status !== TOO_MANY_REQUESTS && status !== UNAVAILABLE) options.onDidHear?.();
   };
 
   const send = async (
@@ -143,14 +143,14 @@
       timeoutMs,
       transfer: TRANSFER,
       ...(isBrief && options.totalMs !== undefined ? { totalMs: options.totalMs } : {}),
-      onArrival: noteArrival,
+      onArrival: reportArrival,
       ...rest,
     });
-    noteArrival(reply.status);
+    reportArrival(reply.status);
     return reply;
   };
 
-  /** Calls that change nothing, or nothing that matters where they are repeated. */
+  /** For calls that change nothing or can safely be repeated. */
   const read = async (
     operation: string,
     method: string,
@@ -180,16 +180,16 @@
       reply = await send(operation, 'POST', path, rest);
     } catch (thrown) {
       options.metrics.count('auburnlift_store_failures_total', { operation });
-      const isUnseen =
+      const isNotSent =
         thrown instanceof http.HttpCallError && thrown.failure === http.HttpFailure.notSent;
       const { message } = errors.normalize(thrown);
-      if (isUnseen) throw unavailable(operation, message);
+      if (isNotSent) throw unavailable(operation, message);
       throw new store.StoreOutcomeUnknown(message);
     }
     const { status } = reply;
     if (status === OK || status === CONDITION_FAILED || status === NOT_FOUND) return reply;
     options.metrics.count('auburnlift_store_failures_total', { operation });
-    if (status === TOO_MANY || status === UNAVAILABLE) {
+    if (status === TOO_MANY_REQUESTS || status === UNAVAILABLE) {
       throw unavailable(operation, `status ${status}`);
     }
     if (status < SERVER_ERROR) {
@@ -205,11 +205,11 @@
   };
 
   const nextPage = async (prefix: string, after: string): Promise<WirePage> => {
-    for (let tries = 1; ; tries += 1) {
+    for (let attempt = 1; ; attempt += 1) {
       try {
         return await listPage(prefix, after);
       } catch (thrown) {
-        if (options.clock === undefined || tries === PAGE_ATTEMPTS) throw thrown;
+        if (options.clock === undefined || attempt === PAGE_ATTEMPTS) throw thrown;
         await clock.sleep(options.clock, PAGE_PAUSE_MS);
       }
     }
@@ -224,7 +224,7 @@
     list: async (prefix) => {
       const entries: store.StoreEntry[] = [];
       let page = await listPage(prefix, undefined);
-      // Pages are no snapshot: a watch has to go on from the first, which saw the least.
+      // The pages are not one snapshot: a watch must start at the revision of the first page, the oldest.
       const revision = page.as_of;
       for (;;) {
         const items = page.items ?? [];
@@ -250,7 +250,7 @@
       if (reply.status === NOT_FOUND) return { isCommitted: false, current: [], isLeaseGone: true };
       if (omitsCurrent) return { isCommitted: false, current: [], isLeaseGone: false };
       const { items = [] } = parse<{ items?: readonly WireItem[] }>(reply);
-      // A key that does not exist may be listed with revision 0.
+      // A key that does not exist may be included with revision 0.
       const current = items.filter((it) => it.rev > 0 && it.tombstone !== true).map(decodeValue);
       return { isCommitted: false, current, isLeaseGone: false };
     },
--- a/src/platform/settingsWatch.ts
+++ b/src/platform/settingsWatch.ts
@@ -1,5 +1,5 @@
 /**
- * Notices that the settings file has changed, by SIGHUP or without any signal.
+ * Watches the settings file for changes, by polling and on SIGHUP.
  */
 import * as fs from 'node:fs';
 
@@ -10,29 +10,29 @@
 import type * as poolSettings from '../state/common/pool/poolSettings.js';
 import * as bootSettings from './bootSettings.js';
 
-/** How often the file is looked at: changes without a signal are taken within this time. */
-const LOOK_MS = 2000;
+/** Polling interval: changes without a signal are applied within this time. */
+const POLL_INTERVAL_MS = 2000;
 
-/** What the watch needs. */
+/** Options of the watch. */
 export interface SettingsWatchOptions {
   readonly path: string;
   readonly program: bootSettings.PoolProgram;
   readonly clock: clock.Clock;
   readonly log: logging.Log;
-  /** Hears settings that differ from the last ones. */
+  /** Called with the settings whenever the file's content has changed. */
   readonly onDidChange: (settings: poolSettings.PoolSettings) => void;
 }
 
 /**
- * @param options - what the watch needs
- * @returns the watch, which looks until it is disposed
+ * @param options - options of the watch
+ * @returns the watch, which runs until it is disposed
  */
 export const watchSettings = (options: SettingsWatchOptions): disposable.Disposable => {
   const { path, program, log } = options;
   let isDisposed = false;
   let lastText = fs.readFileSync(path, 'utf8');
 
-  const look = (cause: string): void => {
+  const checkFile = (cause: string): void => {
     try {
       const text = fs.readFileSync(path, 'utf8');
       const isChanged = text !== lastText;
@@ -42,18 +42,18 @@
       lastText = text;
       options.onDidChange(settings);
     } catch (thrown) {
-      // The process goes on with the settings that it has; a half-written file is read again soon.
+      // The process keeps its current settings; a partially written file is read again at the next poll.
       log('error', 'settingsUnreadable', { path, reason: errors.normalize(thrown).message });
     }
   };
-  const onSignal = (): void => look('signal');
-  const repeat = (): void => {
+  const onSignal = (): void => checkFile('signal');
+  const poll = (): void => {
     if (isDisposed) return;
-    look('change');
-    options.clock.after(LOOK_MS, repeat);
+    checkFile('change');
+    options.clock.after(POLL_INTERVAL_MS, poll);
   };
   process.on('SIGHUP', onSignal);
-  options.clock.after(LOOK_MS, repeat);
+  options.clock.after(POLL_INTERVAL_MS, poll);
   return {
     dispose: () => {
       isDisposed = true;
--- a/src/platform/test/bootFile.ts
+++ b/src/platform/test/bootFile.ts
@@ -1,29 +1,29 @@
 /**
- * Settings files of the platform for tests with real programs.
+ * Creates the platform's settings files for tests that run the real programs.
  */
 import * as fs from 'node:fs';
 import * as path from 'node:path';
 
 import * as operatorConfiguration from '../operatorConfiguration.js';
 
-/** Where one program of a test listens and whom it reaches. */
+/** Addresses and ports of one program of a test. */
 export interface BootFile {
   readonly nodeId: string;
-  /** First port between programs. */
+  /** First port for connections between programs. */
   readonly peerPort: number;
   readonly storeAddress: string;
   /** Ports of an entry. */
   readonly front?: number;
   readonly ready?: number;
-  /** Port on which an agent hears its worker. */
+  /** Port on which an agent receives its worker's heartbeats. */
   readonly control?: number;
   readonly workerAddress?: string;
 }
 
 /**
- * @param folder - where the file goes
- * @param file - what it says
- * @returns the environment variable that names it
+ * @param folder - folder for the file
+ * @param file - its content
+ * @returns the environment variable with its path
  */
 export const writeBootFile = (folder: string, file: BootFile): Record<string, string> => {
   const listen = (['front', 'ready', 'control'] as const)
@@ -56,7 +56,7 @@
   return { AUBURNLIFT_BOOT: target };
 };
 
-/** The record of the configuration that the programs follow. */
+/** Configuration record that the programs watch. */
 export const CONFIGURATION = {
   key: operatorConfiguration.CONFIGURATION_KEY,
   value: JSON.stringify({
@@ -69,5 +69,5 @@
   }),
 };
 
-/** Header that carries a client's credential. */
+/** Headers of a client's calls, with its credential. */
 export const KEY_HEADERS = { 'auburnlift-key': 'key', host: 'h' };
--- a/src/platform/test/decoding.test.ts
+++ b/src/platform/test/decoding.test.ts
@@ -1,5 +1,5 @@
 /**
- * What the platform writes, decoded: settings, configuration and heartbeats, and what can't be read.
+ * Decoding of the platform's settings, configuration and heartbeats, including invalid input.
  */
 import * as assert from 'node:assert/strict';
 import * as test from 'node:test';
@@ -32,9 +32,9 @@
 gang_ms = 3000
 `;
 
-const messageOf = (deed: () => unknown): string => {
+const messageOf = (action: () => unknown): string => {
   try {
-    deed();
+    action();
     return '';
   } catch (thrown) {
     return errors.normalize(thrown).message;
@@ -42,7 +42,7 @@
 };
 
 test.describe('settings of the platform', () => {
-  test.it('are read, and what is not known is ignored', () => {
+  test.it('are decoded, and unknown fields are ignored', () => {
     const settings = bootSettings.parseBootSettings(SETTINGS, 'local.toml', 'agent');
     assert.deepEqual(settings.peers, { host: '10.0.0.1', port: 7000 });
     assert.deepEqual(settings.worker, { host: '10.0.0.1', port: 80 });
@@ -50,7 +50,7 @@
     assert.equal(settings.front, undefined);
   });
 
-  test.it('give each program of one machine a port of its own', () => {
+  test.it('assign each program on a machine its own port', () => {
     const ports = (['entry', 'scheduler'] as const).map(
       (program) => bootSettings.parseBootSettings(SETTINGS, 'f', program).peers.port,
     );
@@ -65,18 +65,18 @@
       /local\.toml.*bounds\.hold_max_ms/,
     ],
     ['a field of another type', SETTINGS.replace('1500', '"soon"'), /local\.toml.*heartbeat_ms/],
-    ['text that is no TOML', '= = =', /local\.toml: not TOML/],
+    ['text that is not TOML', '= = =', /local\.toml: not TOML/],
   ];
-  for (const [name, text, says] of BROKEN) {
-    test.it(`${name} is named with file and field`, () => {
+  for (const [name, text, expected] of BROKEN) {
+    test.it(`${name} is reported with file and field`, () => {
       const message = messageOf(() => bootSettings.parseBootSettings(text, 'local.toml', 'agent'));
-      assert.match(message, says);
+      assert.match(message, expected);
     });
   }
 });
 
-test.describe('the configuration of the operators', () => {
-  test.it('is decoded with the defaults of what is left out', () => {
+test.describe("the operators' configuration", () => {
+  test.it('is decoded with defaults for omitted fields', () => {
     const decoded = operatorConfiguration.decodeConfiguration(
       JSON.stringify({
         version: 7,
@@ -101,8 +101,8 @@
   });
 
   const BROKEN: readonly [string, string][] = [
-    ['no JSON', '{'],
-    ['no version', '{"routes":[]}'],
+    ['text that is not JSON', '{'],
+    ['a configuration without a version', '{"routes":[]}'],
     ['a queue without a prefix', '{"version":1,"routes":[{"name":"r"}]}'],
   ];
   for (const [name, text] of BROKEN) {
@@ -151,18 +151,18 @@
     });
   });
 
-  const GARBAGE: readonly [string, string][] = [
+  const INVALID: readonly [string, string][] = [
     ['bytes', '\u0000\u0001'],
     ['a list', '[]'],
     ['no state', JSON.stringify({ ...HEARTBEAT, state: undefined })],
-    ['a state that is not known', JSON.stringify({ ...HEARTBEAT, state: 'asleep' })],
+    ['an unknown state', JSON.stringify({ ...HEARTBEAT, state: 'asleep' })],
     ['a sequence of another type', JSON.stringify({ ...HEARTBEAT, seq: '4' })],
-    ['a fraction of a sequence', JSON.stringify({ ...HEARTBEAT, seq: 4.5 })],
+    ['a fractional sequence', JSON.stringify({ ...HEARTBEAT, seq: 4.5 })],
     ['a capacity of another type', JSON.stringify({ ...HEARTBEAT, capacity: 8 })],
     ['no service', JSON.stringify({ ...HEARTBEAT, backend: undefined })],
   ];
-  for (const [name, text] of GARBAGE) {
-    test.it(`with ${name} names no worker`, () => {
+  for (const [name, text] of INVALID) {
+    test.it(`with ${name} is not decoded`, () => {
       assert.equal(workerWire.decodeHeartbeat('i-1', Buffer.from(text)), undefined);
     });
   }
--- a/src/platform/test/jobApi.test.ts
+++ b/src/platform/test/jobApi.test.ts
@@ -1,6 +1,6 @@
 /**
- * What clients send, and the answer to each kind of bad input: typed, at once, and without touching
- * the desk behind it.
+ * Decoding of clients' calls. Invalid input must be answered with the right status immediately, without
+ * calling the job handler.
  */
 import * as assert from 'node:assert/strict';
 import * as test from 'node:test';
@@ -51,12 +51,12 @@
   };
 };
 
-const ask = async (
+const send = async (
   desk: jobDesk.JobDesk,
   method: string,
   path: string,
   body: string,
-  more: Partial<jobApi.JobApiOptions> = {},
+  overrides: Partial<jobApi.JobApiOptions> = {},
 ): Promise<httpServer.ServerReply> => {
   const handler = jobApi.createJobApi({
     desk,
@@ -68,7 +68,7 @@
     nowMs: () => 0,
     log: logging.silentLog,
     metrics: metrics.createMetrics(),
-    ...more,
+    ...overrides,
   });
   return handler({
     method,
@@ -80,37 +80,37 @@
   });
 };
 
-const job = (steps: unknown, more: object = {}): string =>
-  JSON.stringify({ spec: 'text', steps, ...more });
+const job = (steps: unknown, overrides: object = {}): string =>
+  JSON.stringify({ spec: 'text', steps, ...overrides });
 
 const REFUSED: readonly [string, string, string, number, RegExp][] = [
-  ['no JSON', `/q/${ID}`, '{', 400, /body/],
+  ['a body that is not JSON', `/q/${ID}`, '{', 400, /body/],
   ['a body above the limit', `/q/${ID}`, ' '.repeat(3001), 413, /body/],
-  ['an id that is not in form', '/q/nonsense', job([{ count: 1 }]), 404, /hexadecimal/],
+  ['a malformed id', '/q/nonsense', job([{ count: 1 }]), 404, /hexadecimal/],
   ['a step without tasks', `/q/${ID}`, job([{ cpu: 1 }]), 400, /steps\[0\]\.count/],
   ['a count of another type', `/q/${ID}`, job([{ count: 'two' }]), 400, /steps\[0\]\.count/],
-  ['a negative need', `/q/${ID}`, job([{ count: 1, gpu: -1 }]), 400, /steps\[0\]\.gpu/],
+  ['a negative resource request', `/q/${ID}`, job([{ count: 1, gpu: -1 }]), 400, /steps\[0\]\.gpu/],
   ['a spec of another type', `/q/${ID}`, JSON.stringify({ spec: 5 }), 400, /spec/],
 ];
 
 test.describe('jobApi', () => {
-  for (const [name, path, body, status, says] of REFUSED) {
+  for (const [name, path, body, status, expected] of REFUSED) {
     test.it(`${name} is answered with ${status}`, async () => {
       const desk = createDesk();
-      const reply = await ask(desk, 'POST', path, body);
+      const reply = await send(desk, 'POST', path, body);
       assert.equal(reply.status, status);
-      assert.match(String(reply.body), says);
+      assert.match(String(reply.body), expected);
       assert.equal(desk.drafts.length, 0);
     });
   }
 
-  test.it('a job is decoded, with what is left out', async () => {
+  test.it('a job is decoded, with defaults for omitted fields', async () => {
     const desk = createDesk();
     const steps = [
       { count: 4, cpu: 500, mem_mb: 256, est_ms: 900, affinity: 'r1-3' },
       { count: 2, gpu: 8, after: [0], gang: true, same_rack: true, checkpoint: true },
     ];
-    const reply = await ask(desk, 'POST', `/q/${ID}`, job(steps));
+    const reply = await send(desk, 'POST', `/q/${ID}`, job(steps));
     assert.equal(reply.status, 200);
     const [draft] = desk.drafts;
     assert.equal(draft?.payload, 'text');
@@ -135,7 +135,7 @@
   test.it('a schedule is decoded', async () => {
     const desk = createDesk();
     const times = { repeats: 3, start_time_ms: 1000, interval_ms: 500 };
-    await ask(desk, 'POST', `/q/${ID}`, job([{ count: 1 }], times));
+    await send(desk, 'POST', `/q/${ID}`, job([{ count: 1 }], times));
     assert.deepEqual(desk.drafts[0]?.schedule, {
       firstAtMs: 1000,
       intervalMs: 500,
@@ -146,11 +146,11 @@
   const ANSWERS: readonly [string, string, string, unknown][] = [
     ['GET', `/q/${ID}`, 'a state', { state: 'running' }],
     ['GET', '/q/', 'a count', { pending: 12 }],
-    ['DELETE', `/q/${ID}`, 'nothing more', {}],
+    ['DELETE', `/q/${ID}`, 'an empty object', {}],
   ];
   for (const [method, path, name, body] of ANSWERS) {
-    test.it(`${method} ${path} gives ${name}`, async () => {
-      const reply = await ask(createDesk(), method, path, '');
+    test.it(`${method} ${path} returns ${name}`, async () => {
+      const reply = await send(createDesk(), method, path, '');
       assert.equal(reply.status, 200);
       assert.deepEqual(JSON.parse(String(reply.body)), body);
     });
@@ -158,14 +158,14 @@
 });
 
 test.describe('a record of a job', () => {
-  test.it('is told of once it is stored', async () => {
-    const told: string[] = [];
+  test.it('is reported once it is stored', async () => {
+    const reported: string[] = [];
     const onDidStore = (jobId: string, part: string): void => {
-      told.push(`${jobId} ${part}`);
+      reported.push(`${jobId} ${part}`);
     };
-    await ask(createDesk(), 'POST', `/q/${ID}`, job([{ count: 1 }]), { onDidStore });
-    await ask(createDesk(), 'DELETE', `/q/${ID}`, '', { onDidStore });
-    await ask(createDesk(), 'GET', `/q/${ID}`, '', { onDidStore });
-    assert.deepEqual(told, [`${ID} spec`, `${ID} cancel`]);
+    await send(createDesk(), 'POST', `/q/${ID}`, job([{ count: 1 }]), { onDidStore });
+    await send(createDesk(), 'DELETE', `/q/${ID}`, '', { onDidStore });
+    await send(createDesk(), 'GET', `/q/${ID}`, '', { onDidStore });
+    assert.deepEqual(reported, [`${ID} spec`, `${ID} cancel`]);
   });
 });
--- a/src/platform/test/platformStore.test.ts
+++ b/src/platform/test/platformStore.test.ts
@@ -1,6 +1,6 @@
 /**
- * The platform's store as its pages describe it: what is sent, and what each answer and each missing
- * answer means.
+ * Client of the platform's store, checked against the store's documentation: the requests sent, and the
+ * outcome of each answer and of lost answers.
  */
 import * as assert from 'node:assert/strict';
 import * as test from 'node:test';
@@ -15,11 +15,11 @@
 
 const base64 = (text: string): string => Buffer.from(text).toString('base64');
 
-const create = (line: scripted.ScriptedCall, time?: clock.Clock): recordStore.RecordStore =>
+const create = (scriptedCall: scripted.ScriptedCall, time?: clock.Clock): recordStore.RecordStore =>
   platformStore.createPlatformStore({
     ...(time === undefined ? {} : { clock: time }),
     address: () => ({ host: '127.0.0.1', port: 1 }),
-    call: line.call,
+    call: scriptedCall.call,
     metrics: metrics.createMetrics(),
     timeoutMs: 500,
   });
@@ -30,7 +30,7 @@
   removes: ['b'],
 };
 
-/** What became of a call: its value, or how it failed. */
+/** Returns the value of a call, or how it failed. */
 const outcomeOf = async (call: () => Promise<unknown>): Promise<unknown> => {
   try {
     return await call();
@@ -57,7 +57,7 @@
 
 const CASES: readonly Case[] = [
   {
-    name: 'a transaction carries conditions, puts in base64 and removes',
+    name: 'a transaction sends conditions, puts in base64 and removes',
     answers: [{ status: 200, body: { rev: 9 } }],
     call: transact,
     outcome: { isCommitted: true, revision: 9 },
@@ -69,7 +69,7 @@
     },
   },
   {
-    name: 'a condition that does not hold gives the records as they stand',
+    name: 'a failed condition returns the present records',
     answers: [
       {
         status: 412,
@@ -89,19 +89,19 @@
     },
   },
   {
-    name: 'a lease that has ended is told apart',
+    name: 'an ended lease is distinguished',
     answers: [{ status: 404 }],
     call: transact,
     outcome: { isCommitted: false, isLeaseGone: true, current: [] },
   },
   {
-    name: 'busy: nothing was done',
+    name: 'too many requests: nothing was done',
     answers: [{ status: 429 }],
     call: transact,
     outcome: 'storeUnavailable',
   },
   {
-    name: 'refused: nothing was done',
+    name: 'unavailable: nothing was done',
     answers: [{ status: 503 }],
     call: transact,
     outcome: 'storeUnavailable',
@@ -113,33 +113,33 @@
     outcome: 'storeUnavailable',
   },
   {
-    // A caller is told that its job was refused, and the job runs: the write took effect and only its
-    // answer was lost.
+    // Guards against telling a caller that its job was refused although it runs: the write took effect
+    // and only its answer was lost.
     name: 'a write without an answer may take effect',
     answers: [{ failure: 'lost' }],
     call: transact,
     outcome: 'outcomeUnknown',
   },
   {
-    name: 'a write that is silent may take effect',
+    name: 'a write that times out may take effect',
     answers: [{ failure: 'timeout' }],
     call: transact,
     outcome: 'outcomeUnknown',
   },
   {
-    name: 'a failure from something in between may come after the deed',
+    name: 'a failure of an intermediary may occur after the write took effect',
     answers: [{ status: 502 }],
     call: transact,
     outcome: 'outcomeUnknown',
   },
   {
-    name: 'a forbidden write is a defect of ours',
+    name: 'a forbidden write is an internal error',
     answers: [{ status: 403 }],
     call: transact,
     outcome: 'internal',
   },
   {
-    name: 'a list follows its pages and counts from the first',
+    name: 'a list reads all pages and has the revision of the first',
     answers: [
       {
         status: 200,
@@ -157,7 +157,7 @@
     },
   },
   {
-    name: 'a key that is not there',
+    name: 'a missing key',
     answers: [{ status: 404 }],
     call: (subject) => subject.get('a'),
     outcome: undefined,
@@ -170,7 +170,7 @@
     outcome: 'storeUnavailable',
   },
   {
-    name: 'a watch gives the last event of each key',
+    name: 'a watch returns the last event of each key',
     answers: [
       {
         status: 200,
@@ -195,20 +195,20 @@
     path: '/-/kv-watch?prefix=p%2F&after=5&wait_ms=1000',
   },
   {
-    name: 'a history that is gone is a gap',
+    name: 'a change history that is no longer available is a gap',
     answers: [{ status: 410 }],
     call: watch,
     outcome: { entries: [], deletedKeys: [], revision: 5, isGap: true },
   },
   {
-    name: 'a lease that lapsed',
+    name: 'renewal of an expired lease',
     answers: [{ status: 404 }],
     call: (subject) => subject.renewLease('7'),
     outcome: false,
     path: '/-/kv-keep/7',
   },
   {
-    name: 'a renewal without an answer says nothing about the lease',
+    name: 'a renewal without an answer leaves the state of the lease unknown',
     answers: [{ failure: 'lost' }],
     call: (subject) => subject.renewLease('7'),
     outcome: 'storeUnavailable',
@@ -218,10 +218,10 @@
 test.describe('platformStore', () => {
   for (const it of CASES) {
     test.it(it.name, async () => {
-      const line = scripted.scriptedCall(...it.answers);
-      assert.deepEqual(await outcomeOf(() => it.call(create(line))), it.outcome);
-      if (it.path !== undefined) assert.equal(line.sent[0]?.path, it.path);
-      if (it.body !== undefined) assert.deepEqual(line.sent[0]?.body, it.body);
+      const scriptedCall = scripted.scriptedCall(...it.answers);
+      assert.deepEqual(await outcomeOf(() => it.call(create(scriptedCall))), it.outcome);
+      if (it.path !== undefined) assert.equal(scriptedCall.sent[0]?.path, it.path);
+      if (it.body !== undefined) assert.deepEqual(scriptedCall.sent[0]?.body, it.body);
     });
   }
 });
@@ -239,20 +239,20 @@
 
 interface PageCase {
   readonly name: string;
-  /** How the second page fails, one attempt after the other. */
+  /** Failures of the second page, one per attempt. */
   readonly failures: readonly scripted.Scripted[];
   readonly outcome: unknown;
 }
 
 const PAGE_CASES: readonly PageCase[] = [
   {
-    // Guards against a list of many pages that is never whole, because each failure begins it anew.
-    name: 'a page that fails is asked for again, and not those before it',
+    // Guards against a list of many pages that never completes, because each failure restarts it.
+    name: 'a failed page is requested again, but not those before it',
     failures: [{ failure: 'timeout' }, { status: 429 }, { failure: 'notSent' }, { status: 503 }],
     outcome: ['1', '2'],
   },
   {
-    name: 'a page that fails again and again fails the list',
+    name: 'a page that fails repeatedly fails the list',
     failures: Array.from({ length: 5 }, () => ({ failure: 'timeout' }) as const),
     outcome: 'storeUnavailable',
   },
@@ -263,22 +263,22 @@
     test.it(it.name, async () => {
       const [first, second] = PAGES;
       assert.ok(first !== undefined && second !== undefined);
-      const line = scripted.scriptedCall(first, ...it.failures, second);
+      const scriptedCall = scripted.scriptedCall(first, ...it.failures, second);
       const time = clock.createFakeClock();
       const listed = outcomeOf(async () => {
-        const { entries } = await create(line, time).list('p/');
+        const { entries } = await create(scriptedCall, time).list('p/');
         return entries.map(({ value }) => value);
       });
       await time.advance(5000);
       assert.deepEqual(await listed, it.outcome);
-      const paths = line.sent.map(({ path }) => path);
+      const paths = scriptedCall.sent.map(({ path }) => path);
       assert.deepEqual(paths, [FIRST_PATH, ...Array.from({ length: 5 }, () => SECOND_PATH)]);
     });
   }
 
-  test.it('is given up where its first page fails, which loses nothing', async () => {
-    const line = scripted.scriptedCall({ failure: 'timeout' }, ...PAGES);
-    const outcome = await outcomeOf(() => create(line, clock.createFakeClock()).list('p/'));
+  test.it('fails if its first page fails, since no pages have been read yet', async () => {
+    const scriptedCall = scripted.scriptedCall({ failure: 'timeout' }, ...PAGES);
+    const outcome = await outcomeOf(() => create(scriptedCall, clock.createFakeClock()).list('p/'));
     assert.equal(outcome, 'storeUnavailable');
   });
 });
--- a/src/platform/test/relayOutage.test.ts
+++ b/src/platform/test/relayOutage.test.ts
@@ -1,5 +1,5 @@
 /**
- * What the system sends while nobody, or not everybody, has a way to the store.
+ * Exchanges that the system sends while the store fails for all machines or for some.
  */
 import * as assert from 'node:assert/strict';
 import * as test from 'node:test';
@@ -8,47 +8,47 @@
 
 const { Fault } = relayOutage;
 
-/** Entries of the target are 90; eight show the same in seconds. */
+/** The target system has 90 entries; eight show the same within seconds. */
 const MACHINES = Number(process.env.RELAY_MACHINES ?? 8);
 
 const FAULTS = [Fault.silent, Fault.busy, Fault.reset] as const;
 
-/** Callers' reads a second at each entry, and as many writes. */
-const BUSY_READS = 2;
-const READS = [0.1, BUSY_READS, 10] as const;
+/** Callers' reads per second at each entry, and the same number of writes. */
+const HIGH_READ_RATE = 2;
+const READ_RATES = [0.1, HIGH_READ_RATE, 10] as const;
 
-/** A caller's call ends by then in the fake clock's time. */
-const MOST_HELD_MS = 900;
+/** Maximum duration of a caller's call, by the fake clock. */
+const MAX_CALL_MS = 900;
 
-/** Before a silence is noticed, the calls of this time are open at once. */
-const NOTICED_S = 0.45;
+/** Time until a lack of answers is detected; the calls sent in it are open at the same time. */
+const DETECTION_S = 0.45;
 
 const MIN_SERVED_SHARE = 0.95;
 
-for (const readsPerSecond of READS) {
+for (const readsPerSecond of READ_RATES) {
   test.describe(`${MACHINES} machines without the store, ${readsPerSecond} reads/s`, () => {
     const site = { machines: MACHINES, readsPerSecond, hitOneIn: 1 };
-    const calmDay = relayOutage.playOutage({ ...site, fault: Fault.none });
+    const baselineRun = relayOutage.playOutage({ ...site, fault: Fault.none });
 
-    test.it('a calm day serves all', async (context) => {
-      const calm = await calmDay;
-      context.diagnostic(`calm ${JSON.stringify(calm)}`);
-      assert.equal(calm.reads.served, calm.reads.calls);
-      assert.equal(calm.writes.served, calm.writes.calls);
+    test.it('without a fault all calls are served', async (context) => {
+      const baseline = await baselineRun;
+      context.diagnostic(`baseline ${JSON.stringify(baseline)}`);
+      assert.equal(baseline.reads.served, baseline.reads.calls);
+      assert.equal(baseline.writes.served, baseline.writes.calls);
     });
 
     for (const fault of FAULTS) {
-      // Guards against an outage that makes the system's own load larger than a calm day's.
-      test.it(`${fault} for all: no more exchanges than on a calm day`, async (context) => {
-        const calm = await calmDay;
+      // Guards against an outage in which the system's own load exceeds that without a fault.
+      test.it(`${fault} for all: no more exchanges than without a fault`, async (context) => {
+        const baseline = await baselineRun;
         const seen = await relayOutage.playOutage({ ...site, fault });
         context.diagnostic(`all ${fault} ${JSON.stringify(seen)}`);
-        assert.ok(seen.allPerSecond <= calm.allPerSecond, 'exchanges of all');
-        assert.ok(seen.busiestPerSecond <= calm.busiestPerSecond, 'exchanges of one process');
-        const mostOpen = calm.mostOpen + calm.allPerSecond * NOTICED_S;
-        assert.ok(seen.mostOpen <= mostOpen, 'exchanges at once');
-        assert.ok(seen.reads.mostMs <= MOST_HELD_MS, 'a read');
-        assert.ok(seen.writes.mostMs <= MOST_HELD_MS, 'a write');
+        assert.ok(seen.allPerSecond <= baseline.allPerSecond, 'exchanges of all processes');
+        assert.ok(seen.busiestPerSecond <= baseline.busiestPerSecond, 'exchanges of one process');
+        const mostOpen = baseline.mostOpen + baseline.allPerSecond * DETECTION_S;
+        assert.ok(seen.mostOpen <= mostOpen, 'open exchanges');
+        assert.ok(seen.reads.mostMs <= MAX_CALL_MS, 'a read');
+        assert.ok(seen.writes.mostMs <= MAX_CALL_MS, 'a write');
       });
     }
   });
@@ -56,15 +56,15 @@
 
 test.describe(`${MACHINES} machines, a third without the store`, () => {
   for (const fault of FAULTS) {
-    // Guards against a bound on outages that takes the way by others from machines that need it.
-    test.it(`${fault}: callers there are served by others`, async (context) => {
-      const site = { machines: MACHINES, readsPerSecond: BUSY_READS, hitOneIn: 3 };
+    // Guards against a limit on outage traffic that denies relays to machines that need them.
+    test.it(`${fault}: callers there are served through other machines`, async (context) => {
+      const site = { machines: MACHINES, readsPerSecond: HIGH_READ_RATE, hitOneIn: 3 };
       const seen = await relayOutage.playOutage({ ...site, fault });
       context.diagnostic(`third ${fault} ${JSON.stringify(seen)}`);
       assert.ok(seen.reads.served >= seen.reads.calls * MIN_SERVED_SHARE, 'reads');
       assert.ok(seen.writes.served >= seen.writes.calls * MIN_SERVED_SHARE, 'writes');
-      assert.ok(seen.reads.mostMs <= MOST_HELD_MS, 'a read');
-      assert.ok(seen.writes.mostMs <= MOST_HELD_MS, 'a write');
+      assert.ok(seen.reads.mostMs <= MAX_CALL_MS, 'a read');
+      assert.ok(seen.writes.mostMs <= MAX_CALL_MS, 'a write');
     });
   }
 });
--- a/src/platform/test/relayOutage.ts
+++ b/src/platform/test/relayOutage.ts
@@ -1,6 +1,6 @@
 /**
- * Entries and schedulers that share one store in virtual time, to count what they send while the store fails
- * for all of them or for some.
+ * Simulates entries and schedulers that share one store in virtual time, and counts their exchanges while the
+ * store fails for all of them or for some.
  */
 import * as clock from '../../base/common/clock.js';
 import * as http from '../../base/common/http.js';
@@ -17,23 +17,23 @@
 import type * as poolConfiguration from '../../state/common/pool/poolConfiguration.js';
 import * as poolKeys from '../../state/common/pool/poolKeys.js';
 
-/** How the store fails a machine. */
+/** How the store fails for a machine. */
 export const Fault = { none: 'none', silent: 'silent', busy: 'busy', reset: 'reset' } as const;
 
 /** One of the values of {@link Fault}. */
 export type Fault = (typeof Fault)[keyof typeof Fault];
 
-/** Machines that each run an entry and a scheduler, and what happens to them. */
+/** Machines that each run an entry and a scheduler, and the fault injected. */
 export interface Site {
   readonly machines: number;
-  /** Callers' reads a second at each entry, and as many writes. */
+  /** Callers' reads per second at each entry, and the same number of writes. */
   readonly readsPerSecond: number;
   readonly fault: Fault;
-  /** One in so many machines is hit; 1 for all. */
+  /** One in this many machines is affected; 1 means all. */
   readonly hitOneIn: number;
 }
 
-/** Exchanges of one process. */
+/** Exchanges of one process: its own store calls, relay offers sent, store calls for others, offers received. */
 interface Count {
   own: number;
   offers: number;
@@ -41,7 +41,7 @@
   asked: number;
 }
 
-/** What callers of the machines that were hit saw. */
+/** Calls at the affected machines. */
 export interface CallerFigures {
   readonly calls: number;
   readonly served: number;
@@ -49,36 +49,36 @@
   readonly mostMs: number;
 }
 
-/** What was counted while the fault lasted; exchanges are those of all processes, a second. */
+/** Counts during the fault; exchanges are totals of all processes per second. */
 export interface OutageFigures {
   readonly ownPerSecond: number;
   readonly offersPerSecond: number;
   readonly forOthersPerSecond: number;
   readonly allPerSecond: number;
-  /** Most that one process sent, a second. */
+  /** Maximum sent by one process per second. */
   readonly busiestPerSecond: number;
-  /** Most offers that one process was given, a second. */
+  /** Maximum offers received by one process per second. */
   readonly askedMostPerSecond: number;
-  /** From the end of the fault until the last process that was hit is answered by its own way. */
+  /** Time from the end of the fault until all affected processes have been answered directly. */
   readonly backMostMs: number;
   readonly mostOpen: number;
-  /** Bodies of the exchanges open at once, at most. */
+  /** Maximum total size of the bodies of open exchanges. */
   readonly mostOpenBytes: number;
   readonly reads: CallerFigures;
   readonly writes: CallerFigures;
 }
 
-const FAULT_MS = 10_000;
-/** The first looks at the list of others, which come fast, are long over. */
-const CALM_MS = 25_000;
+const FAULT_DURATION_MS = 10_000;
+/** By then the frequent initial reads of the peer list are long over. */
+const WARMUP_MS = 25_000;
 
-/** Calls that began within the fault have ended by then. */
-const LAST_MS = 5000;
+/** Time after the fault in which the calls started during it end. */
+const COOLDOWN_MS = 5000;
 
-const WAY_MS = 10;
+const LATENCY_MS = 10;
 
-/** Spreads the machines over the list of entries. */
-const GOLDEN_PART = 0.618;
+/** Distributes the machines' first relay choice over the list of entries. */
+const GOLDEN_RATIO = 0.618;
 
 const CONFIGURATION_KEY = 'configuration';
 const PRESENCE_LEASE_MS = 6000;
@@ -88,7 +88,7 @@
 const REVOKE_MS = 5000;
 const PAYLOAD = 'p'.repeat(1000);
 
-/** What the envelope of a relayed call takes beside the body in base64. */
+/** Size of a relayed call's envelope without the base64 body. */
 const ENVELOPE_BYTES = 300;
 
 const CONFIGURATION: poolConfiguration.PoolConfiguration = {
@@ -117,7 +117,7 @@
   rev: 1,
 });
 
-/** The store's answers to what the parts of a process ask it. */
+/** Returns the store's answer to a request of a process. */
 const answerOf = (path: string, urls: ReadonlyMap<string, string>): http.HttpReply => {
   const reply = (status: number, body: object): http.HttpReply => ({
     status,
@@ -143,17 +143,17 @@
   return reply(200, { as_of: 1, items: [itemOf(`${prefix}${poolKeys.JobPart.spec}`, '{}')] });
 };
 
-const waitOf = (path: string): number =>
+const requestedWaitMs = (path: string): number =>
   Number(new URLSearchParams(path.split('?')[1]).get('wait_ms') ?? 0);
 
-interface Seen {
+interface CallResult {
   readonly isRead: boolean;
   readonly isHit: boolean;
   readonly isServed: boolean;
   readonly tookMs: number;
 }
 
-const figuresOf = (seen: readonly Seen[]): CallerFigures => {
+const figuresOf = (seen: readonly CallResult[]): CallerFigures => {
   const times = seen.map((it) => it.tookMs).sort((a, b) => a - b);
   return {
     calls: seen.length,
@@ -163,15 +163,15 @@
   };
 };
 
-/** Everything that the processes share. */
-const createWorld = (site: Site) => {
+/** Creates the state shared by the processes. */
+const createModel = (site: Site) => {
   const time = clock.createFakeClock(1_000_000);
   const urls = new Map<string, string>();
   const relays = new Map<string, storeRelay.StoreRelay>();
   const counts = new Map<string, Count>();
   const open = { exchanges: 0, bytes: 0, mostExchanges: 0, mostBytes: 0 };
   const state = { isFailing: false, isOver: false };
-  /** When each process was first answered by its own way after the fault. */
+  /** When each process was first answered directly after the fault. */
   const backAtMs = new Map<string, number>();
 
   const hold = async <T>(bytes: number, exchange: () => Promise<T>): Promise<T> => {
@@ -190,68 +190,68 @@
     const its = counts.get(name);
     if (state.isFailing && its !== undefined) its[kind] += 1;
   };
-  const faultOf = (machine: number): Fault =>
+  const activeFault = (machine: number): Fault =>
     state.isFailing && machine % site.hitOneIn === 0 ? site.fault : Fault.none;
 
   const callStore = async (machine: number, request: http.HttpRequest): Promise<http.HttpReply> => {
-    const fault = faultOf(machine);
+    const fault = activeFault(machine);
     if (fault === Fault.silent) {
       await clock.sleep(time, request.timeoutMs);
       return fail('timeout');
     }
-    await clock.sleep(time, WAY_MS);
+    await clock.sleep(time, LATENCY_MS);
     if (fault === Fault.reset) return fail('lost');
     if (fault === Fault.busy) return { status: 503, headers: {}, body: Buffer.alloc(0) };
-    await clock.sleep(time, waitOf(request.path));
-    return faultOf(machine) === Fault.none ? answerOf(request.path, urls) : fail('lost');
+    await clock.sleep(time, requestedWaitMs(request.path));
+    return activeFault(machine) === Fault.none ? answerOf(request.path, urls) : fail('lost');
   };
 
-  /** As one process asks another: what it is not told in time is lost. */
+  /** Sends a request to another process; it fails as lost if no answer arrives in time. */
   const ask = async (url: string, request: http.HttpRequest): Promise<http.HttpReply> => {
     const answer = async (): Promise<http.HttpReply> => {
-      await clock.sleep(time, WAY_MS);
+      await clock.sleep(time, LATENCY_MS);
       count(url, 'asked');
       const reply = await relays.get(url)?.serve({
         ...request,
         timeoutMs: Math.max(100, request.timeoutMs - 100),
       });
-      await clock.sleep(time, WAY_MS);
+      await clock.sleep(time, LATENCY_MS);
       return reply ?? fail('notSent');
     };
-    const late = clock.sleep(time, request.timeoutMs).then(() => fail('lost'));
-    late.catch(() => undefined);
-    return Promise.race([answer(), late]);
+    const timeout = clock.sleep(time, request.timeoutMs).then(() => fail('lost'));
+    timeout.catch(() => undefined);
+    return Promise.race([answer(), timeout]);
   };
   return { time, urls, relays, counts, backAtMs, open, state, hold, count, callStore, ask };
 };
 
-type World = ReturnType<typeof createWorld>;
+type Model = ReturnType<typeof createModel>;
 
-const startProcess = (world: World, role: 'entry' | 'scheduler', machine: number) => {
+const startProcess = (model: Model, role: 'entry' | 'scheduler', machine: number) => {
   const name = `${role}${machine}`;
-  const { time } = world;
-  world.counts.set(name, { own: 0, offers: 0, forOthers: 0, asked: 0 });
+  const { time } = model;
+  model.counts.set(name, { own: 0, offers: 0, forOthers: 0, asked: 0 });
   const contact = viewAge.createViewAge(time);
   const relay = storeRelay.createStoreRelay({
     clock: time,
     log: logging.silentLog,
     direct: (request) => {
-      world.count(name, request.headers['for-other'] === undefined ? 'own' : 'forOthers');
-      return world.hold(request.body.length, async () => {
-        const reply = await world.callStore(machine, request);
-        if (world.state.isOver && reply.status !== 503 && !world.backAtMs.has(name)) {
-          world.backAtMs.set(name, time.monotonicMs());
+      model.count(name, request.headers['for-other'] === undefined ? 'own' : 'forOthers');
+      return model.hold(request.body.length, async () => {
+        const reply = await model.callStore(machine, request);
+        if (model.state.isOver && reply.status !== 503 && !model.backAtMs.has(name)) {
+          model.backAtMs.set(name, time.monotonicMs());
         }
         return reply;
       });
     },
     urls: () => directory.urls(poolKeys.PeerRole.entry),
-    startAt: (machine * GOLDEN_PART) % 1,
+    startAt: (machine * GOLDEN_RATIO) % 1,
     ask: (url, request) => {
-      world.count(name, 'offers');
+      model.count(name, 'offers');
       const bytes = Math.ceil((request.body.length * 4) / 3) + ENVELOPE_BYTES;
       const marked = { ...request, headers: { 'for-other': '1' } };
-      return world.hold(bytes, () => world.ask(url.replace('http://', ''), marked));
+      return model.hold(bytes, () => model.ask(url.replace('http://', ''), marked));
     },
   });
   const store = platformStore.createPlatformStore({
@@ -267,20 +267,20 @@
   const key = poolKeys.peerKey(role, `m${machine}`);
   leasedRecord.keepLeasedRecord({ ...common, key, value: '{}', leaseMs: PRESENCE_LEASE_MS });
   if (role === 'entry') {
-    world.urls.set(key, `http://${name}`);
-    world.relays.set(name, relay);
+    model.urls.set(key, `http://${name}`);
+    model.relays.set(name, relay);
   }
   return { ...common, storeAgeMs: contact.ageMs };
 };
 
 type Process = ReturnType<typeof startProcess>;
 
-const followLeader = async (world: World, { store }: Process): Promise<void> => {
-  while (!world.state.isOver) {
+const followLeader = async (model: Model, { store }: Process): Promise<void> => {
+  while (!model.state.isOver) {
     try {
       await store.watch('leader', 1, LEADER_WATCH_MS, new AbortController().signal);
     } catch {
-      await clock.sleep(world.time, LEADER_RETRY_MS);
+      await clock.sleep(model.time, LEADER_RETRY_MS);
     }
   }
 };
@@ -300,15 +300,15 @@
   });
 };
 
-/** Callers of one entry, evenly spread over the time. */
-const callEntry = async (
-  world: World,
+/** Sends the calls of one entry's callers at regular intervals. */
+const sendCalls = async (
+  model: Model,
   site: Site,
   machine: number,
   desk: jobDesk.JobDesk,
-  seen: Seen[],
+  seen: CallResult[],
 ): Promise<void> => {
-  const { time, state } = world;
+  const { time, state } = model;
   const call = async (isRead: boolean, index: number): Promise<void> => {
     const its: jobDesk.Call = {
       requestId: 'id',
@@ -318,7 +318,7 @@
       deadlineMs: 3000,
     };
     const isCounted = state.isFailing;
-    const beganAtMs = time.monotonicMs();
+    const startedAtMs = time.monotonicMs();
     const draft = { payload: PAYLOAD, steps: [fixtures.makeStep()], schedule: undefined };
     let isServed = true;
     try {
@@ -328,59 +328,59 @@
       isServed = false;
     }
     if (!isCounted) return;
-    const tookMs = time.monotonicMs() - beganAtMs;
+    const tookMs = time.monotonicMs() - startedAtMs;
     seen.push({ isRead, isHit: machine % site.hitOneIn === 0, isServed, tookMs });
   };
-  const gapMs = 500 / site.readsPerSecond;
-  await clock.sleep(time, CALM_MS / 2 + (gapMs * machine) / site.machines);
+  const intervalMs = 500 / site.readsPerSecond;
+  await clock.sleep(time, WARMUP_MS / 2 + (intervalMs * machine) / site.machines);
   for (let index = 0; !state.isOver; index += 1) {
     void call(index % 2 === 0, index);
-    await clock.sleep(time, gapMs);
+    await clock.sleep(time, intervalMs);
   }
 };
 
 /**
- * @param site - the machines and what happens to them
- * @returns what was counted while it happened
+ * @param site - the machines and the fault
+ * @returns the counts during the fault
  */
 export const playOutage = async (site: Site): Promise<OutageFigures> => {
-  const world = createWorld(site);
-  const seen: Seen[] = [];
+  const model = createModel(site);
+  const seen: CallResult[] = [];
   for (let machine = 0; machine < site.machines; machine += 1) {
-    void followLeader(world, startProcess(world, 'scheduler', machine));
-    const desk = createDesk(startProcess(world, 'entry', machine));
-    void callEntry(world, site, machine, desk, seen);
-    await world.time.advance(1500 / site.machines);
+    void followLeader(model, startProcess(model, 'scheduler', machine));
+    const desk = createDesk(startProcess(model, 'entry', machine));
+    void sendCalls(model, site, machine, desk, seen);
+    await model.time.advance(1500 / site.machines);
   }
-  await world.time.advance(CALM_MS);
-  world.state.isFailing = true;
-  world.open.mostExchanges = 0;
-  world.open.mostBytes = 0;
-  await world.time.advance(FAULT_MS);
-  world.state.isFailing = false;
-  const { mostExchanges, mostBytes } = world.open;
-  world.state.isOver = true;
-  const endedAtMs = world.time.monotonicMs();
-  await world.time.advance(LAST_MS);
+  await model.time.advance(WARMUP_MS);
+  model.state.isFailing = true;
+  model.open.mostExchanges = 0;
+  model.open.mostBytes = 0;
+  await model.time.advance(FAULT_DURATION_MS);
+  model.state.isFailing = false;
+  const { mostExchanges, mostBytes } = model.open;
+  model.state.isOver = true;
+  const endedAtMs = model.time.monotonicMs();
+  await model.time.advance(COOLDOWN_MS);
 
-  const counts = [...world.counts.values()];
+  const counts = [...model.counts.values()];
   const perSecond = (of: (count: Count) => number): number =>
-    Math.round((counts.reduce((sum, it) => sum + of(it), 0) * 10_000) / FAULT_MS) / 10;
-  const most = (of: (count: Count) => number): number =>
-    Math.round((Math.max(...counts.map(of)) * 10_000) / FAULT_MS) / 10;
+    Math.round((counts.reduce((sum, it) => sum + of(it), 0) * 10_000) / FAULT_DURATION_MS) / 10;
+  const maxPerSecond = (of: (count: Count) => number): number =>
+    Math.round((Math.max(...counts.map(of)) * 10_000) / FAULT_DURATION_MS) / 10;
   const sent = ({ own, offers, forOthers }: Count): number => own + offers + forOthers;
-  const hit = seen.filter((it) => it.isHit);
+  const affected = seen.filter((it) => it.isHit);
   return {
     ownPerSecond: perSecond((it) => it.own),
     offersPerSecond: perSecond((it) => it.offers),
     forOthersPerSecond: perSecond((it) => it.forOthers),
     allPerSecond: perSecond(sent),
-    busiestPerSecond: most(sent),
-    askedMostPerSecond: most((it) => it.asked),
-    backMostMs: Math.max(...world.backAtMs.values()) - endedAtMs,
+    busiestPerSecond: maxPerSecond(sent),
+    askedMostPerSecond: maxPerSecond((it) => it.asked),
+    backMostMs: Math.max(...model.backAtMs.values()) - endedAtMs,
     mostOpen: mostExchanges,
     mostOpenBytes: mostBytes,
-    reads: figuresOf(hit.filter((it) => it.isRead)),
-    writes: figuresOf(hit.filter((it) => !it.isRead)),
+    reads: figuresOf(affected.filter((it) => it.isRead)),
+    writes: figuresOf(affected.filter((it) => !it.isRead)),
   };
 };
--- a/src/platform/test/scriptedCall.ts
+++ b/src/platform/test/scriptedCall.ts
@@ -1,13 +1,13 @@
 /**
- * A line that answers as a test says, and remembers what was sent.
+ * An HTTP call with scripted answers that records the requests.
  */
 import * as http from '../../base/common/http.js';
 
-/** An answer, or how the exchange fails. */
+/** An answer, or the failure of the exchange. */
 export type Scripted =
   { readonly status: number; readonly body?: unknown } | { readonly failure: http.HttpFailure };
 
-/** What was sent. */
+/** A recorded request. */
 export interface Sent {
   readonly method: string;
   readonly path: string;
@@ -16,7 +16,7 @@
   readonly timeoutMs: number;
 }
 
-/** A line with what went over it. */
+/** The scripted call with its recorded requests. */
 export interface ScriptedCall {
   readonly call: http.HttpCall;
   readonly sent: readonly Sent[];
@@ -26,8 +26,8 @@
   body.byteLength === 0 ? undefined : (JSON.parse(Buffer.from(body).toString('utf8')) as unknown);
 
 /**
- * @param answers - one for each exchange, in their order
- * @returns the line
+ * @param answers - one per request, in order
+ * @returns the scripted call
  */
 export const scriptedCall = (...answers: readonly Scripted[]): ScriptedCall => {
   const sent: Sent[] = [];
@@ -36,7 +36,7 @@
     call: ({ method, path, headers, body, timeoutMs }) => {
       sent.push({ method, path, headers, body: parse(body), timeoutMs });
       const answer = answers[sent.length - 1];
-      if (answer === undefined) throw new Error(`nothing is scripted for ${method} ${path}`);
+      if (answer === undefined) throw new Error(`no scripted answer is left for ${method} ${path}`);
       if ('failure' in answer) {
         return Promise.reject(new http.HttpCallError(answer.failure, answer.failure));
       }
--- a/src/platform/test/storeServer.ts
+++ b/src/platform/test/storeServer.ts
@@ -1,5 +1,5 @@
 /**
- * A record store over the calls of the platform's service, for tests with real programs.
+ * Serves a record store over the platform's store API, for tests that run the real programs.
  */
 import * as errors from '../../base/common/errors.js';
 import * as http from '../../base/common/http.js';
@@ -54,14 +54,18 @@
   const { query, signal } = request;
   const after = Number(query.get('after'));
   const waitMs = Number(query.get('wait_ms'));
-  const seen = await subject.watch(query.get('prefix') ?? '', after, waitMs, signal);
-  if (seen.isGap) return httpServer.jsonReply({}, 410);
-  const removed = seen.deletedKeys.map((key) => ({ key, rev: seen.revision, tombstone: true }));
-  const events = [...seen.entries.map(encode), ...removed];
-  return httpServer.jsonReply({ events, as_of: seen.revision });
+  const changes = await subject.watch(query.get('prefix') ?? '', after, waitMs, signal);
+  if (changes.isGap) return httpServer.jsonReply({}, 410);
+  const removed = changes.deletedKeys.map((key) => ({
+    key,
+    rev: changes.revision,
+    tombstone: true,
+  }));
+  const events = [...changes.entries.map(encode), ...removed];
+  return httpServer.jsonReply({ events, as_of: changes.revision });
 };
 
-const answer = async (
+const handle = async (
   subject: recordStore.RecordStore,
   request: httpServer.ServerRequest,
 ): Promise<httpServer.ServerReply> => {
@@ -84,8 +88,8 @@
     return httpServer.jsonReply({ lease, ttl_ms: ttlMs });
   }
   if (path.startsWith('/-/kv-keep/')) {
-    const stands = await subject.renewLease(leaseIdIn(path));
-    return httpServer.jsonReply({}, stands ? 200 : 404);
+    const isAlive = await subject.renewLease(leaseIdIn(path));
+    return httpServer.jsonReply({}, isAlive ? 200 : 404);
   }
   if (path.startsWith('/-/kv-lease-end/')) {
     await subject.revokeLease(leaseIdIn(path));
@@ -95,15 +99,15 @@
 };
 
 /**
- * @param subject - a store whose leases are named `lease-N`
- * @returns the server, which is silent about writes whose outcome is open
+ * @param subject - a store whose lease ids are `lease-N`
+ * @returns the server, which answers 502 if the outcome of a write is unknown
  */
 export const serveStore = (subject: recordStore.RecordStore): Promise<httpServer.HttpServer> =>
   httpServer.listen(
     { host: '127.0.0.1', port: 0, maxBodyBytes: MAX_BODY_BYTES, maxConnections: 500 },
     httpServer.toListener(async (request) => {
       try {
-        return await answer(subject, request);
+        return await handle(subject, request);
       } catch (thrown) {
         if (thrown instanceof store.StoreOutcomeUnknown) return httpServer.jsonReply({}, 502);
         return httpServer.jsonReply({ reason: errors.normalize(thrown).message }, 503);
@@ -111,6 +115,6 @@
     }, MAX_BODY_BYTES),
   );
 
-/** Where a test's server answers, as the settings write it. */
+/** Formats the address of a test's server as in the settings file. */
 export const addressText = ({ address }: httpServer.HttpServer): string =>
   http.formatAddress(address).slice('http://'.length);
--- a/src/platform/test/workerClient.test.ts
+++ b/src/platform/test/workerClient.test.ts
@@ -1,5 +1,5 @@
 /**
- * The worker's calls as its pages describe them, and what each answer means for an order.
+ * Client of the worker, checked against the worker's documentation, and the outcome of each answer to an order.
  */
 import * as assert from 'node:assert/strict';
 import * as test from 'node:test';
@@ -9,10 +9,10 @@
 import * as workerClient from '../workerClient.js';
 import * as scripted from './scriptedCall.js';
 
-const create = (line: scripted.ScriptedCall): agentContract.WorkerLink =>
+const create = (scriptedCall: scripted.ScriptedCall): agentContract.WorkerLink =>
   workerClient.createWorkerClient({
     address: () => ({ host: '127.0.0.1', port: 1 }),
-    call: line.call,
+    call: scriptedCall.call,
     metrics: metrics.createMetrics(),
   });
 
@@ -34,21 +34,21 @@
 }
 
 const START_CASES: readonly Case[] = [
-  { name: 'taken', answer: { status: 200, body: { clock_ms: 1 } }, outcome: 'accepted' },
+  { name: 'accepted', answer: { status: 200, body: { clock_ms: 1 } }, outcome: 'accepted' },
   {
     name: 'refused with its reason',
     answer: { status: 409, body: { clock_ms: 1, reason: 'room' } },
     outcome: 'refused',
     reason: 'room',
   },
-  { name: 'another life of the worker', answer: { status: 421 }, outcome: 'refused' },
+  { name: 'another incarnation of the worker', answer: { status: 421 }, outcome: 'refused' },
   { name: 'unhealthy: nothing was done', answer: { status: 503 }, outcome: 'refused' },
-  { name: 'busy: nothing was done', answer: { status: 429 }, outcome: 'refused' },
+  { name: 'too many requests: nothing was done', answer: { status: 429 }, outcome: 'refused' },
   { name: 'no connection', answer: { failure: 'notSent' }, outcome: 'refused' },
-  // The order may be carried out seconds later: given to another worker now, the task runs twice.
+  // The order may be executed seconds later: if another worker got the task now, it would run twice.
   { name: 'no answer', answer: { failure: 'timeout' }, outcome: 'unknown' },
-  { name: 'an answer that is cut', answer: { failure: 'lost' }, outcome: 'unknown' },
-  { name: 'a failure after the deed', answer: { status: 500 }, outcome: 'unknown' },
+  { name: 'a truncated answer', answer: { failure: 'lost' }, outcome: 'unknown' },
+  { name: 'a failure after the order was executed', answer: { status: 500 }, outcome: 'unknown' },
 ];
 
 test.describe('workerClient', () => {
@@ -60,10 +60,10 @@
     });
   }
 
-  test.it('a start names the life that it is meant for and leaves out what is empty', async () => {
-    const line = scripted.scriptedCall({ status: 200 });
-    await create(line).start('i-1', START);
-    const [sent] = line.sent;
+  test.it('a start names the intended worker and omits empty fields', async () => {
+    const scriptedCall = scripted.scriptedCall({ status: 200 });
+    await create(scriptedCall).start('i-1', START);
+    const [sent] = scriptedCall.sent;
     assert.equal(sent?.path, '/-/run-start');
     assert.equal(sent.headers['auburnlift-expect-instance'], 'i-1');
     assert.deepEqual(sent.body, {
@@ -75,12 +75,12 @@
     });
   });
 
-  test.it('a look renews nothing without a lease', async () => {
+  test.it('a report request without a lease renews nothing', async () => {
     const view = { clock_ms: 9, born: 3, running: [['j.0.0.0', 2, 's', 41, 7]], ended: [] };
-    const line = scripted.scriptedCall({ status: 200, body: view });
+    const scriptedCall = scripted.scriptedCall({ status: 200, body: view });
     const request = { fence: 7, leaseUntilMs: 0, seenUpTo: 4, waitMs: 100 };
-    const answer = await create(line).view(undefined, request);
-    assert.deepEqual(line.sent[0]?.body, { fence: 7, seen_upto: 4, wait_ms: 100 });
+    const answer = await create(scriptedCall).view(undefined, request);
+    assert.deepEqual(scriptedCall.sent[0]?.body, { fence: 7, seen_upto: 4, wait_ms: 100 });
     assert.deepEqual(answer, {
       outcome: 'view',
       view: {
@@ -93,20 +93,20 @@
   });
 
   const UNREADABLE: readonly [string, scripted.Scripted][] = [
-    ['bytes that are no JSON', { status: 200, body: 'garbage' }],
-    // Half a list would say that the rest is gone, and the rest would be started again.
-    ['a row of another form', { status: 200, body: { clock_ms: 1, running: [['t']], ended: [] } }],
+    ['bytes that are not JSON', { status: 200, body: 'garbage' }],
+    // With a partial report the missing runs would count as gone and be started again.
+    ['a malformed row', { status: 200, body: { clock_ms: 1, running: [['t']], ended: [] } }],
     [
-      'an end of another kind',
+      'an unknown kind of end',
       { status: 200, body: { clock_ms: 1, ended: [[1, 't', 1, '?', '']] } },
     ],
     ['a clock of another type', { status: 200, body: { clock_ms: 'now' } }],
   ];
   for (const [name, answer] of UNREADABLE) {
-    test.it(`a look that gives ${name} gives nothing`, async () => {
+    test.it(`a report with ${name} is not decoded`, async () => {
       const request = { fence: 7, leaseUntilMs: 0, seenUpTo: 0, waitMs: 0 };
-      const got = await create(scripted.scriptedCall(answer)).view('i-1', request);
-      assert.equal(got.outcome, 'unknown');
+      const received = await create(scripted.scriptedCall(answer)).view('i-1', request);
+      assert.equal(received.outcome, 'unknown');
     });
   }
 });
--- a/src/platform/test/workerServer.ts
+++ b/src/platform/test/workerServer.ts
@@ -1,5 +1,5 @@
 /**
- * A worker over the calls of the platform's workers, with its heartbeats, for tests with real programs.
+ * Serves a worker over the platform's worker API and sends its heartbeats, for tests that run the real programs.
  */
 import * as http from 'node:http';
 
@@ -7,7 +7,7 @@
 import type * as poolWorker from '../../state/common/pool/poolWorker.js';
 import * as httpServer from '../../transport/node/httpServer.js';
 
-/** What stands behind the calls. */
+/** The worker that handles the calls. */
 export interface ServedWorker {
   readonly link: agentContract.WorkerLink;
   readonly info: () => poolWorker.WorkerInfo;
@@ -48,7 +48,7 @@
   });
 };
 
-const answer = async (
+const handle = async (
   worker: ServedWorker,
   request: httpServer.ServerRequest,
 ): Promise<httpServer.ServerReply> => {
@@ -90,16 +90,16 @@
     born: info.incarnationMs,
   });
 
-/** A served worker. */
+/** A running server with its heartbeats. */
 export interface WorkerServer {
   readonly server: httpServer.HttpServer;
   readonly dispose: () => Promise<void>;
 }
 
 /**
- * @param worker - what stands behind the calls
- * @param agentPort - where its agent hears heartbeats
- * @returns the server, which beats until it is disposed
+ * @param worker - the worker that handles the calls
+ * @param agentPort - port on which its agent receives heartbeats
+ * @returns the server, which sends heartbeats until it is disposed
  */
 export const serveWorker = async (
   worker: ServedWorker,
@@ -108,10 +108,10 @@
   const maxBodyBytes = 1_048_576;
   const server = await httpServer.listen(
     { host: '127.0.0.1', port: 0, maxBodyBytes, maxConnections: 100 },
-    httpServer.toListener((request) => answer(worker, request), maxBodyBytes),
+    httpServer.toListener((request) => handle(worker, request), maxBodyBytes),
   );
   let sequence = 0;
-  const beat = (): void => {
+  const sendHeartbeat = (): void => {
     sequence += 1;
     const info = worker.info();
     const request = http.request({
@@ -120,12 +120,12 @@
       method: 'POST',
       path: `/-/Instances.Heartbeat/${info.workerId}`,
     });
-    // The agent may be down just now; the next beat tells.
+    // The agent may be down at present; a later heartbeat will reach it.
     request.on('error', () => undefined);
     request.on('response', (response) => response.resume());
     request.end(heartbeatOf(info, sequence));
   };
-  const timer = setInterval(beat, HEARTBEAT_MS);
+  const timer = setInterval(sendHeartbeat, HEARTBEAT_MS);
   return {
     server,
     dispose: async () => {
--- a/src/platform/workerClient.ts
+++ b/src/platform/workerClient.ts
@@ -1,6 +1,6 @@
 /**
- * The worker beside an agent, over its calls. None of them throws: each failure is an outcome that the
- * agent acts on.
+ * Client of an agent for the worker on its machine. No call throws: each failure is an outcome that the
+ * agent handles.
  */
 import * as errors from '../base/common/errors.js';
 import * as http from '../base/common/http.js';
@@ -8,17 +8,17 @@
 import type * as agentContract from '../state/common/pool/agentContract.js';
 import * as workerWire from './workerWire.js';
 
-/** How the worker is reached. */
+/** Options of the client. */
 export interface WorkerClientOptions {
   readonly address: () => http.Address;
   readonly call: http.HttpCall;
   readonly metrics: metrics.Metrics;
 }
 
-/** Header that names the worker's life that a call is meant for. */
-const EXPECT_HEADER = 'auburnlift-expect-instance';
+/** Header with the id of the worker for which a call is intended. */
+const EXPECTED_WORKER_HEADER = 'auburnlift-expect-instance';
 
-/** The worker stands on the same machine and answers in a millisecond; busy machines take longer. */
+/** The worker runs on the same machine and answers within a millisecond; busy machines take longer. */
 const TIMEOUT_MS = 600;
 
 const OK = 200;
@@ -30,14 +30,14 @@
     const { reason } = JSON.parse(Buffer.from(reply.body).toString('utf8')) as { reason?: string };
     return reason ?? `status ${reply.status}`;
   } catch {
-    // Only for the log: the status says what matters.
+    // The reason is only logged; the status determines the outcome.
     return `status ${reply.status}`;
   }
 };
 
 /**
- * @param options - how the worker is reached
- * @returns the worker
+ * @param options - options of the client
+ * @returns the client
  */
 export const createWorkerClient = (options: WorkerClientOptions): agentContract.WorkerLink => {
   const send = (
@@ -53,14 +53,14 @@
       path: `/-/${operation}`,
       headers: {
         'content-type': 'application/json',
-        ...(workerId === undefined ? {} : { [EXPECT_HEADER]: workerId }),
+        ...(workerId === undefined ? {} : { [EXPECTED_WORKER_HEADER]: workerId }),
       },
       body: Buffer.from(JSON.stringify(body)),
       timeoutMs,
     });
   };
 
-  const order = async (
+  const sendOrder = async (
     operation: string,
     workerId: string,
     body: object,
@@ -68,32 +68,32 @@
     try {
       const reply = await send(operation, workerId, body, TIMEOUT_MS);
       if (reply.status === OK) return { outcome: 'accepted', reason: '' };
-      // The worker says with these that it did nothing; any other failure may come after the deed.
+      // With these statuses the worker did nothing; any other failure may occur after it executed the order.
       const isRefusal = reply.status < SERVER_ERROR || reply.status === UNAVAILABLE;
       return { outcome: isRefusal ? 'refused' : 'unknown', reason: reasonOf(reply) };
     } catch (thrown) {
-      const isUnseen =
+      const isNotSent =
         thrown instanceof http.HttpCallError && thrown.failure === http.HttpFailure.notSent;
       const reason = errors.normalize(thrown).message;
-      return { outcome: isUnseen ? 'refused' : 'unknown', reason };
+      return { outcome: isNotSent ? 'refused' : 'unknown', reason };
     }
   };
 
   return {
     start: (workerId, start) =>
-      order('run-start', workerId, {
+      sendOrder('run-start', workerId, {
         task: start.task,
         run: start.run,
         spec: start.payload,
-        /** A time on the worker's clock: the end of the lease. */
+        /** End of the lease, on the worker's clock. */
         deadline_ms: start.leaseUntilMs,
         fence: start.fence,
         ...(start.saved === '' ? {} : { saved: start.saved }),
         ...(start.ticket === undefined ? {} : { ticket: start.ticket }),
       }),
-    stop: (workerId, { task, run, fence }) => order('run-stop', workerId, { task, run, fence }),
+    stop: (workerId, { task, run, fence }) => sendOrder('run-stop', workerId, { task, run, fence }),
     pace: (workerId, { task, run, percent, fence }) =>
-      order('pace', workerId, { task, run, percent, fence }),
+      sendOrder('pace', workerId, { task, run, percent, fence }),
     view: async (workerId, request) => {
       const body = {
         ...(request.leaseUntilMs === 0 ? {} : { deadline_ms: request.leaseUntilMs }),
--- a/src/platform/workerWire.ts
+++ b/src/platform/workerWire.ts
@@ -1,6 +1,6 @@
 /**
- * What a worker writes: its heartbeats and its lists of runs, decoded into the product's types. What
- * can't be read names no worker and gives `undefined`; it may come from another writer.
+ * Decodes a worker's heartbeats and reports of runs into the product's types. Input that can't be
+ * decoded, perhaps because another program sent it, yields `undefined`.
  */
 import * as Schema from 'effect/Schema';
 
@@ -29,7 +29,7 @@
   zone: Schema.String,
   state: Schema.Literals(['ready', 'draining']),
   capacity: Schema.optionalKey(Capacity),
-  /** The worker's kind and its rack, in this order. */
+  /** The worker's kind and then its rack. */
   labels: Schema.optionalKey(Schema.Array(Schema.String)),
   machine: Schema.optionalKey(Schema.String),
   seq: Count,
@@ -53,7 +53,7 @@
 
 const END_KINDS: readonly string[] = ['done', 'failed', 'stopped', 'lapsed', 'broken', 'alone'];
 
-/** A rack's label, beside that of the worker's kind. */
+/** Index of the rack in the labels, after the worker's kind. */
 const RACK_INDEX = 1;
 
 const toResources = (capacity: typeof Capacity.Type | undefined): poolJob.Resources => ({
@@ -66,15 +66,15 @@
   try {
     return JSON.parse(Buffer.from(body).toString('utf8')) as unknown;
   } catch {
-    // Bytes of another writer; the caller counts and logs what could not be read.
+    // Perhaps sent by another program; the caller counts and logs unreadable input.
     return undefined;
   }
 };
 
 /**
  * @param workerId - the id in the path of the call
- * @param body - what the worker sent
- * @returns the heartbeat, or undefined where it can't be read
+ * @param body - body of the call
+ * @returns the heartbeat, or undefined if it can't be decoded
  */
 export const decodeHeartbeat = (
   workerId: string,
@@ -132,9 +132,9 @@
 };
 
 /**
- * @param body - a worker's answer to a look at its runs
- * @returns the list, or undefined where any part of it can't be read: half a list would say that the
- *   rest is gone
+ * @param body - a worker's answer to a request for its runs
+ * @returns the report, or undefined if any part of it can't be decoded: with a partial report, the
+ *   missing runs would count as gone
  */
 export const decodeView = (body: Uint8Array): poolWorker.WorkerView | undefined => {
   const decoded = schemaIssues.decode(ViewBody, parseJson(body), schemaIssues.Excess.ignore);
--- a/src/state/common/pool/agentContract.ts
+++ b/src/state/common/pool/agentContract.ts
@@ -178,7 +178,7 @@
 
 /** Calls of an agent to the worker on its machine. None of them throws. */
 export interface WorkerLink {
-  /** @param workerId - the intended incarnation; any other refuses the order */
+  /** @param workerId - the intended worker; any other refuses the order */
   readonly start: (workerId: string, order: WorkerStart) => Promise<WorkerAnswer>;
   readonly stop: (
     workerId: string,
