--- a/src/platform/test/relayOutage.test.ts
+++ b/src/platform/test/relayOutage.test.ts
@@ -27,8 +27,8 @@
 
 for (const readsPerSecond of READ_RATES) {
   test.describe(`${MACHINES} machines without the store, ${readsPerSecond} reads/s`, () => {
-    const site = { machines: MACHINES, readsPerSecond, hitOneIn: 1 };
-    const baselineRun = relayOutage.playOutage({ ...site, fault: Fault.none });
+    const scenario = { machines: MACHINES, readsPerSecond, affectedOneIn: 1 };
+    const baselineRun = relayOutage.simulateOutage({ ...scenario, fault: Fault.none });
 
     test.it('without a fault all calls are served', async (context) => {
       const baseline = await baselineRun;
@@ -41,7 +41,7 @@
       // Guards against an outage in which the system's own load exceeds that without a fault.
       test.it(`${fault} for all: no more exchanges than without a fault`, async (context) => {
         const baseline = await baselineRun;
-        const seen = await relayOutage.playOutage({ ...site, fault });
+        const seen = await relayOutage.simulateOutage({ ...scenario, fault });
         context.diagnostic(`all ${fault} ${JSON.stringify(seen)}`);
         assert.ok(seen.allPerSecond <= baseline.allPerSecond, 'exchanges of all processes');
         assert.ok(seen.busiestPerSecond <= baseline.busiestPerSecond, 'exchanges of one process');
@@ -58,8 +58,8 @@
   for (const fault of FAULTS) {
     // Guards against a limit on outage traffic that denies relays to machines that need them.
     test.it(`${fault}: callers there are served through other machines`, async (context) => {
-      const site = { machines: MACHINES, readsPerSecond: HIGH_READ_RATE, hitOneIn: 3 };
-      const seen = await relayOutage.playOutage({ ...site, fault });
+      const scenario = { machines: MACHINES, readsPerSecond: HIGH_READ_RATE, affectedOneIn: 3 };
+      const seen = await relayOutage.simulateOutage({ ...scenario, fault });
       context.diagnostic(`third ${fault} ${JSON.stringify(seen)}`);
       assert.ok(seen.reads.served >= seen.reads.calls * MIN_SERVED_SHARE, 'reads');
       assert.ok(seen.writes.served >= seen.writes.calls * MIN_SERVED_SHARE, 'writes');
--- a/src/platform/test/relayOutage.ts
+++ b/src/platform/test/relayOutage.ts
@@ -24,13 +24,13 @@
 export type Fault = (typeof Fault)[keyof typeof Fault];
 
 /** Machines that each run an entry and a scheduler, and the fault injected. */
-export interface Site {
+export interface Scenario {
   readonly machines: number;
   /** Callers' reads per second at each entry, and the same number of writes. */
   readonly readsPerSecond: number;
   readonly fault: Fault;
   /** One in this many machines is affected; 1 means all. */
-  readonly hitOneIn: number;
+  readonly affectedOneIn: number;
 }
 
 /** Exchanges of one process: its own store calls, relay offers sent, store calls for others, offers received. */
@@ -148,7 +148,7 @@
 
 interface CallResult {
   readonly isRead: boolean;
-  readonly isHit: boolean;
+  readonly isAffected: boolean;
   readonly isServed: boolean;
   readonly tookMs: number;
 }
@@ -164,7 +164,7 @@
 };
 
 /** Creates the state shared by the processes. */
-const createModel = (site: Site) => {
+const createModel = (scenario: Scenario) => {
   const time = clock.createFakeClock(1_000_000);
   const urls = new Map<string, string>();
   const relays = new Map<string, storeRelay.StoreRelay>();
@@ -191,7 +191,7 @@
     if (state.isFailing && its !== undefined) its[kind] += 1;
   };
   const activeFault = (machine: number): Fault =>
-    state.isFailing && machine % site.hitOneIn === 0 ? site.fault : Fault.none;
+    state.isFailing && machine % scenario.affectedOneIn === 0 ? scenario.fault : Fault.none;
 
   const callStore = async (machine: number, request: http.HttpRequest): Promise<http.HttpReply> => {
     const fault = activeFault(machine);
@@ -303,7 +303,7 @@
 /** Sends the calls of one entry's callers at regular intervals. */
 const sendCalls = async (
   model: Model,
-  site: Site,
+  scenario: Scenario,
   machine: number,
   desk: jobDesk.JobDesk,
   seen: CallResult[],
@@ -329,10 +329,10 @@
     }
     if (!isCounted) return;
     const tookMs = time.monotonicMs() - startedAtMs;
-    seen.push({ isRead, isHit: machine % site.hitOneIn === 0, isServed, tookMs });
+    seen.push({ isRead, isAffected: machine % scenario.affectedOneIn === 0, isServed, tookMs });
   };
-  const intervalMs = 500 / site.readsPerSecond;
-  await clock.sleep(time, WARMUP_MS / 2 + (intervalMs * machine) / site.machines);
+  const intervalMs = 500 / scenario.readsPerSecond;
+  await clock.sleep(time, WARMUP_MS / 2 + (intervalMs * machine) / scenario.machines);
   for (let index = 0; !state.isOver; index += 1) {
     void call(index % 2 === 0, index);
     await clock.sleep(time, intervalMs);
@@ -340,17 +340,17 @@
 };
 
 /**
- * @param site - the machines and the fault
+ * @param scenario - the machines and the fault
  * @returns the counts during the fault
  */
-export const playOutage = async (site: Site): Promise<OutageFigures> => {
-  const model = createModel(site);
+export const simulateOutage = async (scenario: Scenario): Promise<OutageFigures> => {
+  const model = createModel(scenario);
   const seen: CallResult[] = [];
-  for (let machine = 0; machine < site.machines; machine += 1) {
+  for (let machine = 0; machine < scenario.machines; machine += 1) {
     void followLeader(model, startProcess(model, 'scheduler', machine));
     const desk = createDesk(startProcess(model, 'entry', machine));
-    void sendCalls(model, site, machine, desk, seen);
-    await model.time.advance(1500 / site.machines);
+    void sendCalls(model, scenario, machine, desk, seen);
+    await model.time.advance(1500 / scenario.machines);
   }
   await model.time.advance(WARMUP_MS);
   model.state.isFailing = true;
@@ -369,7 +369,7 @@
   const maxPerSecond = (of: (count: Count) => number): number =>
     Math.round((Math.max(...counts.map(of)) * 10_000) / FAULT_DURATION_MS) / 10;
   const sent = ({ own, offers, forOthers }: Count): number => own + offers + forOthers;
-  const affected = seen.filter((it) => it.isHit);
+  const affected = seen.filter((it) => it.isAffected);
   return {
     ownPerSecond: perSecond((it) => it.own),
     offersPerSecond: perSecond((it) => it.offers),
