--- a/src/platform/platformStore.ts
+++ b/src/platform/platformStore.ts
@@ -180,10 +180,10 @@
       reply = await send(operation, 'POST', path, rest);
     } catch (thrown) {
       options.metrics.count('auburnlift_store_failures_total', { operation });
-      const isNotSent =
+      const isUnseen =
         thrown instanceof http.HttpCallError && thrown.failure === http.HttpFailure.notSent;
       const { message } = errors.normalize(thrown);
-      if (isNotSent) throw unavailable(operation, message);
+      if (isUnseen) throw unavailable(operation, message);
       throw new store.StoreOutcomeUnknown(message);
     }
     const { status } = reply;
@@ -205,11 +205,11 @@
   };
 
   const nextPage = async (prefix: string, after: string): Promise<WirePage> => {
-    for (let attempt = 1; ; attempt += 1) {
+    for (let tries = 1; ; tries += 1) {
       try {
         return await listPage(prefix, after);
       } catch (thrown) {
-        if (options.clock === undefined || attempt === PAGE_ATTEMPTS) throw thrown;
+        if (options.clock === undefined || tries === PAGE_ATTEMPTS) throw thrown;
         await clock.sleep(options.clock, PAGE_PAUSE_MS);
       }
     }
--- a/src/platform/workerClient.ts
+++ b/src/platform/workerClient.ts
@@ -72,10 +72,10 @@
       const isRefusal = reply.status < SERVER_ERROR || reply.status === UNAVAILABLE;
       return { outcome: isRefusal ? 'refused' : 'unknown', reason: reasonOf(reply) };
     } catch (thrown) {
-      const isNotSent =
+      const isUnseen =
         thrown instanceof http.HttpCallError && thrown.failure === http.HttpFailure.notSent;
       const reason = errors.normalize(thrown).message;
-      return { outcome: isNotSent ? 'refused' : 'unknown', reason };
+      return { outcome: isUnseen ? 'refused' : 'unknown', reason };
     }
   };
 
