--- a/src/platform/adviceClient.ts
+++ b/src/platform/adviceClient.ts
@@ -52,7 +52,7 @@
     const { allowed = [], valid_ms: validMs = DEFAULT_VALID_MS } = schemaIssues.decodeOrFail(
       Reply,
       parsed,
-      'the policy service reply',
+      'the advice reply',
       schemaIssues.Excess.ignore,
     );
     return { ticketsByWorker: new Map(allowed), validMs };
