--- a/src/coordination/common/pool/addressRecord.ts
+++ b/src/coordination/common/pool/addressRecord.ts
@@ -1,16 +1,16 @@
 /**
- * The record by which a process is found.
+ * Encoding of the store record that holds the address of a process.
  */
 
 /**
- * @param url - where the process listens
- * @returns value of its record
+ * @param url - URL on which the process listens
+ * @returns the value of its record
  */
 export const formatAddressRecord = (url: string): string => JSON.stringify({ url });
 
 /**
- * @param text - value of a record
- * @returns where the process listens; undefined where the record can't be read
+ * @param text - the value of a record
+ * @returns the URL; undefined where the record can't be parsed
  */
 export const parseAddressRecord = (text: string): string | undefined => {
   try {
--- a/src/coordination/common/pool/claimHeadroom.ts
+++ b/src/coordination/common/pool/claimHeadroom.ts
@@ -1,37 +1,40 @@
 /**
- * Room that is left to claims by work that can wait.
+ * Capacity that deferrable work leaves for claims, which are starts within a customer's guarantee.
  *
- * Load it answers: a burst of lasting work that saves nothing. It takes every worker, and each claim that
- * comes then throws some of it away.
+ * Without it a burst of long tasks that save no checkpoints takes every worker, and each later claim
+ * preempts some of them and loses their work.
  */
 import * as gangPlacement from './gangPlacement.js';
 import type * as planTypes from './planTypes.js';
 
-/** Share of the workers that work which can wait leaves to claims. */
+/** Share of the workers that deferrable work leaves for claims. */
 const HEADROOM_SHARE = 0.25;
 
-/** Work that must begin within this time goes wherever there is room. */
+/** Work with no more slack than this is placed wherever there is capacity. */
 const HEADROOM_SLACK_MS = 2000;
 
-/** The room that is left to claims, as a round goes on. */
+/** Tracks the capacity left for claims during one round. */
 export interface ClaimHeadroom {
   /**
-   * @param placement - where a unit would go
-   * @param near - groups of workers near its data
-   * @returns where it goes instead, or undefined where it waits
+   * @param placement - where a unit would be placed
+   * @param localGroups - groups of workers local to its data
+   * @returns the same or another placement that leaves enough for claims; undefined where it waits
    */
   readonly spare: (
     placement: planTypes.Placement,
-    near: gangPlacement.CandidateGroups,
+    localGroups: gangPlacement.CandidateGroups,
   ) => planTypes.Placement | undefined;
   readonly noteStart: (placement: planTypes.Placement) => void;
 }
 
-/** A claim can have it whole at no loss: nothing runs there, or only what saves itself. */
-const isCheaplyReclaimed = (worker: planTypes.PlanWorker): boolean => {
-  const held = worker.holdings.filter((it) => it.priority > 0 && it.isCheckpointing);
-  const room = held.reduce((sum, it) => sum + it.room.accelerators, worker.free.accelerators);
-  return room >= worker.capacity.accelerators && worker.capacity.accelerators > 0;
+/** A claim can take the entire worker without loss: it is idle, or all that runs there checkpoints. */
+const isReclaimableWithoutLoss = (worker: planTypes.PlanWorker): boolean => {
+  const preemptible = worker.holdings.filter((it) => it.priority > 0 && it.isCheckpointing);
+  const reclaimable = preemptible.reduce(
+    (sum, it) => sum + it.room.accelerators,
+    worker.free.accelerators,
+  );
+  return reclaimable >= worker.capacity.accelerators && worker.capacity.accelerators > 0;
 };
 
 const canWait = (unit: planTypes.PlanUnit, nowMs: number): boolean =>
@@ -40,29 +43,32 @@
   nowMs < unit.latestStartMs - HEADROOM_SLACK_MS;
 
 /**
- * @param workers - workers at the beginning of a round
+ * @param workers - workers at the start of a round
  * @param nowMs - the leader's clock
- * @returns the room that is left to claims
+ * @returns a tracker of the capacity left for claims
  */
 export const createClaimHeadroom = (
   workers: readonly planTypes.PlanWorker[],
   nowMs: number,
 ): ClaimHeadroom => {
-  const cheapIds = new Set(workers.filter(isCheaplyReclaimed).map(({ workerId }) => workerId));
-  const minCheap = Math.floor(HEADROOM_SHARE * workers.length);
-  const isCheap = ({ workerId }: planTypes.PlanWorker): boolean => cheapIds.has(workerId);
+  const reclaimableIds = new Set(
+    workers.filter(isReclaimableWithoutLoss).map(({ workerId }) => workerId),
+  );
+  const minReclaimable = Math.floor(HEADROOM_SHARE * workers.length);
+  const isReclaimable = ({ workerId }: planTypes.PlanWorker): boolean =>
+    reclaimableIds.has(workerId);
 
   return {
-    spare: (placement, near) => {
-      const taken = new Set(placement.workers.filter(isCheap));
-      const isEnoughLeft = taken.size === 0 || cheapIds.size - taken.size >= minCheap;
+    spare: (placement, localGroups) => {
+      const taken = new Set(placement.workers.filter(isReclaimable));
+      const isEnoughLeft = taken.size === 0 || reclaimableIds.size - taken.size >= minReclaimable;
       if (isEnoughLeft || !canWait(placement.unit, nowMs)) return placement;
-      const others = near.map((its) => its.filter((it) => !isCheap(it)));
+      const others = localGroups.map((its) => its.filter((it) => !isReclaimable(it)));
       return gangPlacement.placeNow(others, placement.unit);
     },
     noteStart: ({ unit, workers: its }) => {
       if (unit.unit.step.isCheckpointing) return;
-      for (const { workerId } of its) cheapIds.delete(workerId);
+      for (const { workerId } of its) reclaimableIds.delete(workerId);
     },
   };
 };
--- a/src/coordination/common/pool/doneRuns.ts
+++ b/src/coordination/common/pool/doneRuns.ts
@@ -1,11 +1,11 @@
 /**
- * Runs that a leader has seen done and that are not stored yet, kept by its process beyond its term.
+ * Runs that are known to be done but not stored yet; a process keeps them beyond its term as leader.
  *
- * Load it answers: the store is away for everybody for seconds, work ends meanwhile, and its workers are lost
- * before the store is back. A leader that comes back would begin that work again.
+ * Without it, if the store is unavailable for seconds and workers are lost after their runs are done, a
+ * process that becomes leader again would start the same work again.
  */
 
-/** A run that was done. */
+/** A run that is done. */
 export interface DoneRun {
   /** The task's name. */
   readonly task: string;
@@ -15,13 +15,13 @@
 /** Done runs that are not stored yet. */
 export interface DoneRuns {
   readonly add: (done: DoneRun) => void;
-  /** It is stored now. */
+  /** Removes a run whose end has been stored. */
   readonly remove: (done: DoneRun) => void;
   readonly all: () => readonly DoneRun[];
 }
 
 /**
- * @returns no runs
+ * @returns an empty collection
  */
 export const createDoneRuns = (): DoneRuns => {
   const runs = new Map<string, DoneRun>();
--- a/src/coordination/common/pool/endLedger.ts
+++ b/src/coordination/common/pool/endLedger.ts
@@ -1,21 +1,21 @@
 /**
- * Which ends that one life of a worker listed are stored without a gap: only these may be forgotten by
- * the worker, since a gap would be an end that nobody knows after the leader has died.
+ * Tracks which run ends reported by one worker incarnation are stored without a gap. The worker forgets
+ * what is acknowledged, so an end acknowledged before it is stored would be lost if the leader died.
  */
 
-/** The ends of one life of a worker. */
+/** The run ends that one worker incarnation has reported. */
 export interface EndLedger {
-  /** @param sequence - an end that is being stored; they come in their order */
+  /** @param sequence - an end that is being stored; ends are added in ascending order */
   readonly add: (sequence: number) => void;
   /**
-   * @param sequence - an end that is stored now
-   * @returns the highest end up to which all are stored
+   * @param sequence - an end that has been stored
+   * @returns the highest sequence up to which all ends are stored
    */
   readonly note: (sequence: number) => number;
 }
 
 /**
- * @returns a ledger without ends
+ * @returns a tracker without ends
  */
 export const createEndLedger = (): EndLedger => {
   const open = new Set<number>();
--- a/src/coordination/common/pool/estimateBook.ts
+++ b/src/coordination/common/pool/estimateBook.ts
@@ -1,58 +1,58 @@
 /**
- * What tasks take, by what their submitters declare and by what the queue's jobs have taken.
+ * Runtime estimates of tasks, from the submitters' declarations and the observed work of each queue.
  *
- * Load it answers: queues whose declared work is off by several times, either way. Taken at its word, an
- * urgent job that declares a sixth of its work looks too late to be of use while it is well in time, and is
- * put behind everything else; tasks that declare a fraction look held up wherever they run.
+ * Some queues declare several times too much or too little. Taken at face value, an urgent job that
+ * declares a sixth of its work seems past its deadline while it is still in time, and is deprioritized
+ * behind everything else; tasks that declare a fraction seem to be stragglers on every worker.
  */
 import type * as poolJob from '../../../state/common/pool/poolJob.js';
 
-/** Work of one task as it was declared and as it turned out. */
-interface SeenWork {
+/** Declared and observed work of one task. */
+interface ObservedWork {
   readonly declaredMs: number;
   readonly workMs: number;
 }
 
-/** How the works of a queue spread, in logarithms, and how far its declarations were off. */
+/** Distribution of the work in a queue, in logarithms, and the error of its declarations. */
 interface QueueSummary {
   readonly meanWork: number;
-  /** Declared against true work; above 0 where too much is declared. */
+  /** Logarithm of declared over observed work; above 0 where too much is declared. */
   readonly meanError: number;
-  /** Weight of the declaration beside the queue's usual work, 0 to 1. */
+  /** Weight of the declaration against the queue's usual work, 0 to 1. */
   readonly declaredShare: number;
 }
 
-interface QueueBook {
-  /** By job: tasks of one job are declared alike. */
-  readonly seen: Map<string, SeenWork>;
+interface QueueObservations {
+  /** Observations by job, since tasks of one job are declared alike. */
+  readonly observed: Map<string, ObservedWork>;
   readonly summary: QueueSummary;
 }
 
-/** What is known of the queues' work. */
+/** Observed work of all queues. */
 export interface EstimateBook {
-  readonly queues: Map<string, QueueBook>;
+  readonly queues: Map<string, QueueObservations>;
 }
 
-/** Jobs that are remembered of a queue: its ways may change within an hour. */
-const REMEMBERED = 40;
+/** Jobs remembered of each queue: what a queue runs may change within an hour. */
+const MAX_JOBS_PER_QUEUE = 40;
 
-/** With fewer nothing is believed: a queue that nobody has seen yet. */
+/** The declarations of a queue with fewer observed jobs are not trusted. */
 const MIN_JOBS = 3;
 
-/** Share of the jobs that may have taken longer still; a slow worker may have had them. */
+/** Share of the jobs that may fall below {@link MIN_RATIO}; they may have run on a slow worker. */
 const LOW_SHARE = 0.15;
 
-/** Below it a task that takes long says more of its declaration than of its worker. */
+/** Below this ratio of declared to observed work the declaration is at fault, not the worker. */
 const MIN_RATIO = 0.5;
 
-/** What is believed before anything was seen counts like so many jobs. */
+/** The prior weighs as much as this many observed jobs. */
 const PRIOR_JOBS = 2;
 
-/** Variance believed beforehand, of logarithms: kinds of jobs spread over a few times their mean. */
+/** Prior variance of the logarithm of work: kinds of jobs spread over a few times their mean. */
 const PRIOR_WORK_VARIANCE = 0.5;
 
 /**
- * @returns a book in which no queue stands yet
+ * @returns estimates without observations
  */
 export const createEstimateBook = (): EstimateBook => ({ queues: new Map() });
 
@@ -61,56 +61,56 @@
 
 const meanSquare = (values: readonly number[]): number => mean(values.map((it) => it * it));
 
-/** Variance about the mean, drawn towards what is believed beforehand. */
+/** Variance about the mean, shrunk towards the prior. */
 const varianceOf = (values: readonly number[], priorVariance: number): number => {
   const center = mean(values);
   const squares = values.reduce((sum, it) => sum + (it - center) ** 2, 0);
   return (PRIOR_JOBS * priorVariance + squares) / (PRIOR_JOBS + values.length);
 };
 
-const summarize = (seen: readonly SeenWork[]): QueueSummary => {
-  const works = seen.map((it) => Math.log(it.workMs));
-  const errors = seen.map((it) => Math.log(it.declaredMs / it.workMs));
-  const workVariance = varianceOf(works, PRIOR_WORK_VARIANCE) * (1 + 1 / seen.length);
-  // What is believed of declarations beforehand is how far this queue's have been off.
+const summarize = (observed: readonly ObservedWork[]): QueueSummary => {
+  const works = observed.map((it) => Math.log(it.workMs));
+  const errors = observed.map((it) => Math.log(it.declaredMs / it.workMs));
+  const workVariance = varianceOf(works, PRIOR_WORK_VARIANCE) * (1 + 1 / observed.length);
+  // The prior variance of declarations is the mean square error of this queue's own.
   const errorVariance = varianceOf(errors, meanSquare(errors));
   return {
     meanWork: mean(works),
-    meanError: mean(errors) * (seen.length / (seen.length + PRIOR_JOBS)),
+    meanError: mean(errors) * (observed.length / (observed.length + PRIOR_JOBS)),
     declaredShare: workVariance / (workVariance + errorVariance),
   };
 };
 
 /**
- * @param book - the book
- * @param job - the job of a task that was done
- * @param step - its step, with what its submitter declared
- * @param workMs - its work near its data; 0 where that is not known
+ * @param estimates - the estimates
+ * @param job - the job of a task that is done
+ * @param step - its step, with the declared runtime
+ * @param workMs - observed runtime, converted to that with local data; 0 where unknown
  */
 export const noteDone = (
-  book: EstimateBook,
+  estimates: EstimateBook,
   job: poolJob.PoolJob,
   step: poolJob.Step,
   workMs: number,
 ): void => {
   if (workMs <= 0) return;
   const { queue } = job.policy;
-  const seen = book.queues.get(queue)?.seen ?? new Map<string, SeenWork>();
-  seen.set(job.jobId, { declaredMs: Math.max(1, step.estimatedMs), workMs });
-  const [oldest] = seen.keys();
-  if (seen.size > REMEMBERED && oldest !== undefined) seen.delete(oldest);
-  book.queues.set(queue, { seen, summary: summarize([...seen.values()]) });
+  const observed = estimates.queues.get(queue)?.observed ?? new Map<string, ObservedWork>();
+  observed.set(job.jobId, { declaredMs: Math.max(1, step.estimatedMs), workMs });
+  const [oldest] = observed.keys();
+  if (observed.size > MAX_JOBS_PER_QUEUE && oldest !== undefined) observed.delete(oldest);
+  estimates.queues.set(queue, { observed, summary: summarize([...observed.values()]) });
 };
 
 /**
- * Learns from what a former leader saw of a job.
+ * Records the longest task of a job that a previous leader observed.
  *
- * @param book - the book
+ * @param estimates - the estimates
  * @param job - a job
  * @param tasks - its tasks
  */
 export const noteJob = (
-  book: EstimateBook,
+  estimates: EstimateBook,
   job: poolJob.PoolJob,
   tasks: readonly { readonly step: number; readonly workMs: number }[],
 ): void => {
@@ -119,19 +119,23 @@
     undefined,
   );
   const step = longest === undefined ? undefined : job.steps[longest.step];
-  if (longest !== undefined && step !== undefined) noteDone(book, job, step, longest.workMs);
+  if (longest !== undefined && step !== undefined) noteDone(estimates, job, step, longest.workMs);
 };
 
 /**
- * Weighs the declaration and the queue's usual work by how far each has been off.
+ * Combines the declaration with the queue's usual work, weighted by how far off each has been.
  *
- * @param book - the book
+ * @param estimates - the estimates
  * @param queue - a queue
- * @param declaredMs - what a submitter believes one task takes
- * @returns what it takes near its data, as far as one can say
+ * @param declaredMs - declared runtime of one task
+ * @returns its expected runtime with local data
  */
-export const expectedWorkMs = (book: EstimateBook, queue: string, declaredMs: number): number => {
-  const summary = book.queues.get(queue)?.summary;
+export const expectedWorkMs = (
+  estimates: EstimateBook,
+  queue: string,
+  declaredMs: number,
+): number => {
+  const summary = estimates.queues.get(queue)?.summary;
   if (summary === undefined || declaredMs <= 0) return declaredMs;
   const { declaredShare, meanError, meanWork } = summary;
   const corrected = Math.log(declaredMs) - meanError;
@@ -139,14 +143,14 @@
 };
 
 /**
- * @param book - the book
+ * @param estimates - the estimates
  * @param queue - a queue
  * @returns whether nearly all its jobs took at most twice what was declared
  */
-export const isReliable = (book: EstimateBook, queue: string): boolean => {
-  const seen = book.queues.get(queue)?.seen;
-  if (seen === undefined || seen.size < MIN_JOBS) return false;
-  const ratios = [...seen.values()].map((it) => it.declaredMs / it.workMs);
+export const isReliable = (estimates: EstimateBook, queue: string): boolean => {
+  const observed = estimates.queues.get(queue)?.observed;
+  if (observed === undefined || observed.size < MIN_JOBS) return false;
+  const ratios = [...observed.values()].map((it) => it.declaredMs / it.workMs);
   const ordered = ratios.sort((a, b) => a - b);
   return (ordered[Math.floor(ordered.length * LOW_SHARE)] ?? 0) >= MIN_RATIO;
 };
--- a/src/coordination/common/pool/gangPlacement.ts
+++ b/src/coordination/common/pool/gangPlacement.ts
@@ -1,17 +1,21 @@
 /**
- * Where the tasks of one unit go: the tightest room first, so that whole workers stay whole for wide
- * tasks; the members of a gang within one rack where distance slows them down.
+ * Places the tasks of one unit: best fit first, so that entire workers stay free for wide tasks; the
+ * members of a gang within one rack where a spread over racks slows them down.
  *
- * Load it answers: a mix of tasks of one accelerator and of eight on workers of eight. Spread evenly,
- * the small ones leave no whole worker, and the large wait for the last of them to end.
+ * With tasks of one accelerator and of eight on workers of eight, small tasks that are spread evenly
+ * leave no worker entirely free, and the large ones wait for the last of them to end.
  */
 import * as poolJob from '../../../state/common/pool/poolJob.js';
 import type * as jobBook from './jobBook.js';
 import type * as planTypes from './planTypes.js';
 
-/** Room left on a worker as a share of its capacity, summed over the kinds of resources. */
-const leftoverShare = (worker: planTypes.PlanWorker, room: poolJob.Resources, times: number) => {
-  const left = poolJob.addResources(worker.free, room, -times);
+/** Capacity left on a worker as a share of its total, summed over the kinds of resources. */
+const leftoverShare = (
+  worker: planTypes.PlanWorker,
+  resources: poolJob.Resources,
+  times: number,
+) => {
+  const left = poolJob.addResources(worker.free, resources, -times);
   const { capacity } = worker;
   return (
     left.cpuMillicores / Math.max(1, capacity.cpuMillicores) +
@@ -20,26 +24,26 @@
   );
 };
 
-const heldOfStep = (worker: planTypes.PlanWorker, stepKey: string): number =>
+const countOfStep = (worker: planTypes.PlanWorker, stepKey: string): number =>
   worker.holdings.filter((it) => it.stepKey === stepKey).length +
   (worker.placedSteps.get(stepKey) ?? 0);
 
 /**
  * @param worker - a worker
  * @param unit - a unit
- * @returns how many more tasks of the unit's step the spread limit lets the worker take
+ * @returns how many more tasks of the unit's step its spread limit allows on the worker
  */
 export const spreadLimit = (worker: planTypes.PlanWorker, unit: planTypes.PlanUnit): number => {
   const { maxPerWorker } = unit.unit.step;
   return maxPerWorker === 0
     ? Number.MAX_SAFE_INTEGER
-    : Math.max(0, maxPerWorker - heldOfStep(worker, unit.stepKey));
+    : Math.max(0, maxPerWorker - countOfStep(worker, unit.stepKey));
 };
 
 /**
  * @param worker - a worker
  * @param unit - a unit
- * @returns whether the worker may ever run the unit's tasks
+ * @returns whether the worker may run the unit's tasks at all, whatever is free on it now
  */
 export const isSuitable = (worker: planTypes.PlanWorker, unit: planTypes.PlanUnit): boolean => {
   const { step, entry } = unit.unit;
@@ -52,7 +56,7 @@
 const slotsOn = (worker: planTypes.PlanWorker, unit: planTypes.PlanUnit): number =>
   Math.min(poolJob.timesThatFit(worker.free, unit.room), spreadLimit(worker, unit));
 
-/** Fills the tightest workers first. */
+/** Fills the workers first that are left with the least free capacity. */
 const fill = (
   workers: readonly planTypes.PlanWorker[],
   unit: planTypes.PlanUnit,
@@ -70,14 +74,14 @@
     .slice(0, wanted);
 };
 
-/** Workers to be tried together. */
+/** Groups of workers; a unit is placed within one group. */
 export type CandidateGroups = readonly (readonly planTypes.PlanWorker[])[];
 
-/** Where a unit may go. */
+/** Where a unit may be placed. */
 export interface Candidates {
-  /** Near its data, and for a gang that wants it on one rack; all there is where neither is asked for. */
+  /** Local: single racks, where a rack is preferred or a gang asks for one; otherwise all usable workers. */
   readonly near: CandidateGroups;
-  /** Where it takes several times as long; empty where distance does not matter. */
+  /** Remote: where it takes several times as long; empty where locality does not matter. */
   readonly far: CandidateGroups;
 }
 
@@ -91,7 +95,7 @@
   return racks;
 };
 
-const couldEverHold = (
+const couldEverFit = (
   workers: readonly planTypes.PlanWorker[],
   unit: planTypes.PlanUnit,
 ): boolean => {
@@ -102,7 +106,7 @@
 };
 
 /**
- * @param workers - all workers that take tasks
+ * @param workers - all workers that accept tasks
  * @param unit - a unit
  * @returns the groups of workers within which it may be placed
  */
@@ -113,29 +117,29 @@
   const { step, tasks } = unit.unit;
   const suitable = workers.filter((worker) => isSuitable(worker, unit));
   const avoided = new Set(tasks.flatMap((task) => task.avoid));
-  const sound = suitable.filter((worker) => !worker.isSuspect);
-  const untried = sound.filter((worker) => !avoided.has(worker.workerId));
-  // Where it failed everywhere it may go anywhere again: the fault is then its own. Suspects are
-  // used only where the others could never hold it.
-  const usable = [untried, sound].find((its) => couldEverHold(its, unit)) ?? suitable;
+  const healthy = suitable.filter((worker) => !worker.isSuspect);
+  const untried = healthy.filter((worker) => !avoided.has(worker.workerId));
+  // A unit that failed on every worker may use them all again, since the fault is then its own.
+  // Suspect workers are used only where the others could never hold it.
+  const usable = [untried, healthy].find((its) => couldEverFit(its, unit)) ?? suitable;
   const needsOneRack = step.isSameRack && step.isGang && tasks.length > 1;
   const racks = [...byRack(usable).entries()];
   const near = racks
     .filter(([rack, its]) => {
       const isPreferred = step.preferredRack === undefined || rack === step.preferredRack;
-      return isPreferred && couldEverHold(its, unit);
+      return isPreferred && couldEverFit(its, unit);
     })
     .map(([, its]) => its);
-  const isPicky = needsOneRack || step.preferredRack !== undefined;
-  if (!isPicky) return { near: [usable], far: [] };
+  const hasLocalityPreference = needsOneRack || step.preferredRack !== undefined;
+  if (!hasLocalityPreference) return { near: [usable], far: [] };
   const oneRack = needsOneRack ? racks.map(([, its]) => its) : [];
   return { near, far: [...oneRack, usable] };
 };
 
 /**
- * @param groups - groups of workers, the best first
+ * @param groups - groups of workers; of equally good ones the first is used
  * @param unit - a unit
- * @returns a worker for each task where there is room for all of them now
+ * @returns a worker for each task, or undefined where no group has capacity for all of them now
  */
 export const placeNow = (
   groups: CandidateGroups,
@@ -146,7 +150,7 @@
   for (const group of groups) {
     const workers = fill(group, unit);
     if (workers !== undefined) {
-      const left = new Set(workers).size + leftoverOf(group);
+      const left = new Set(workers).size + freeShareOf(group);
       if (left < bestLeft) {
         best = workers;
         bestLeft = left;
@@ -156,16 +160,16 @@
   return best === undefined ? undefined : { unit, workers: best };
 };
 
-/** Free accelerators of a group as a share: a fuller rack is taken before an empty one. */
-const leftoverOf = (group: readonly planTypes.PlanWorker[]): number =>
+/** Free accelerators of a group, as a share of each worker: a fuller rack is preferred to an empty one. */
+const freeShareOf = (group: readonly planTypes.PlanWorker[]): number =>
   group.reduce((sum, it) => sum + it.free.accelerators / Math.max(1, it.capacity.accelerators), 0);
 
 /**
- * Tasks that run there take a multiple of their time.
+ * Counts remote tasks, which take a multiple of their time.
  *
  * @param step - step of the tasks that start together
  * @param racks - the rack of each of them
- * @returns how many of them are away from their data, or from the rack that their gang wants
+ * @returns how many are remote from their data, or in a gang that should use one rack and does not
  */
 export const tasksAway = (step: poolJob.Step, racks: readonly (string | undefined)[]): number => {
   const { preferredRack, isSameRack, isGang } = step;
@@ -175,7 +179,7 @@
 
 /**
  * @param placement - a placement
- * @returns where each task of its unit goes
+ * @returns the worker of each task of its unit
  */
 export const assignmentsOf = ({ unit, workers }: planTypes.Placement): jobBook.Assignment[] =>
   unit.unit.tasks.map((task, index) => {
@@ -184,7 +188,7 @@
   });
 
 /**
- * Takes the room of a placement.
+ * Takes the capacity of a placement for the rest of the round.
  *
  * @param placement - a placement
  */
--- a/src/coordination/common/pool/jobChain.ts
+++ b/src/coordination/common/pool/jobChain.ts
@@ -1,32 +1,32 @@
 /**
- * How long a job takes at least, and until when it is in time.
+ * The longest chain of a job's steps, and the time within which the job is in time.
  */
 import type * as poolJob from '../../../state/common/pool/poolJob.js';
 
-/** How many tasks of a step the pool's whole room holds at once. */
+/** How many tasks of a step the pool's total capacity holds concurrently. */
 export type SlotsOf = (service: string, step: poolJob.Step) => number;
 
-/** A pool of which nothing is known, or one that holds everything. */
+/** Unlimited slots, for a pool of unknown or unlimited capacity. */
 export const endlessRoom: SlotsOf = () => Infinity;
 
-/** A step may take this share of the room; a wider one is owed the time of so many more waves. */
+/** Share of the slots that a step may take; a wider one is granted the time of several waves. */
 const WAVE_SHARE = 0.25;
 
 /**
  * @param job - a job
  * @param step - one of its steps
- * @param slotsOf - the pool's room
- * @returns how many waves its tasks come in
+ * @param slotsOf - the pool's slots
+ * @returns the number of waves in which its tasks run
  */
 export const wavesOf = (job: poolJob.PoolJob, step: poolJob.Step, slotsOf: SlotsOf): number => {
-  const atOnce = Math.max(1, WAVE_SHARE * slotsOf(job.policy.service, step));
-  return step.isGang ? 1 : Math.max(1, Math.ceil(step.count / atOnce));
+  const slotsPerWave = Math.max(1, WAVE_SHARE * slotsOf(job.policy.service, step));
+  return step.isGang ? 1 : Math.max(1, Math.ceil(step.count / slotsPerWave));
 };
 
-/** Work of one task of a step, in milliseconds near its data. */
+/** Runtime of one task of a step in milliseconds, with local data. */
 export type WorkOf = (step: poolJob.Step, index: number) => number;
 
-/** What the submitter believes. */
+/** The runtime that the submitter declared. */
 export const declaredWork: WorkOf = (step) => step.estimatedMs;
 
 /**
@@ -46,8 +46,8 @@
 /**
  * @param job - a job
  * @param workOf - work of one task of each step
- * @param slotsOf - the pool's room
- * @returns the longest chain that its caller is owed the time of, each step in its waves
+ * @param slotsOf - the pool's slots
+ * @returns its longest chain with each step counted once per wave; the objective is based on it
  */
 export const owedChainMs = (job: poolJob.PoolJob, workOf: WorkOf, slotsOf: SlotsOf): number =>
   longestChainMs(job, (step, index) => workOf(step, index) * wavesOf(job, step, slotsOf));
@@ -55,7 +55,7 @@
 /**
  * @param job - a job
  * @param chainMs - its longest chain of work
- * @returns time from its acceptance within which it is in time
+ * @returns time from its acceptance or due time within which it is in time
  */
 export const objectiveMs = (job: poolJob.PoolJob, chainMs = longestChainMs(job)): number =>
   job.policy.stretch * chainMs + job.policy.objectiveMs;
--- a/src/coordination/common/pool/placeChoice.ts
+++ b/src/coordination/common/pool/placeChoice.ts
@@ -1,69 +1,71 @@
 /**
- * Near its data or far from it, by the expected end.
+ * Chooses between local and remote workers for a unit, by its expected end.
  *
- * Load it answers: tasks that take three times as long away from their data or their rack. Near goes first,
- * however tight the room elsewhere; far is right only where the near room comes later than distance costs.
+ * Tasks take three times as long remote from their data or rack. Local workers go first, even where a
+ * remote one fits better; remote ones are used only where waiting for local capacity takes longer.
  */
 import * as gangPlacement from './gangPlacement.js';
 import type * as planTypes from './planTypes.js';
 import * as roomToCome from './roomToCome.js';
 
-/** What the choice looks at. */
+/** Inputs of the choice. */
 export interface PlaceChoiceInput {
   readonly workers: readonly planTypes.PlanWorker[];
   readonly runs: roomToCome.RunsByGroup;
-  /** What it costs to wait until a group has ended by itself. */
+  /** Cost of waiting until a group has ended by itself. */
   readonly waitCosts: roomToCome.CostOfGroup;
-  /** How much longer a task takes away from its data or its rack. */
+  /** Factor by which a task takes longer remote from its data or rack. */
   readonly farFactor: number;
 }
 
-/** Where units go in one round. */
+/** Locality decisions of one round. */
 export interface PlaceChoice {
-  /** Groups of workers near a unit's data. */
+  /** Groups of workers local to a unit's data or rack. */
   readonly nearOf: (unit: planTypes.PlanUnit) => gangPlacement.CandidateGroups;
-  /** Groups of workers among which it waits for room. */
+  /** Groups of workers on which it waits for capacity. */
   readonly groupsOf: (unit: planTypes.PlanUnit) => gangPlacement.CandidateGroups;
-  /** A place where there is room now. */
+  /** A placement on capacity that is free now. */
   readonly findNow: (unit: planTypes.PlanUnit) => planTypes.Placement | undefined;
 }
 
-const remember = <T>(judge: (unit: planTypes.PlanUnit) => T): ((unit: planTypes.PlanUnit) => T) => {
+const memoizeByUnit = <T>(
+  compute: (unit: planTypes.PlanUnit) => T,
+): ((unit: planTypes.PlanUnit) => T) => {
   const known = new Map<planTypes.PlanUnit, T>();
   return (unit) => {
-    const found = known.get(unit) ?? judge(unit);
+    const found = known.get(unit) ?? compute(unit);
     known.set(unit, found);
     return found;
   };
 };
 
 /**
- * @param input - what the choice looks at
- * @returns the choice; it judges each unit once, by what was free then
+ * @param input - inputs of the choice
+ * @returns the choice; each unit is decided once, by the free capacity at that time
  */
 export const createPlaceChoice = (input: PlaceChoiceInput): PlaceChoice => {
   const { workers, runs, waitCosts, farFactor } = input;
-  const candidatesOf = remember((unit) => gangPlacement.candidateGroups(workers, unit));
+  const candidatesOf = memoizeByUnit((unit) => gangPlacement.candidateGroups(workers, unit));
 
-  const endsEarlierFar = remember((unit) => {
+  const isRemoteFaster = memoizeByUnit((unit) => {
     const { near, far } = candidatesOf(unit);
     if (far.length === 0) return false;
-    const longerMs = (farFactor - 1) * unit.expectedMs;
-    if (near.length === 0 || unit.waitedMs >= longerMs) return true;
+    const slowdownMs = (farFactor - 1) * unit.expectedMs;
+    if (near.length === 0 || unit.waitedMs >= slowdownMs) return true;
     const future = roomToCome.findRoomToCome(runs, near, unit, waitCosts);
-    return future === undefined || roomToCome.longestWaitMs(runs, future.leaving) > longerMs;
+    return future === undefined || roomToCome.longestWaitMs(runs, future.leaving) > slowdownMs;
   });
 
   return {
     nearOf: (unit) => candidatesOf(unit).near,
     groupsOf: (unit) => {
       const { near, far } = candidatesOf(unit);
-      return endsEarlierFar(unit) ? [...near, ...far] : near;
+      return isRemoteFaster(unit) ? [...near, ...far] : near;
     },
     findNow: (unit) => {
       const { near, far } = candidatesOf(unit);
       const placement = gangPlacement.placeNow(near, unit);
-      if (placement !== undefined || !endsEarlierFar(unit)) return placement;
+      if (placement !== undefined || !isRemoteFaster(unit)) return placement;
       return gangPlacement.placeNow(far, unit);
     },
   };
--- a/src/coordination/common/pool/planRound.ts
+++ b/src/coordination/common/pool/planRound.ts
@@ -1,10 +1,10 @@
 /**
- * One planning round: who starts where, and what has to leave for a guarantee.
+ * One planning round: which unit starts where, and what is preempted for a guarantee.
  *
- * Load it answers: more work than room, with tasks of one accelerator next to gangs that need whole
- * workers. Claims of guarantees go first and may stop others; the rest goes by priority and by the
- * time until which a start still serves its caller; a wide unit that has waited keeps room free on
- * the workers that will have it soonest, since small tasks would otherwise take each gap for ever.
+ * Handles more work than capacity, with tasks of one accelerator next to gangs that need entire
+ * workers. Claims of guarantees go first and may preempt others; the rest goes by priority and latest
+ * start. A wide unit that has waited reserves capacity on the workers that will have it soonest, since
+ * small tasks would otherwise fill every gap and starve it.
  */
 import * as poolJob from '../../../state/common/pool/poolJob.js';
 import * as claimHeadroom from './claimHeadroom.js';
@@ -13,67 +13,67 @@
 import type * as planTypes from './planTypes.js';
 import * as roomToCome from './roomToCome.js';
 
-/** Units that keep room free at once; each takes workers from everybody behind it. */
+/** Concurrent reservations; each one takes workers from all units behind it. */
 const MAX_RESERVATIONS = 2;
 
-/** A unit keeps room free after this wait; shorter gaps close by themselves with the next end. */
+/** A unit gets a reservation after this wait; shorter waits mostly end with the next run that ends. */
 const RESERVE_AFTER_MS = 1500;
 
-/** What serves nobody any more is set back for no longer than this: its caller still wants it done. */
+/** Longest time for which units without value to the caller go last: their callers still want them done. */
 const MAX_SET_BACK_MS = 30_000;
 
-/** Urgent work beyond its guarantee stops others for at most this multiple of its own work. */
+/** Urgent work beyond its guarantee preempts others that lose at most this multiple of its own work. */
 const MAX_LOSS_SHARE = 1;
 
-/** A job is stopped this often at most for what could not claim its room. */
+/** Work beyond its guarantee does not preempt a job that has been preempted this often already. */
 const MAX_PREEMPTIONS = 2;
 
-/** To stop a run, to store the next start and to send it. */
+/** Time to stop a run, to store the next start and to send it. */
 const STOP_AND_START_MS = 700;
 
-/** A guarantee that is claimed waits no longer than this for runs that end by themselves. */
+/** From its acceptance or due time a claim waits at most this long for runs that end by themselves. */
 const MAX_DEFERRED_MS = 1500;
 
-/** An accelerator weighs as much as so many cores in what is lost by stopping work. */
+/** An accelerator counts as this many cores in the cost of preempted work. */
 const CORES_PER_ACCELERATOR = 8;
 
-/** What a round works on. */
+/** Inputs of a round. */
 export interface RoundInput {
   /** The leader's clock. */
   readonly nowMs: number;
   readonly workers: readonly planTypes.PlanWorker[];
   readonly units: readonly planTypes.PlanUnit[];
-  /** Running groups that would be late where they are, and in time elsewhere. */
+  /** Stragglers: running groups that would be late where they are and in time on other workers. */
   readonly heldUp: readonly planTypes.HeldUpUnit[];
   readonly guarantees: planTypes.Guarantees;
-  /** How much longer a task takes away from its data or its rack. */
+  /** Factor by which a task takes longer remote from its data or rack. */
   readonly farFactor: number;
 }
 
 /**
- * @param room - what a run takes
- * @returns its weight in cores
+ * @param resources - resources of a run
+ * @returns their weight in cores
  */
-export const weightInCores = (room: poolJob.Resources): number =>
-  room.cpuMillicores / 1000 + CORES_PER_ACCELERATOR * room.accelerators;
+export const weightInCores = (resources: poolJob.Resources): number =>
+  resources.cpuMillicores / 1000 + CORES_PER_ACCELERATOR * resources.accelerators;
 
-/** What urgent work of priority 0 costs the others by stopping a run. */
+/** Loss by preempting a run for urgent work of priority 0; undefined where it must not be preempted. */
 const lossOf: roomToCome.CostOf = (holding) =>
   holding.priority > 0 && !holding.isProtected
     ? (1 + holding.unsavedMs) * weightInCores(holding.room)
     : undefined;
 
-/** Cheap victims only: those that were not stopped too often already. */
+/** The same for work beyond its guarantee: spares jobs that were preempted too often already. */
 const preemptLossOf: roomToCome.CostOf = (holding) =>
   holding.preemptions < MAX_PREEMPTIONS ? lossOf(holding) : undefined;
 
-const waitFor: roomToCome.CostOf = (holding) => 1 + holding.remainingMs;
+const waitCostOf: roomToCome.CostOf = (holding) => 1 + holding.remainingMs;
 
 const acceleratorsOf = (unit: planTypes.PlanUnit): number =>
   unit.room.accelerators * unit.unit.tasks.length;
 
-/** Accelerators that each customer's runs of priority 0 hold. */
-const claimedNow = (workers: readonly planTypes.PlanWorker[]): Map<string, number> => {
+/** Accelerators that each customer's runs of priority 0 occupy. */
+const claimedByCustomer = (workers: readonly planTypes.PlanWorker[]): Map<string, number> => {
   const claimed = new Map<string, number>();
   for (const { priority, customerId, room } of workers.flatMap((it) => it.holdings)) {
     if (priority === 0) {
@@ -84,16 +84,16 @@
 };
 
 /**
- * Below one for each priority: what can still be in time goes before what is late, and what serves
- * nobody any more goes last of all. In a burst of urgent work the earliest deadline alone would spend
- * the room on what has just missed its own, and make everything behind it late as well.
+ * Within a priority, units that can still be in time go before late ones (hence below 1); units that have no
+ * value to the caller any more go last of all. In a burst of urgent work, ordering by earliest deadline alone
+ * would spend the capacity on units that have just missed theirs and make all behind them late as well.
  */
 const LATE_RANK = 0.5;
-const USELESS_RANK = 1_000_000;
+const NO_VALUE_RANK = 1_000_000;
 
 const rankOf = (unit: planTypes.PlanUnit, nowMs: number): number => {
   if (nowMs > unit.uselessAfterMs && unit.waitedMs < MAX_SET_BACK_MS) {
-    return USELESS_RANK + unit.priority;
+    return NO_VALUE_RANK + unit.priority;
   }
   return unit.priority + (nowMs > unit.latestStartMs ? LATE_RANK : 0);
 };
@@ -101,7 +101,7 @@
 const splitClaims = (
   input: RoundInput,
 ): { claims: planTypes.PlanUnit[]; others: planTypes.PlanUnit[] } => {
-  const claimed = claimedNow(input.workers);
+  const claimed = claimedByCustomer(input.workers);
   const claims: planTypes.PlanUnit[] = [];
   const others: planTypes.PlanUnit[] = [];
   const ranked = [...input.units].sort(
@@ -117,8 +117,8 @@
 };
 
 /**
- * @param input - workers and what is ready; the workers' free room is taken from
- * @returns what to start, what to stop and what waits
+ * @param input - workers and ready units; the workers' free capacity is reduced by what is placed
+ * @returns what to start, preempt and relocate, and what waits
  */
 export const planRound = (input: RoundInput): planTypes.RoundPlan => {
   const { workers, farFactor, nowMs } = input;
@@ -129,7 +129,7 @@
   const runs = roomToCome.indexRuns(workers);
   const claimCosts = roomToCome.createGroupCosts(runs, lossOf);
   const preemptCosts = roomToCome.createGroupCosts(runs, preemptLossOf);
-  const waitCosts = roomToCome.createGroupCosts(runs, waitFor);
+  const waitCosts = roomToCome.createGroupCosts(runs, waitCostOf);
   const leaving = new Set(
     workers.flatMap((it) =>
       it.holdings.filter((holding) => holding.isLeaving).map((holding) => holding.groupKey),
@@ -149,8 +149,8 @@
     return true;
   };
 
-  /** Keeps room that becomes free by itself soon enough: stopping a run for it would be a waste. */
-  const waitForRoom = (unit: planTypes.PlanUnit): boolean => {
+  /** Reserves capacity that becomes free by itself soon enough; preempting a run would waste its work. */
+  const waitForFreeCapacity = (unit: planTypes.PlanUnit): boolean => {
     const untilMs = Math.min(
       unit.latestStartMs - STOP_AND_START_MS,
       unit.countedFromMs + MAX_DEFERRED_MS,
@@ -165,15 +165,15 @@
     return true;
   };
 
-  /** Keeps the room, and stops what is not leaving it already. */
-  const stopFor = (unit: planTypes.PlanUnit, future: roomToCome.FuturePlacement): void => {
+  /** Reserves the capacity, and preempts what is not terminating already. */
+  const preemptFor = (unit: planTypes.PlanUnit, future: roomToCome.FuturePlacement): void => {
     gangPlacement.takeRoom(future.placement);
     for (const key of future.leaving) if (!leaving.has(key)) evictions.set(key, unit);
     waits.push({ unit, reason: `waits for ${future.leaving.size} groups to leave` });
   };
 
   const claim = (unit: planTypes.PlanUnit): void => {
-    if (waitForRoom(unit)) return;
+    if (waitForFreeCapacity(unit)) return;
     const groups = places.groupsOf(unit);
     const anywhere = workers.filter((it) => gangPlacement.isSuitable(it, unit));
     const future =
@@ -184,7 +184,7 @@
       return;
     }
     if (future.leaving.size > 0) {
-      stopFor(unit, future);
+      preemptFor(unit, future);
       return;
     }
     gangPlacement.takeRoom(future.placement);
@@ -193,23 +193,23 @@
 
   for (const unit of claims) if (!startNow(unit)) claim(unit);
 
-  /** Urgent work that can still be in time may stop what loses less than itself by it. */
+  /** Urgent work that can still be in time may preempt what loses no more than its own work. */
   const preempt = (unit: planTypes.PlanUnit): boolean => {
     if (unit.priority !== 0 || nowMs > unit.latestStartMs) return false;
-    if (waitForRoom(unit)) return true;
+    if (waitForFreeCapacity(unit)) return true;
     const future = roomToCome.findRoomToCome(runs, places.groupsOf(unit), unit, preemptCosts);
     const ownWork = unit.expectedMs * weightInCores(unit.room) * unit.unit.tasks.length;
     if (future === undefined || future.cost > MAX_LOSS_SHARE * ownWork) return false;
-    stopFor(unit, future);
+    preemptFor(unit, future);
     return true;
   };
 
   const fullSteps = new Set<string>();
   let reservations = 0;
   for (const unit of others) {
-    // Tasks of one step are alike: where one found no room the next finds none either.
-    const isTried = unit.unit.tasks.length === 1 && fullSteps.has(unit.stepKey);
-    if (!isTried && !startNow(unit) && !preempt(unit)) {
+    // Tasks of one step are alike: where one found no capacity the next finds none either.
+    const isKnownNotToFit = unit.unit.tasks.length === 1 && fullSteps.has(unit.stepKey);
+    if (!isKnownNotToFit && !startNow(unit) && !preempt(unit)) {
       fullSteps.add(unit.stepKey);
       const isReserving = reservations < MAX_RESERVATIONS && unit.waitedMs >= RESERVE_AFTER_MS;
       const future = isReserving
@@ -222,14 +222,14 @@
       waits.push({ unit, reason: future === undefined ? 'no room' : 'room is kept for it' });
     }
   }
-  // After everything that waits: a move costs what its run has done, so it takes only room to spare.
+  // After all waiting units: a relocated run loses its progress, so it only uses spare capacity.
   const moves: planTypes.PlanUnit[] = [];
   for (const { unit, workerIds } of input.heldUp) {
     const elsewhere = workers.filter((it) => !workerIds.has(it.workerId));
     const { near } = gangPlacement.candidateGroups(elsewhere, unit);
     const placement = gangPlacement.placeNow(near, unit);
-    const isSound = placement?.workers.every((it) => !it.isSuspect) === true;
-    if (placement !== undefined && isSound) {
+    const isHealthy = placement?.workers.every((it) => !it.isSuspect) === true;
+    if (placement !== undefined && isHealthy) {
       gangPlacement.takeRoom(placement);
       moves.push(unit);
     }
--- a/src/coordination/common/pool/planTypes.ts
+++ b/src/coordination/common/pool/planTypes.ts
@@ -1,35 +1,35 @@
 /**
- * What a planning round looks at and what it decides.
+ * Inputs and decisions of a planning round.
  */
 import type * as poolJob from '../../../state/common/pool/poolJob.js';
 import type * as jobBook from './jobBook.js';
 
-/** A run that takes room on a worker until its end is listed. */
+/** A run that occupies capacity on a worker until its end is reported. */
 export interface Holding {
   readonly jobId: string;
   readonly task: string;
   readonly run: number;
   readonly room: poolJob.Resources;
-  /** Names the step of one occurrence. */
+  /** Identifies the step of one occurrence. */
   readonly stepKey: string;
-  /** Names what is stopped together: a gang, or one task. */
+  /** Identifies what is stopped together: a gang, or one task. */
   readonly groupKey: string;
   readonly priority: number;
   readonly customerId: string;
-  /** Its end has been ordered, or it is of no more use; its room comes back soon. */
+  /** It is terminating or presumably not on the worker; its capacity is free soon. */
   readonly isLeaving: boolean;
-  /** Whether stopping it would break a promise: a long-running task beyond its budget. */
+  /** Must not be preempted: its step limits how many of its tasks may be unavailable. */
   readonly isProtected: boolean;
-  /** How often its job was stopped for others that could not claim it as their guarantee. */
+  /** How often a run of its job was preempted. */
   readonly preemptions: number;
   readonly isCheckpointing: boolean;
-  /** Work that is lost where it is stopped now, in milliseconds of its run. */
+  /** Work that is lost if it is stopped now, in milliseconds of its runtime. */
   readonly unsavedMs: number;
   /** Expected time to its end. */
   readonly remainingMs: number;
 }
 
-/** A worker that may take tasks. */
+/** A worker that accepts tasks. */
 export interface PlanWorker {
   readonly workerId: string;
   readonly agentId: string;
@@ -38,10 +38,10 @@
   readonly rack: string;
   readonly labels: readonly string[];
   readonly capacity: poolJob.Resources;
-  /** Room that nothing holds; a round takes from it. */
+  /** Free capacity; a round takes from it. */
   free: poolJob.Resources;
   readonly holdings: readonly Holding[];
-  /** Fails or holds up what it runs, as far as one sees; takes tasks only where nobody else can. */
+  /** Suspected of failing or slowing its runs; used only where no other worker can ever hold a unit. */
   readonly isSuspect: boolean;
   /** Tasks of each step that the round has placed here. */
   readonly placedSteps: Map<string, number>;
@@ -55,17 +55,17 @@
   readonly priority: number;
   readonly customerId: string;
   readonly room: poolJob.Resources;
-  /** Time by the leader's clock until which a start still serves the caller in time. */
+  /** Latest start, on the leader's clock, with which the job is in time. */
   readonly latestStartMs: number;
-  /** Time by the leader's clock after which a start serves nobody any more. */
+  /** Latest start, on the leader's clock, with which the job still has value to the caller. */
   readonly uselessAfterMs: number;
-  /** Time by the leader's clock from which its caller counts. */
+  /** Acceptance or due time, on the leader's clock. */
   readonly countedFromMs: number;
   /** How long it has been ready. */
   readonly waitedMs: number;
-  /** Expected run time of one task near its data. */
+  /** Expected runtime of one task with local data. */
   readonly expectedMs: number;
-  /** Consent for each worker that may run it; absent where none is needed. */
+  /** Policy service's consent by worker that may run it; absent where none is needed. */
   readonly ticketsByWorker?: ReadonlyMap<string, string>;
 }
 
@@ -82,22 +82,22 @@
   readonly reason: string;
 }
 
-/** A running group that is held up, as it would be started elsewhere. */
+/** A straggler, as a unit to be started on another worker. */
 export interface HeldUpUnit {
   readonly unit: PlanUnit;
-  /** Workers that have it now. */
+  /** Workers that run it now. */
   readonly workerIds: ReadonlySet<string>;
 }
 
-/** What a round decided. */
+/** Decisions of a round. */
 export interface RoundPlan {
   readonly starts: readonly Placement[];
-  /** Group keys of what is stopped so that a guarantee can be honoured, with its beneficiary. */
+  /** Groups to preempt by key, each with the unit that gets its capacity. */
   readonly evictions: ReadonlyMap<string, PlanUnit>;
   readonly waits: readonly Wait[];
-  /** What is stopped to be begun again on a worker that does not hold it up. */
+  /** Stragglers to stop, so that they restart on other workers. */
   readonly moves: readonly PlanUnit[];
 }
 
-/** Accelerators that belong to each customer's jobs of priority 0. */
+/** Accelerators guaranteed to each customer's jobs of priority 0. */
 export type Guarantees = ReadonlyMap<string, number>;
--- a/src/coordination/common/pool/roomToCome.ts
+++ b/src/coordination/common/pool/roomToCome.ts
@@ -1,32 +1,32 @@
 /**
- * Where a unit would fit once some of what runs has left: at the least loss, for a guarantee that is
- * claimed; soonest, for a wide unit that must not be starved.
+ * Finds where a unit would fit once some running groups have ended: with the least loss, for a claim of
+ * a guarantee; soonest, for a wide unit that must not starve.
  */
 import * as poolJob from '../../../state/common/pool/poolJob.js';
 import * as gangPlacement from './gangPlacement.js';
 import type * as planTypes from './planTypes.js';
 
-/** What is being stopped is gone in about this time. */
-const LEAVING_MS = 400;
+/** A run that is terminating has ended in about this time. */
+const TERMINATION_MS = 400;
 
-/** What it costs that a run leaves; `undefined` where it must not. */
+/** Cost of ending or awaiting a run; `undefined` where that must not be done. */
 export type CostOf = (holding: planTypes.Holding) => number | undefined;
 
-/** A place for a unit with the runs that have to leave first. */
+/** A placement of a unit with the groups that have to end first. */
 export interface FuturePlacement {
   readonly placement: planTypes.Placement;
-  /** Group keys of the runs that have to leave. */
+  /** Keys of the groups that have to end. */
   readonly leaving: ReadonlySet<string>;
   readonly cost: number;
 }
 
-interface Draft {
+interface PlacementDraft {
   readonly free: Map<string, poolJob.Resources>;
-  readonly taken: Map<string, number>;
+  readonly placedCounts: Map<string, number>;
   readonly leaving: Set<string>;
   readonly workers: planTypes.PlanWorker[];
-  /** What each worker offers, as long as nothing on it has changed. */
-  readonly offers: Map<string, Victims | undefined>;
+  /** Cached victims by worker, as long as nothing on the worker has changed. */
+  readonly victimsByWorker: Map<string, Victims | undefined>;
   cost: number;
 }
 
@@ -35,24 +35,24 @@
   readonly cost: number;
 }
 
-/** A run with the worker that holds it. */
-interface HeldRun {
+/** A run with its worker. */
+interface PlacedRun {
   readonly worker: planTypes.PlanWorker;
   readonly holding: planTypes.Holding;
 }
 
-/** The runs that end together, by their group's key. */
-export type RunsByGroup = ReadonlyMap<string, readonly HeldRun[]>;
+/** Runs by the key of their group; all runs of a group end together. */
+export type RunsByGroup = ReadonlyMap<string, readonly PlacedRun[]>;
 
 /**
- * Made once a round: looked for among all runs for each candidate rack, the members of one gang cost a
- * round of 670 workers more than half a minute.
+ * Built once per round: with a search through all runs for the members of one gang, repeated for each
+ * candidate rack, a round of 670 workers took more than half a minute.
  *
- * @param workers - all workers, since a gang that leaves frees room on each of its workers
+ * @param workers - all workers, since a gang that ends frees capacity on each of its workers
  * @returns their runs by group
  */
 export const indexRuns = (workers: readonly planTypes.PlanWorker[]): RunsByGroup => {
-  const runs = new Map<string, HeldRun[]>();
+  const runs = new Map<string, PlacedRun[]>();
   for (const worker of workers) {
     for (const holding of worker.holdings) {
       const its = runs.get(holding.groupKey);
@@ -63,21 +63,20 @@
   return runs;
 };
 
-/** What it costs that a group leaves; infinite where it must not. */
+/** Cost of ending or awaiting a group; infinite where that must not be done. */
 export type CostOfGroup = (groupKey: string) => number;
 
 /**
- * All runs of a gang end together, so the cost of one member is that of all. Made once a round for all
- * units, which ask for the same groups: made for each unit, a round of 670 workers took 104 ms in place of
- * 55 ms.
+ * All runs of a gang end together, so the cost of one member is that of all. Cached for all units of a round,
+ * which ask for the same groups: computed for each unit, a round of 670 workers took 104 ms instead of 55 ms.
  *
  * @param runs - all runs by group
- * @param costOf - what it costs that one run leaves
+ * @param costOf - cost of one run
  * @returns the cost of each group
  */
 export const createGroupCosts = (runs: RunsByGroup, costOf: CostOf): CostOfGroup => {
   const costs = new Map<string, number>();
-  const add = (sum: number, { holding }: HeldRun): number =>
+  const add = (sum: number, { holding }: PlacedRun): number =>
     sum + (holding.isLeaving ? 0 : (costOf(holding) ?? Infinity));
   return (groupKey) => {
     const known = costs.get(groupKey);
@@ -90,26 +89,26 @@
 
 /**
  * @param runs - all runs by group
- * @param groupKeys - groups of which room is wanted
- * @returns time until the last of them is expected to end by itself, in milliseconds
+ * @param groupKeys - groups whose capacity is needed
+ * @returns expected time until the last of them has ended by itself, in milliseconds
  */
 export const longestWaitMs = (runs: RunsByGroup, groupKeys: ReadonlySet<string>): number =>
   [...groupKeys]
     .flatMap((it) => runs.get(it) ?? [])
     .reduce(
       (longest, { holding }) =>
-        Math.max(longest, holding.isLeaving ? LEAVING_MS : holding.remainingMs),
+        Math.max(longest, holding.isLeaving ? TERMINATION_MS : holding.remainingMs),
       0,
     );
 
 const victimsOn = (
   worker: planTypes.PlanWorker,
   unit: planTypes.PlanUnit,
-  draft: Draft,
+  draft: PlacementDraft,
   costOfGroup: CostOfGroup,
 ): Victims | undefined => {
-  const already = draft.taken.get(worker.workerId) ?? 0;
-  if (gangPlacement.spreadLimit(worker, unit) <= already) return undefined;
+  const placedCount = draft.placedCounts.get(worker.workerId) ?? 0;
+  if (gangPlacement.spreadLimit(worker, unit) <= placedCount) return undefined;
   let free = draft.free.get(worker.workerId) ?? worker.free;
   const groupKeys: string[] = [];
   let cost = 0;
@@ -129,38 +128,42 @@
   return poolJob.timesThatFit(free, unit.room) > 0 ? { groupKeys, cost } : undefined;
 };
 
-const release = (draft: Draft, runs: RunsByGroup, groupKeys: readonly string[]): void => {
+const releaseGroups = (
+  draft: PlacementDraft,
+  runs: RunsByGroup,
+  groupKeys: readonly string[],
+): void => {
   for (const groupKey of groupKeys) {
     for (const { worker, holding } of runs.get(groupKey) ?? []) {
       const free = draft.free.get(worker.workerId) ?? worker.free;
       draft.free.set(worker.workerId, poolJob.addResources(free, holding.room));
-      draft.offers.delete(worker.workerId);
+      draft.victimsByWorker.delete(worker.workerId);
     }
     draft.leaving.add(groupKey);
   }
 };
 
-/** A little dearer than nothing, so that room that is free now goes first. */
-const LEAVING_COST = 0.001;
+/** Cost per group that has to end, slightly above zero, so that capacity that is free now goes first. */
+const COST_PER_GROUP = 0.001;
 
 /**
- * Worked out once for each worker and again only where the draft changed it: for each member of a gang of
- * 64 anew, a round of 670 workers took 172 ms in place of 104 ms.
+ * Computed once for each worker and again only where the draft changed it: computed for each member of a
+ * gang of 64, a round of 670 workers took 172 ms instead of 104 ms.
  */
-const offerOf = (
+const cachedVictimsOn = (
   worker: planTypes.PlanWorker,
   unit: planTypes.PlanUnit,
-  draft: Draft,
+  draft: PlacementDraft,
   costOfGroup: CostOfGroup,
 ): Victims | undefined => {
-  if (draft.offers.has(worker.workerId)) return draft.offers.get(worker.workerId);
+  if (draft.victimsByWorker.has(worker.workerId)) return draft.victimsByWorker.get(worker.workerId);
   const victims = victimsOn(worker, unit, draft, costOfGroup);
-  draft.offers.set(worker.workerId, victims);
+  draft.victimsByWorker.set(worker.workerId, victims);
   return victims;
 };
 
-const addOne = (
-  draft: Draft,
+const placeOneTask = (
+  draft: PlacementDraft,
   runs: RunsByGroup,
   group: readonly planTypes.PlanWorker[],
   unit: planTypes.PlanUnit,
@@ -168,19 +171,19 @@
 ): boolean => {
   let best: { worker: planTypes.PlanWorker; victims: Victims; cost: number } | undefined;
   for (const worker of group) {
-    const victims = offerOf(worker, unit, draft, costOfGroup);
+    const victims = cachedVictimsOn(worker, unit, draft, costOfGroup);
     if (victims !== undefined) {
-      const cost = victims.cost + victims.groupKeys.length * LEAVING_COST;
+      const cost = victims.cost + victims.groupKeys.length * COST_PER_GROUP;
       if (best === undefined || cost < best.cost) best = { worker, victims, cost };
     }
   }
   if (best === undefined) return false;
-  release(draft, runs, best.victims.groupKeys);
+  releaseGroups(draft, runs, best.victims.groupKeys);
   const { worker } = best;
-  draft.offers.delete(worker.workerId);
+  draft.victimsByWorker.delete(worker.workerId);
   const free = draft.free.get(worker.workerId) ?? worker.free;
   draft.free.set(worker.workerId, poolJob.addResources(free, unit.room, -1));
-  draft.taken.set(worker.workerId, (draft.taken.get(worker.workerId) ?? 0) + 1);
+  draft.placedCounts.set(worker.workerId, (draft.placedCounts.get(worker.workerId) ?? 0) + 1);
   draft.workers.push(worker);
   draft.cost += best.cost;
   return true;
@@ -190,8 +193,8 @@
  * @param runs - all runs by group
  * @param groups - groups of workers within which the unit may be placed
  * @param unit - the unit
- * @param costOfGroup - what it costs that a group leaves
- * @returns the cheapest place, or undefined where there is none
+ * @param costOfGroup - cost of each group
+ * @returns the placement of the lowest cost, or undefined where there is none
  */
 export const findRoomToCome = (
   runs: RunsByGroup,
@@ -201,15 +204,17 @@
 ): FuturePlacement | undefined => {
   let best: FuturePlacement | undefined;
   for (const group of groups) {
-    const draft: Draft = {
+    const draft: PlacementDraft = {
       free: new Map(),
-      taken: new Map(),
+      placedCounts: new Map(),
       leaving: new Set(),
       workers: [],
-      offers: new Map(),
+      victimsByWorker: new Map(),
       cost: 0,
     };
-    const isPlaced = unit.unit.tasks.every(() => addOne(draft, runs, group, unit, costOfGroup));
+    const isPlaced = unit.unit.tasks.every(() =>
+      placeOneTask(draft, runs, group, unit, costOfGroup),
+    );
     if (isPlaced && draft.cost < (best?.cost ?? Infinity)) {
       const placement = { unit, workers: draft.workers };
       best = { placement, leaving: draft.leaving, cost: draft.cost };
