--- a/src/coordination/common/pool/jobBook.ts
+++ b/src/coordination/common/pool/jobBook.ts
@@ -1,12 +1,12 @@
 /**
- * The leader's picture of one job: its tasks, what may start next and what an end means. Pure: the
- * leader writes what changed and sends what follows.
+ * The leader's in-memory state of one job: its tasks, their runs and what may start next. Pure: the
+ * leader stores what changed and sends the orders that follow from it.
  */
 import * as poolJob from '../../../state/common/pool/poolJob.js';
 import type * as poolWorker from '../../../state/common/pool/poolWorker.js';
 import * as progressRecord from '../../../state/common/pool/progressRecord.js';
 
-/** One task with what is known of its present run. */
+/** One task with the state of its current run. */
 export interface TaskEntry {
   readonly occurrence: number;
   readonly step: number;
@@ -19,27 +19,27 @@
   incarnationMs: number;
   agentId: string;
   saved: string;
-  /** Starts in a row that no worker took. */
+  /** Consecutive starts that no worker accepted. */
   refusals: number;
   /** Leader's clock before which it is not started again. */
   notBeforeMs: number;
-  /** Workers on which it failed, stood still or was held up; the next run goes elsewhere where it can. */
+  /** Workers on which it failed, stalled or straggled; its next run avoids them where possible. */
   avoid: string[];
-  /** How often it was begun again elsewhere because a worker held it up. */
+  /** How often it was restarted on another worker because it was a straggler. */
   moves: number;
-  /** Unix milliseconds at which its run was given; 0 where that is not known. */
+  /** Unix milliseconds at which its run was assigned; 0 where unknown. */
   startedAtWallMs: number;
-  /** How much longer its run takes where it is than near its data; 0 where that is not known. */
+  /** Factor by which its run takes longer than with local data; 0 where unknown. */
   distanceFactor: number;
-  /** Its work near its data, seen when it was done; 0 where that is not known. */
+  /** Observed runtime, converted to that with local data; 0 where unknown or not done. */
   workMs: number;
-  /** An earlier run that was given up and done all the same; 0 where there is none. */
+  /** An earlier run that was declared lost but turned out to be done; 0 where there is none. */
   earlierDoneRun: number;
-  /** Unix milliseconds until which an unanswered copy of its run's order may come; 0 where none may. */
+  /** Unix milliseconds until which a delayed duplicate of its start order may arrive; 0 where none may. */
   lateUntilWallMs: number;
 }
 
-/** One job with its tasks; occurrences of a schedule are added as they fall due. */
+/** One job with its tasks; occurrences of a schedule are added when they are due. */
 export interface JobEntry {
   readonly job: poolJob.PoolJob;
   state: poolJob.PoolJobState;
@@ -50,13 +50,13 @@
   readonly occurrences: TaskEntry[][][];
   /** Revision of the progress record in the store; 0 where there is none. */
   progressRevision: number;
-  /** Leader's clock when it learnt of the job. */
+  /** Leader's clock when it discovered the job. */
   readonly learntAtMs: number;
-  /** How often work of it was stopped for others that could not claim it as their guarantee. */
+  /** How often a run of it was preempted. */
   preemptions: number;
 }
 
-/** Tasks that are started together: a gang, or one task. */
+/** Tasks that start together: a gang, or one task. */
 export interface ReadyUnit {
   readonly entry: JobEntry;
   readonly step: poolJob.Step;
@@ -95,7 +95,7 @@
 
 /**
  * @param job - a job
- * @returns how often its steps run
+ * @returns the number of its occurrences; 1 without a schedule
  */
 export const occurrencesOf = (job: poolJob.PoolJob): number => job.schedule?.occurrences ?? 1;
 
@@ -124,7 +124,7 @@
 /**
  * @param job - an accepted job
  * @param nowMs - the leader's clock
- * @returns the job without progress; without a schedule its tasks stand ready
+ * @returns the job without progress; its tasks are added at once unless it has a schedule
  */
 export const createEntry = (job: poolJob.PoolJob, nowMs: number): JobEntry => {
   const entry: JobEntry = {
@@ -156,7 +156,7 @@
   entry.occurrences[name.occurrence]?.[name.step]?.[name.index];
 
 /**
- * Takes over what a former leader kept.
+ * Restores the progress that a previous leader stored.
  *
  * @param entry - a job without progress
  * @param record - its progress
@@ -182,7 +182,7 @@
 
 /**
  * @param entry - a job
- * @returns its progress as it is kept
+ * @returns its progress as it is stored
  */
 export const toRecord = (entry: JobEntry): progressRecord.ProgressRecord => ({
   state: entry.state,
@@ -192,7 +192,7 @@
 
 /**
  * @param entry - a job
- * @returns whether nothing can happen to it any more
+ * @returns whether it is in a final state
  */
 export const isEnded = (entry: JobEntry): boolean =>
   entry.state === poolJob.PoolJobState.complete ||
@@ -220,26 +220,27 @@
   return tasks.filter(isWaiting).map((task) => ({ ...base, tasks: [task] }));
 };
 
-/** First pause after a start that no worker took, doubled with each further one. */
-const REFUSED_PAUSE_MS = 100;
+/** First backoff after a start that no worker accepted, doubled with each further one. */
+const FIRST_REFUSAL_BACKOFF_MS = 100;
 
-/** Longest such pause: the worker or its policy may have changed by then. */
-const MAX_REFUSED_PAUSE_MS = 5000;
+/** Longest backoff: the worker or its policy may have changed by then. */
+const MAX_REFUSAL_BACKOFF_MS = 5000;
 
 /**
- * Sets a task back whose start was refused or stays open. Without a pause a worker that refuses
- * everything draws start after start, each with a write to the store.
+ * Backs off after a start that was refused or not acknowledged. Without a pause a worker that refuses
+ * everything is sent start after start, each with a write to the store.
  *
  * @param task - the task
  * @param nowMs - the leader's clock
  */
 export const noteRefusal = (task: TaskEntry, nowMs: number): void => {
-  task.notBeforeMs = nowMs + Math.min(MAX_REFUSED_PAUSE_MS, REFUSED_PAUSE_MS * 2 ** task.refusals);
+  task.notBeforeMs =
+    nowMs + Math.min(MAX_REFUSAL_BACKOFF_MS, FIRST_REFUSAL_BACKOFF_MS * 2 ** task.refusals);
   task.refusals += 1;
 };
 
 /**
- * Notes that tasks are begun again elsewhere because a worker holds them up.
+ * Records that tasks are relocated because their worker slows them down.
  *
  * @param tasks - a gang, or one task
  */
@@ -252,7 +253,7 @@
 
 /**
  * @param entry - a job
- * @returns what of it may start now, were there room
+ * @returns its units that may start now, provided there is capacity
  */
 export const readyUnits = (entry: JobEntry): ReadyUnit[] => {
   if (isEnded(entry) || entry.isCancelled) return [];
@@ -267,14 +268,14 @@
 /**
  * @param entry - a job
  * @param task - one of its tasks
- * @returns the tasks that run and end with it: its gang, or itself alone
+ * @returns the tasks that run and end together with it: its gang, or the task alone
  */
 export const groupOf = (entry: JobEntry, task: TaskEntry): readonly TaskEntry[] =>
   entry.job.steps[task.step]?.isGang === true
     ? (entry.occurrences[task.occurrence]?.[task.step] ?? [task])
     : [task];
 
-/** Where a task of a unit goes. */
+/** A task of a unit with the worker that it is assigned to. */
 export interface Assignment {
   readonly task: TaskEntry;
   readonly workerId: string;
@@ -282,26 +283,26 @@
   readonly agentId: string;
 }
 
-/** How a run begins; zeros where that is not known. */
+/** Start of a run; 0 where a value is unknown. */
 export interface Beginning {
   /** Unix milliseconds. */
   readonly wallMs: number;
-  /** How much longer it takes where it is than near its data. */
+  /** Factor by which the run takes longer than with local data. */
   readonly distanceFactor: number;
 }
 
 /**
- * Gives the tasks of a unit to workers, under one run number that no member had before. A gang goes
- * on from one common checkpoint.
+ * Assigns the tasks of a unit to workers, under one run number that no member has had before. A gang
+ * resumes from one common checkpoint.
  *
  * @param entry - the job
  * @param assignments - one for each task of the unit
- * @param beginning - when and how far from their data they begin
+ * @param start - when they start and how remote from their data
  */
 export const assign = (
   entry: JobEntry,
   assignments: readonly Assignment[],
-  beginning: Beginning = { wallMs: 0, distanceFactor: 0 },
+  start: Beginning = { wallMs: 0, distanceFactor: 0 },
 ): void => {
   const run = 1 + Math.max(...assignments.map(({ task }) => task.run));
   const saved = assignments.map(({ task }) => task.saved).find((it) => it !== '') ?? '';
@@ -312,8 +313,8 @@
     task.incarnationMs = incarnationMs;
     task.agentId = agentId;
     task.saved = saved;
-    task.startedAtWallMs = beginning.wallMs;
-    task.distanceFactor = beginning.distanceFactor;
+    task.startedAtWallMs = start.wallMs;
+    task.distanceFactor = start.distanceFactor;
     task.lateUntilWallMs = 0;
   }
   if (entry.state === poolJob.PoolJobState.queued) entry.state = poolJob.PoolJobState.running;
--- a/src/coordination/common/pool/jobChecks.ts
+++ b/src/coordination/common/pool/jobChecks.ts
@@ -1,5 +1,5 @@
 /**
- * What a job must be for the pool to take it, beyond the form of its fields.
+ * Validation of a job's steps beyond the schema of its fields.
  */
 import * as errors from '../../../base/common/errors.js';
 import * as poolJob from '../../../state/common/pool/poolJob.js';
@@ -11,20 +11,20 @@
 const checkStep = (step: poolJob.Step, index: number): void => {
   for (const before of step.after) {
     if (before >= index) {
-      refuse(`steps[${index}].after`, `names step ${before}, which does not come earlier`);
+      refuse(`steps[${index}].after`, `refers to step ${before}, which is not an earlier step`);
     }
   }
   if (step.isGang && step.isSpeculative) {
-    refuse(`steps[${index}]`, 'a gang can not run copies of its tasks');
+    refuse(`steps[${index}]`, 'a gang step can not be speculative');
   }
 };
 
 /**
  * @param steps - a job's steps
- * @throws AuburnliftError `invalidRequest` that names the field
+ * @throws AuburnliftError `invalidRequest` with the name of the invalid field
  */
 export const checkSteps = (steps: readonly poolJob.Step[]): void => {
-  if (steps.length === 0) refuse('steps', 'at least one step is needed');
+  if (steps.length === 0) refuse('steps', 'at least one step is required');
   if (steps.length > poolJob.MAX_STEPS) refuse('steps', `at most ${poolJob.MAX_STEPS} steps`);
   steps.forEach(checkStep);
 };
--- a/src/coordination/common/pool/jobEnds.ts
+++ b/src/coordination/common/pool/jobEnds.ts
@@ -1,12 +1,12 @@
 /**
- * What the end of a run means for its job. Pure, like the picture of the job that it changes.
+ * State changes of a job when a run ends or the job is cancelled. Pure, like the state that they change.
  */
 import * as poolJob from '../../../state/common/pool/poolJob.js';
 import type * as poolWorker from '../../../state/common/pool/poolWorker.js';
 import * as progressRecord from '../../../state/common/pool/progressRecord.js';
 import * as jobBook from './jobBook.js';
 
-const settleState = (entry: jobBook.JobEntry, wallMs: number): void => {
+const updateJobState = (entry: jobBook.JobEntry, wallMs: number): void => {
   if (jobBook.isEnded(entry)) return;
   const tasks = jobBook.tasksOf(entry);
   if (tasks.some((task) => task.phase === progressRecord.TaskPhase.failed)) {
@@ -14,8 +14,8 @@
     entry.endedAtMs = wallMs;
     return;
   }
-  const isWhole = entry.occurrences.length === jobBook.occurrencesOf(entry.job);
-  if (isWhole && jobBook.isStepDone(tasks)) {
+  const hasAllOccurrences = entry.occurrences.length === jobBook.occurrencesOf(entry.job);
+  if (hasAllOccurrences && jobBook.isStepDone(tasks)) {
     entry.state = poolJob.PoolJobState.complete;
     entry.endedAtMs = wallMs;
   }
@@ -26,29 +26,29 @@
   group: readonly jobBook.TaskEntry[],
   run: number,
 ): void => {
-  const isLasting = entry.job.steps[group[0]?.step ?? 0]?.isLongRunning === true;
+  const isLongRunning = entry.job.steps[group[0]?.step ?? 0]?.isLongRunning === true;
   for (const task of group) {
-    // Several members of a gang may end as failed: that is one failure of the gang.
+    // Several members of a gang may fail in one run; this counts as one failure of the gang.
     if (task.failedRun === run) continue;
     task.failedRun = run;
     task.failures += 1;
-    if (!isLasting && task.failures >= entry.job.policy.attempts) {
+    if (!isLongRunning && task.failures >= entry.job.policy.attempts) {
       task.phase = progressRecord.TaskPhase.failed;
     }
   }
 };
 
-/** How a run ended, as the leader learnt it. */
+/** How a run ended, as far as the leader knows. */
 export interface RunOutcome {
   readonly run: number;
-  /** `lost` where the worker went away with it. */
+  /** `lost` where no worker reported its end and it can't run any more. */
   readonly how: poolWorker.EndKind | 'lost';
   readonly saved: string;
 }
 
 /**
- * Takes note of the end of a task's run. An end of an earlier run changes nothing: it was given up
- * only when it had certainly ended or could not start any more.
+ * Records the end of a task's run. The end of an earlier run changes nothing: that run was declared
+ * lost only when it had certainly ended or could not start any more.
  *
  * @param entry - the job
  * @param task - the task
@@ -62,8 +62,8 @@
   outcome: RunOutcome,
   wallMs: number,
 ): boolean => {
-  const isPresent = task.phase === progressRecord.TaskPhase.assigned && task.run === outcome.run;
-  if (!isPresent) return false;
+  const isCurrentRun = task.phase === progressRecord.TaskPhase.assigned && task.run === outcome.run;
+  if (!isCurrentRun) return false;
   const group = jobBook.groupOf(entry, task);
   if (outcome.saved !== '') for (const member of group) member.saved = outcome.saved;
   const step = entry.job.steps[task.step];
@@ -82,13 +82,13 @@
       task.phase = progressRecord.TaskPhase.waiting;
     }
   }
-  settleState(entry, wallMs);
+  updateJobState(entry, wallMs);
   return true;
 };
 
 /**
- * Takes note that a run was done which had been given up: its order was carried out late, by a life of the worker
- * that nobody had reached. The task does not begin again; a later run that is at work is of no more use.
+ * Records that a run which was declared lost is done: an incarnation that the leader had not reached carried
+ * its start order out late. The task is not started again; a later run of it in progress is no longer needed.
  *
  * @param entry - the job
  * @param task - the task
@@ -103,16 +103,16 @@
   wallMs: number,
 ): boolean => {
   const isLongRunning = entry.job.steps[task.step]?.isLongRunning === true;
-  const isOpen =
+  const isUnfinished =
     task.phase === progressRecord.TaskPhase.waiting ||
     (task.phase === progressRecord.TaskPhase.assigned && run < task.run);
-  if (how !== 'done' || !isOpen || isLongRunning || task.earlierDoneRun > 0) return false;
+  if (how !== 'done' || !isUnfinished || isLongRunning || task.earlierDoneRun > 0) return false;
   for (const member of jobBook.groupOf(entry, task)) {
     member.earlierDoneRun = run;
     const { waiting, done } = progressRecord.TaskPhase;
     if (member.phase === waiting) member.phase = done;
   }
-  settleState(entry, wallMs);
+  updateJobState(entry, wallMs);
   return true;
 };
 
--- a/src/coordination/common/pool/jobOutcome.ts
+++ b/src/coordination/common/pool/jobOutcome.ts
@@ -1,42 +1,42 @@
 /**
- * How well a job that has ended served its caller: what operators count and what a late job's line says.
+ * Outcome of a job that has ended, for metrics and the log: its duration, objective and timeliness.
  */
 import type * as poolJob from '../../../state/common/pool/poolJob.js';
 import * as jobBook from './jobBook.js';
 import * as jobChain from './jobChain.js';
 
-/** How an end stands to the job's objective. */
+/** A job's duration compared with its objective. */
 export const Timeliness = {
   inTime: 'inTime',
-  /** Past the objective, and still of some use. */
+  /** Past the objective, but still of partial value to the caller. */
   late: 'late',
-  /** So late that it serves nobody any more. */
+  /** So late that it has no value to the caller. */
   tooLate: 'tooLate',
 } as const;
 
 /** One of the values of {@link Timeliness}. */
 export type Timeliness = (typeof Timeliness)[keyof typeof Timeliness];
 
-/** What is told of a job that has ended. */
+/** Outcome of a job that has ended. */
 export interface JobOutcome {
   /** From its acceptance, or the due time of its last occurrence, to its end. */
   readonly durationMs: number;
-  /** Longest chain of the work that its tasks turned out to be, near their data and in waves. */
+  /** Longest chain of its tasks' observed work, with local data and in waves. */
   readonly chainMs: number;
-  /** Within this time it was in time. */
+  /** Time within which it had to end to be in time. */
   readonly objectiveMs: number;
   readonly timeliness: Timeliness;
-  /** Runs that its tasks took beyond one each. */
+  /** Runs of its tasks beyond the first of each. */
   readonly extraRuns: number;
 }
 
-/** A job still serves its caller in part up to this multiple of its objective. */
+/** A job is of partial value to its caller up to this multiple of its objective. */
 export const LATE_MULTIPLE = 3;
 
 /**
  * @param job - a job
  * @param occurrence - one of its occurrences
- * @returns Unix milliseconds from which its time is counted
+ * @returns Unix milliseconds of its acceptance or due time, from which its duration is measured
  */
 export const countedFromMs = (job: poolJob.PoolJob, occurrence: number): number =>
   job.schedule === undefined ? job.acceptedAtMs : jobBook.dueAtMs(job, occurrence);
@@ -46,7 +46,7 @@
   return durationMs <= LATE_MULTIPLE * objectiveMs ? Timeliness.late : Timeliness.tooLate;
 };
 
-/** Its caller is owed by the true work; what was declared stands in where none was seen. */
+/** The objective is based on the observed work, or on the declared work where none was observed. */
 const observedWork =
   (entry: jobBook.JobEntry, occurrence: number): jobChain.WorkOf =>
   (step, index) => {
@@ -57,8 +57,8 @@
 
 /**
  * @param entry - a job that has ended
- * @param slotsOf - the pool's room
- * @returns how it served its caller
+ * @param slotsOf - the pool's slots
+ * @returns its outcome
  */
 export const outcomeOf = (entry: jobBook.JobEntry, slotsOf: jobChain.SlotsOf): JobOutcome => {
   const { job } = entry;
--- a/src/coordination/common/pool/jobRegistry.ts
+++ b/src/coordination/common/pool/jobRegistry.ts
@@ -1,5 +1,5 @@
 /**
- * The jobs that the leader knows, kept from the store's records as they come and go.
+ * The jobs that the leader knows, kept up to date from the store's records.
  */
 import type * as logging from '../../../base/common/logging.js';
 import type * as poolJob from '../../../state/common/pool/poolJob.js';
@@ -8,7 +8,7 @@
 import type * as store from '../../../state/common/store.js';
 import * as jobBook from './jobBook.js';
 
-/** What a record of the store changed. */
+/** What a store record changed. */
 export const RecordEffect = {
   none: 'none',
   submitted: 'submitted',
@@ -19,20 +19,20 @@
 /** One of the values of {@link RecordEffect}. */
 export type RecordEffect = (typeof RecordEffect)[keyof typeof RecordEffect];
 
-/** The jobs of the leader. */
+/** The jobs that the leader knows. */
 export interface JobRegistry {
   readonly get: (jobId: string) => jobBook.JobEntry | undefined;
   readonly all: () => Iterable<jobBook.JobEntry>;
-  /** Jobs whose cancellation came before the job itself or is not yet taken note of. */
+  /** Applies a job or its cancellation, which may arrive before the job. */
   readonly takeRecord: (record: store.StoreEntry, nowMs: number) => RecordEffect;
   readonly takeProgress: (record: store.StoreEntry) => void;
   readonly remove: (jobId: string) => boolean;
-  /** Jobs of a queue of which no task has started. */
+  /** Number of jobs by queue of which no task has started. */
   readonly pendingByQueue: () => Record<string, number>;
 }
 
 /**
- * @param log - hears of records that can't be read
+ * @param log - receives records that can't be parsed
  * @returns a registry without jobs
  */
 export const createJobRegistry = (log: logging.Log): JobRegistry => {
@@ -43,7 +43,7 @@
     try {
       return decode(record.value);
     } catch (thrown) {
-      // Only this product writes here, so a record that can't be read is a defect worth a line.
+      // Only this product writes here, so a record that can't be parsed is a defect: log it as an error.
       log('error', 'recordUnreadable', { key: record.key, reason: String(thrown) });
       return undefined;
     }
--- a/src/coordination/common/pool/lateOrders.ts
+++ b/src/coordination/common/pool/lateOrders.ts
@@ -1,12 +1,12 @@
 /**
- * Orders that got no answer: the worker may carry them out seconds later, and so may its next life, which has seen
- * no fence before somebody reaches it.
+ * Unacknowledged orders: the worker may carry them out seconds later, and so may its new incarnation, which
+ * knows of no fence until it is contacted for the first time.
  */
 
-/** A worker carries an order out within this time, or never. */
+/** A worker carries out an order within this time, or never. */
 export const MAX_LATE_MS = 12_000;
 
-/** Both clocks of the leader, read at one moment. */
+/** Both clocks of the leader, read at the same instant. */
 export interface Now {
   readonly monotonicMs: number;
   /** Unix milliseconds. */
@@ -14,11 +14,11 @@
 }
 
 /**
- * Takes over what a former leader noted; its time of day may have been another one.
+ * Converts a time that a previous leader recorded; bounded, since its wall clock may have differed.
  *
- * @param lateUntilWallMs - Unix milliseconds until which a copy of an order may come; 0 where none may
+ * @param lateUntilWallMs - Unix milliseconds until which a delayed order may arrive; 0 where none may
  * @param now - the leader's clocks
- * @returns the same on the leader's own clock
+ * @returns the same instant on this leader's monotonic clock
  */
 export const toOwnClock = (lateUntilWallMs: number, now: Now): number =>
   now.monotonicMs + Math.min(MAX_LATE_MS, Math.max(0, lateUntilWallMs - now.wallMs));
--- a/src/coordination/common/pool/progressBatch.ts
+++ b/src/coordination/common/pool/progressBatch.ts
@@ -1,20 +1,20 @@
 /**
- * One transaction of jobs' progress: what it is conditional on, and what a refusal of it means.
+ * One transaction that writes the progress of jobs: its conditions, and the meaning of a refusal.
  */
 import * as recordStore from '../../../state/common/pool/recordStore.js';
 import * as store from '../../../state/common/store.js';
 
-/** A record that is due to be written. */
+/** A record that is to be written. */
 export interface DueRecord {
   readonly key: string;
   readonly value: string;
   /** Revision that is overwritten; 0 where there is none. */
   readonly revision: number;
-  /** Key of a cancellation that the leader has not heard of; absent where it has heard of one. */
+  /** Key under which a cancellation would stand; absent where the leader knows of a cancellation. */
   readonly cancelKey?: string;
 }
 
-/** A job with its record as it is now. */
+/** A job with its current record. */
 export interface DueJob {
   readonly jobId: string;
   readonly record: DueRecord;
@@ -23,10 +23,10 @@
 /** Jobs that are written together. */
 export type ProgressBatch = readonly DueJob[];
 
-/** What became of a batch. */
+/** Outcome of writing a batch. */
 export const BatchOutcome = {
   written: 'written',
-  /** A job of it was cancelled: no copy of the batch has taken effect or will. */
+  /** A job of it was cancelled: no attempt to write the batch has taken effect or will. */
   outdated: 'outdated',
   /** Another process leads or has changed a record. */
   conflict: 'conflict',
@@ -35,21 +35,21 @@
 /** One of the values of {@link BatchOutcome}. */
 export type BatchOutcome = (typeof BatchOutcome)[keyof typeof BatchOutcome];
 
-/** What a refusal means. */
+/** Meaning of a refused batch. */
 export interface RefusedBatch {
   readonly outcome: BatchOutcome;
-  /** Cancellations that the leader has not heard of. */
+  /** Cancellations that the leader did not know of. */
   readonly cancels: readonly store.StoreEntry[];
-  /** Revision of each job's record, where an earlier copy of the batch has written it. */
+  /** Revision of each job's record, where an earlier attempt has written the batch. */
   readonly revisions: ReadonlyMap<string, number>;
 }
 
-/** Three entries a job, two conditions and a put, beside the one of leadership. */
+/** Three entries per job, two conditions and a put, besides the condition of leadership. */
 export const MAX_JOBS = Math.floor((recordStore.MAX_TRANSACTION_ENTRIES - 1) / 3);
 
 /**
- * Without the second condition a leader that has not heard of a cancellation, since its watch is late,
- * stores and sends starts of a job that nobody wants any more.
+ * Without the second condition a leader that does not know of a cancellation yet, since its watch is
+ * delayed, stores and sends starts of a cancelled job.
  */
 const conditionsOf = ({ key, revision, cancelKey }: DueRecord): recordStore.Condition[] => [
   { key, revision },
@@ -58,7 +58,7 @@
 
 /**
  * @param batch - the jobs
- * @param leadership - the record of leadership that must still stand
+ * @param leadership - the leadership record, which must be unchanged
  * @returns the transaction
  */
 export const toTransaction = (
@@ -72,9 +72,9 @@
 
 /**
  * @param batch - the jobs
- * @param leadership - the record of leadership that had to stand
+ * @param leadership - the leadership record, which had to be unchanged
  * @param refusal - the store's answer
- * @returns what it means
+ * @returns the meaning of the refusal
  */
 export const judgeRefusal = (
   batch: ProgressBatch,
@@ -89,7 +89,7 @@
   const cancels = batch
     .map(({ record }) => current.get(record.cancelKey ?? ''))
     .filter((it) => it !== undefined);
-  // An earlier copy of the same transaction took effect: every record stands as it was to be.
+  // An earlier attempt of the same transaction took effect: every record has its new value.
   if (batch.every(({ record }) => current.get(record.key)?.value === record.value)) {
     const revisions = new Map(batch.map((it) => [it.jobId, revisionOf(it.record.key)]));
     return { outcome: BatchOutcome.written, cancels, revisions };
--- a/src/coordination/common/pool/readyQueue.ts
+++ b/src/coordination/common/pool/readyQueue.ts
@@ -1,5 +1,5 @@
 /**
- * What stands ready to start, with what a planning round wants to know of it.
+ * The units that are ready to start, with the properties that a planning round needs.
  */
 import * as poolJob from '../../../state/common/pool/poolJob.js';
 import type * as heldUpRuns from './heldUpRuns.js';
@@ -10,14 +10,14 @@
 import type * as planTypes from './planTypes.js';
 import * as workerTable from './workerTable.js';
 
-/** Remembers since when each unit has been ready. */
+/** Tracks since when each unit has been ready. */
 export interface ReadyQueue {
   /**
    * @param entries - the jobs
    * @param nowMs - the leader's clock
    * @param wallMs - Unix milliseconds now
-   * @param slotsOf - the pool's room
-   * @returns what may start now
+   * @param slotsOf - the pool's slots
+   * @returns the units that may start now
    */
   readonly units: (
     entries: Iterable<jobBook.JobEntry>,
@@ -26,10 +26,10 @@
     slotsOf?: jobChain.SlotsOf,
   ) => planTypes.PlanUnit[];
   /**
-   * @param groups - running groups that are held up
+   * @param groups - stragglers
    * @param nowMs - the leader's clock
    * @param wallMs - Unix milliseconds now
-   * @returns the groups as they would be planned, were they to start again now
+   * @returns the groups as units that would start again now
    */
   readonly heldUpUnits: (
     groups: readonly heldUpRuns.HeldUpGroup[],
@@ -45,12 +45,12 @@
 
 const timingOf = (
   job: poolJob.PoolJob,
-  book: estimateBook.EstimateBook,
+  estimates: estimateBook.EstimateBook,
   slotsOf: jobChain.SlotsOf,
 ): JobTiming => {
   const { queue } = job.policy;
   const workOf: jobChain.WorkOf = (step) =>
-    estimateBook.expectedWorkMs(book, queue, step.estimatedMs);
+    estimateBook.expectedWorkMs(estimates, queue, step.estimatedMs);
   return {
     chainMs: jobChain.longestChainMs(job, workOf),
     objectiveMs: jobChain.objectiveMs(job, jobChain.owedChainMs(job, workOf, slotsOf)),
@@ -61,10 +61,10 @@
   unit.tasks.every((task) => task.notBeforeMs <= nowMs);
 
 /**
- * @param book - what tasks take
- * @returns a queue that has seen nothing yet
+ * @param estimates - runtime estimates of tasks
+ * @returns a queue in which no unit has been ready yet
  */
-export const createReadyQueue = (book: estimateBook.EstimateBook): ReadyQueue => {
+export const createReadyQueue = (estimates: estimateBook.EstimateBook): ReadyQueue => {
   let readySinceMs = new Map<string, number>();
 
   const toPlanUnit = (
@@ -76,7 +76,7 @@
     const { job } = unit.entry;
     const [first] = unit.tasks;
     const { stepKey, groupKey } = workerTable.keysOf(unit.entry, first as jobBook.TaskEntry);
-    const startedAtMs = nowMs - wallMs + jobOutcome.countedFromMs(job, unit.occurrence);
+    const releaseMs = nowMs - wallMs + jobOutcome.countedFromMs(job, unit.occurrence);
     const { objectiveMs, chainMs } = timing;
     return {
       unit,
@@ -85,18 +85,23 @@
       priority: job.policy.priority,
       customerId: job.customerId,
       room: poolJob.roomOf(unit.step),
-      latestStartMs: startedAtMs + objectiveMs - chainMs,
-      uselessAfterMs: startedAtMs + jobOutcome.LATE_MULTIPLE * objectiveMs - chainMs,
-      countedFromMs: startedAtMs,
+      latestStartMs: releaseMs + objectiveMs - chainMs,
+      uselessAfterMs: releaseMs + jobOutcome.LATE_MULTIPLE * objectiveMs - chainMs,
+      countedFromMs: releaseMs,
       waitedMs: nowMs - (readySinceMs.get(groupKey) ?? nowMs),
-      expectedMs: estimateBook.expectedWorkMs(book, job.policy.queue, unit.step.estimatedMs),
+      expectedMs: estimateBook.expectedWorkMs(estimates, job.policy.queue, unit.step.estimatedMs),
     };
   };
 
   return {
     heldUpUnits: (groups, nowMs, wallMs) =>
       groups.map(({ unit, workerIds }) => ({
-        unit: toPlanUnit(unit, timingOf(unit.entry.job, book, jobChain.endlessRoom), nowMs, wallMs),
+        unit: toPlanUnit(
+          unit,
+          timingOf(unit.entry.job, estimates, jobChain.endlessRoom),
+          nowMs,
+          wallMs,
+        ),
         workerIds,
       })),
     units: (entries, nowMs, wallMs, slotsOf = jobChain.endlessRoom) => {
@@ -105,7 +110,7 @@
       for (const entry of entries) {
         const ready = jobBook.readyUnits(entry).filter((it) => isDue(it, nowMs));
         if (ready.length === 0) continue;
-        const timing = timingOf(entry.job, book, slotsOf);
+        const timing = timingOf(entry.job, estimates, slotsOf);
         for (const it of ready) {
           const unit = toPlanUnit(it, timing, nowMs, wallMs);
           sinceMs.set(unit.groupKey, readySinceMs.get(unit.groupKey) ?? nowMs);
