--- a/src/coordination/common/pool/runNeed.ts
+++ b/src/coordination/common/pool/runNeed.ts
@@ -1,19 +1,19 @@
 /**
- * Whether a run is still of use to its job.
+ * Whether a run is still needed by its job.
  */
 import * as jobBook from './jobBook.js';
 import type * as workerTable from './workerTable.js';
 
 /**
  * @param run - a run
- * @returns whether it has ended as done as far as its job is concerned; its worker will list the end
+ * @returns whether its job counts it as done already; its worker will still report the end
  */
 export const isDone = (run: workerTable.RunHolding): boolean =>
   run.task.phase === 'done' && run.task.run === run.run;
 
 /**
  * @param run - a run
- * @returns whether its job goes on and every member of its group runs under the same number
+ * @returns whether its job goes on and all of its group are assigned under the same run number
  */
 export const isWanted = (run: workerTable.RunHolding): boolean => {
   const { entry, task } = run;
--- a/src/coordination/common/pool/runPace.ts
+++ b/src/coordination/common/pool/runPace.ts
@@ -1,33 +1,33 @@
 /**
- * How fast a run gets on, by what its worker lists, against what its submitter declared.
+ * Speed of a run: the progress that its worker reports, relative to its declared work.
  *
- * Load it answers: a worker that turns slow or stands still for some seconds and whose health looks good.
- * Its tasks are late by its fault, and the room that it has free draws the next ones.
+ * A worker may turn slow or stall for some seconds while its health looks good. Its tasks are then late
+ * through its fault, and its free capacity attracts the next ones.
  */
 
-/** What is known of a run's pace. */
+/** Progress samples of a run and its speed. */
 export interface RunPace {
   /** Worker's clock at the last sample; undefined before the first. */
   sampledAtClockMs: number | undefined;
   sampledPercent: number;
-  /** Declared work done a millisecond over the last span; undefined before the first span has passed. */
+  /** Declared work done per millisecond over the last span; undefined before the first span has passed. */
   speed: number | undefined;
 }
 
 /**
- * Shortest span that tells: lists come most of a second apart, and progress is told in whole per cent,
- * which is a tenth of what a task of ten seconds does in this time.
+ * Shortest conclusive span: reports come most of a second apart, and progress is reported in whole
+ * per cent, which is about a tenth of what a task of ten seconds does in this time.
  */
 const MIN_SPAN_MS = 700;
 
 /**
- * Below it a run is held up. Declared work is off by up to a factor of two, tasks away from their data
- * take three times as long and are left out, and workers that turn slow do so by four and more.
+ * Below this speed a run is a straggler. Declared work is off by up to a factor of two; remote tasks take
+ * three times as long and are left out; workers that turn slow do so by a factor of four or more.
  */
 const SLOW_SPEED = 0.36;
 
 /**
- * @returns the pace of a run of which nothing is known
+ * @returns the state of a run without samples
  */
 export const createRunPace = (): RunPace => ({
   sampledAtClockMs: undefined,
@@ -36,10 +36,10 @@
 });
 
 /**
- * @param pace - a run's pace
- * @param clockMs - worker's clock when it listed the run
- * @param percent - progress that it listed
- * @param estimatedMs - declared work of the whole task
+ * @param pace - a run's speed
+ * @param clockMs - worker's clock at its report
+ * @param percent - progress that it reported
+ * @param estimatedMs - declared work of the entire task
  */
 export const noteProgress = (
   pace: RunPace,
@@ -58,8 +58,8 @@
 };
 
 /**
- * @param pace - a run's pace
- * @returns whether the run is held up, as far as one knows
+ * @param pace - a run's speed
+ * @returns whether the run is a straggler, as far as is known
  */
 export const isHeldUp = (pace: RunPace): boolean =>
   pace.speed !== undefined && pace.speed < SLOW_SPEED;
--- a/src/coordination/common/pool/viewIntake.ts
+++ b/src/coordination/common/pool/viewIntake.ts
@@ -1,35 +1,35 @@
 /**
- * What a worker's own list of runs says about the leader's picture of it. Pure: gives facts, the
- * leader acts on them.
+ * Reconciles the leader's state of a worker's runs with the worker's own report. Pure: returns what
+ * changed, the leader acts on it.
  */
 import type * as poolWorker from '../../../state/common/pool/poolWorker.js';
 import * as runPace from './runPace.js';
 import * as workerTable from './workerTable.js';
 
-/** A worker's list with the circumstances under which it was made. */
+/** A worker's report with the fence under which it was given. */
 export interface NumberedView {
   readonly view: poolWorker.WorkerView;
   /** Fence under which the worker answered. */
   readonly viewFence: number;
 }
 
-/** What follows from a worker's list. */
+/** Changes that follow from a worker's report. */
 export interface ViewFacts {
-  /** Ends not seen before, in their order. */
+  /** Ends that were not reported before, in their order. */
   readonly ends: readonly poolWorker.EndedRun[];
-  /** Runs of the leader's that ended as done, among the ends. */
+  /** Runs known to the leader that are done, among the ends. */
   readonly done: readonly workerTable.RunHolding[];
-  /** Runs that the worker has and the leader does not know. */
+  /** Runs that the worker reports and the leader does not know. */
   readonly strays: readonly poolWorker.RunningTask[];
-  /** Runs that are certainly gone without a listed end. */
+  /** Runs that are certainly gone without a reported end. */
   readonly gone: readonly workerTable.RunHolding[];
-  /** Runs that were present and are not listed any more. */
+  /** Runs that were present and are not reported any more. */
   readonly vanished: readonly workerTable.RunHolding[];
   /** Runs that have a new checkpoint. */
   readonly saved: readonly workerTable.RunHolding[];
 }
 
-const noteRunning = (
+const updateRun = (
   run: workerTable.RunHolding,
   listed: poolWorker.RunningTask,
   clockMs: number,
@@ -48,20 +48,20 @@
 };
 
 /**
- * Takes a worker's list into the picture of its runs. The caller has made sure that the list is newer
- * than the last one and of the present life of the worker.
+ * Applies a worker's report to its runs. The caller has made sure that the report is not older than the
+ * last one and comes from the worker's current incarnation.
  *
  * @param worker - the worker
- * @param numbered - its list
+ * @param fenced - its report
  * @param nowMs - the leader's clock
- * @returns what follows
+ * @returns the changes
  */
 export const takeView = (
   worker: workerTable.WorkerEntry,
-  numbered: NumberedView,
+  fenced: NumberedView,
   nowMs: number,
 ): ViewFacts => {
-  const { view, viewFence } = numbered;
+  const { view, viewFence } = fenced;
   const ends: poolWorker.EndedRun[] = [];
   const done: workerTable.RunHolding[] = [];
   for (const end of view.ended) {
@@ -82,7 +82,7 @@
     listed.add(key);
     const run = worker.runs.get(key);
     if (run === undefined) strays.push(running);
-    else if (noteRunning(run, running, view.clockMs, nowMs)) saved.push(run);
+    else if (updateRun(run, running, view.clockMs, nowMs)) saved.push(run);
   }
   const gone: workerTable.RunHolding[] = [];
   const vanished: workerTable.RunHolding[] = [];
--- a/src/coordination/common/pool/workerBlame.ts
+++ b/src/coordination/common/pool/workerBlame.ts
@@ -1,36 +1,36 @@
 /**
- * Tells a worker that fails or holds up whatever it runs from jobs that can't be done.
+ * Failure attribution: distinguishes a worker that fails or stalls all its runs from jobs that can't succeed.
  *
- * Load it answers: a worker whose health looks good and that fails each task within moments. Free again
- * at once, it draws the next task, and burns the attempts of every job that waits. Two failures of
- * different jobs without a success between them are enough: one of twenty sound tasks fails by itself,
- * so that two in a row by chance are one in four hundred.
+ * A worker may look healthy and fail each task almost immediately. Free again, it attracts the next task
+ * and uses up the attempts of every waiting job. Two failures of different jobs without a success between
+ * them are enough for suspicion: one in twenty healthy tasks fails by itself, so two in a row are due to
+ * chance once in four hundred.
  */
 
-/** What speaks against one life of a worker. */
+/** Suspicion against one incarnation of a worker. */
 export interface WorkerBlame {
   /** Jobs whose tasks failed here since the last success. */
   failedJobs: string[];
-  /** Leader's clock until which the worker is given nothing where others can take it. */
+  /** Leader's clock until which the worker gets tasks only where no other worker can hold them. */
   suspectUntilMs: number;
-  /** How often in a row it was suspected. */
+  /** How often it was suspected since its last success. */
   suspicions: number;
 }
 
 /** Different jobs that have to fail before the worker is suspected. */
-const FAILURES = 2;
+const JOBS_TO_SUSPECT = 2;
 
-/** First time out; a fault that lasts shows again with the next task and doubles it. */
+/** First suspicion period; a lasting fault shows again with the next task and doubles it. */
 const FIRST_SUSPICION_MS = 4000;
 
-/** Longest time out, so that a worker that has recovered is back within it. */
+/** Longest suspicion period, so that a recovered worker is used again within it. */
 const MAX_SUSPICION_MS = 16_000;
 
-/** A run that does not move at all keeps its worker from getting more for this long. */
+/** Suspicion period of a worker with a run that makes no progress at all. */
 const STALL_SUSPICION_MS = 1500;
 
 /**
- * @returns a worker against which nothing speaks
+ * @returns the record of a worker without suspicion
  */
 export const createWorkerBlame = (): WorkerBlame => ({
   failedJobs: [],
@@ -39,43 +39,43 @@
 });
 
 /**
- * @param blame - a worker's record
+ * @param suspicion - a worker's suspicion record
  * @param nowMs - the leader's clock
- * @returns whether the worker is suspected now
+ * @returns whether the worker is suspect now
  */
-export const isSuspect = (blame: WorkerBlame, nowMs: number): boolean =>
-  nowMs < blame.suspectUntilMs;
+export const isSuspect = (suspicion: WorkerBlame, nowMs: number): boolean =>
+  nowMs < suspicion.suspectUntilMs;
 
 /**
- * @param blame - a worker's record
+ * @param suspicion - a worker's suspicion record
  */
-export const noteSuccess = (blame: WorkerBlame): void => {
-  blame.failedJobs = [];
-  blame.suspicions = 0;
+export const noteSuccess = (suspicion: WorkerBlame): void => {
+  suspicion.failedJobs = [];
+  suspicion.suspicions = 0;
 };
 
 /**
- * @param blame - a worker's record
- * @param jobId - whose task failed
+ * @param suspicion - a worker's suspicion record
+ * @param jobId - the job whose task failed
  * @param nowMs - the leader's clock
- * @returns whether the worker has become suspected by it
+ * @returns whether the worker has become suspect by it
  */
-export const noteFailure = (blame: WorkerBlame, jobId: string, nowMs: number): boolean => {
-  if (!blame.failedJobs.includes(jobId)) blame.failedJobs.push(jobId);
-  // After a time out the first failure is enough: the fault has lasted.
-  const needed = blame.suspicions > 0 ? 1 : FAILURES;
-  if (blame.failedJobs.length < needed) return false;
-  const outMs = Math.min(MAX_SUSPICION_MS, FIRST_SUSPICION_MS * 2 ** blame.suspicions);
-  blame.suspectUntilMs = Math.max(blame.suspectUntilMs, nowMs + outMs);
-  blame.suspicions += 1;
-  blame.failedJobs = [];
+export const noteFailure = (suspicion: WorkerBlame, jobId: string, nowMs: number): boolean => {
+  if (!suspicion.failedJobs.includes(jobId)) suspicion.failedJobs.push(jobId);
+  // After a suspicion period one failure is enough: the fault has lasted.
+  const needed = suspicion.suspicions > 0 ? 1 : JOBS_TO_SUSPECT;
+  if (suspicion.failedJobs.length < needed) return false;
+  const periodMs = Math.min(MAX_SUSPICION_MS, FIRST_SUSPICION_MS * 2 ** suspicion.suspicions);
+  suspicion.suspectUntilMs = Math.max(suspicion.suspectUntilMs, nowMs + periodMs);
+  suspicion.suspicions += 1;
+  suspicion.failedJobs = [];
   return true;
 };
 
 /**
- * @param blame - a worker's record
+ * @param suspicion - a worker's suspicion record
  * @param nowMs - the leader's clock
  */
-export const noteStall = (blame: WorkerBlame, nowMs: number): void => {
-  blame.suspectUntilMs = Math.max(blame.suspectUntilMs, nowMs + STALL_SUSPICION_MS);
+export const noteStall = (suspicion: WorkerBlame, nowMs: number): void => {
+  suspicion.suspectUntilMs = Math.max(suspicion.suspectUntilMs, nowMs + STALL_SUSPICION_MS);
 };
--- a/src/coordination/common/pool/workerTable.ts
+++ b/src/coordination/common/pool/workerTable.ts
@@ -1,5 +1,5 @@
 /**
- * The leader's picture of the workers and of the runs that take room on them.
+ * The leader's in-memory state of the workers and of the runs that occupy capacity on them.
  */
 import * as agentContract from '../../../state/common/pool/agentContract.js';
 import * as poolJob from '../../../state/common/pool/poolJob.js';
@@ -13,17 +13,17 @@
 import * as runPace from './runPace.js';
 import * as workerBlame from './workerBlame.js';
 
-/** Where a run is between its order and its listed end. */
+/** Where a run is between its start order and its reported end. */
 export const RunPhase = {
   /** Its start is being stored or sent. */
   ordering: 'ordering',
-  /** The worker has it. */
+  /** The worker has accepted or reported it. */
   present: 'present',
   /** Its stop has been ordered. */
   stopping: 'stopping',
   /**
-   * Not known to the worker as far as one can see; it counts as gone once the worker has answered
-   * under a fence that refuses every earlier order.
+   * Presumably not on the worker; it counts as gone once the worker has answered under a fence that
+   * refuses every earlier order.
    */
   closing: 'closing',
 } as const;
@@ -31,7 +31,7 @@
 /** One of the values of {@link RunPhase}. */
 export type RunPhase = (typeof RunPhase)[keyof typeof RunPhase];
 
-/** A run that takes room on a worker. */
+/** A run that occupies capacity on a worker. */
 export interface RunHolding {
   readonly name: string;
   readonly run: number;
@@ -41,26 +41,26 @@
   readonly room: poolJob.Resources;
   readonly stepKey: string;
   readonly groupKey: string;
-  /** Leader's clock when the run was ordered, or first seen. */
+  /** Leader's clock when the run was ordered, or first reported. */
   sinceMs: number;
-  /** What it takes where it is, from its beginning, before its own progress tells. */
+  /** Expected runtime where it is, from its start; used until its own progress is conclusive. */
   expectedMs: number;
-  /** How much longer it takes where it is than near its data; 0 where that is not known. */
+  /** Factor by which it takes longer than with local data; 0 where unknown. */
   readonly distanceFactor: number;
-  /** The first progress that its worker listed, and the leader's clock then; undefined before. */
+  /** The first progress that its worker reported, and the leader's clock then; undefined before. */
   first: { readonly percent: number; readonly atMs: number } | undefined;
   phase: RunPhase;
   /** Fence under which the worker must have answered before the run counts as gone. */
   closeFence: number;
-  /** Leader's clock until which a copy of its order may still be carried out; 0 where all were answered. */
+  /** Leader's clock until which a delayed duplicate of its order may run; 0 where all were acknowledged. */
   lateUntilMs: number;
   percent: number;
   saved: string;
-  /** It goes on from a checkpoint of an earlier run. */
+  /** It resumes from a checkpoint of an earlier run. */
   readonly isResumed: boolean;
   /** Leader's clock when {@link percent} last rose. */
   movedAtMs: number;
-  /** How fast it gets on. */
+  /** Its speed. */
   readonly pace: runPace.RunPace;
   /** Leader's clock of the last stop order. */
   stopSentAtMs: number;
@@ -72,29 +72,29 @@
   url: string;
   bootId: string;
   info: poolWorker.WorkerInfo | undefined;
-  /** Number under which the leader gives orders here; rises to refuse earlier ones. */
+  /** Fencing token of the leader's orders to this worker; raised to make it refuse earlier ones. */
   fence: number;
   /** Ends up to this one are stored. */
   seenUpTo: number;
-  /** Ends up to this one are taken into the jobs. */
+  /** Ends up to this one are applied to the jobs. */
   appliedUpTo: number;
-  /** Ends of the worker's present life that are being stored. */
+  /** Ends of the worker's current incarnation, and which of them are stored. */
   ends: endLedger.EndLedger;
-  /** The worker's clock in the newest list that was taken; an older list is dropped. */
+  /** The worker's clock in the newest report that was applied; older reports are dropped. */
   viewClockMs: number;
   sample: leaseClock.ClockSample | undefined;
-  /** Leader's clock by which every lease that it or a former leader granted here has run out. */
+  /** Leader's clock by which every lease that it or a previous leader granted here has expired. */
   leasesLapseAtMs: number;
-  /** Leader's clock at which a draining worker ends; infinite for one that stays. */
+  /** Leader's clock at which a draining worker ends; infinite for a worker that is not draining. */
   leavesAtMs: number;
   isReachable: boolean;
   contactedAtMs: number;
   readonly runs: Map<string, RunHolding>;
-  /** What speaks against the worker's present life. */
+  /** Suspicion against the worker's current incarnation. */
   blame: workerBlame.WorkerBlame;
 }
 
-/** Fences of one epoch; a step is used for each time that earlier orders must be refused. */
+/** Fences of one epoch; each time that earlier orders must be refused uses up one step of them. */
 export const FENCES_PER_EPOCH = 1_000_000;
 
 /**
@@ -104,9 +104,9 @@
 export const firstFence = (epoch: number): number => epoch * FENCES_PER_EPOCH;
 
 /**
- * Refuses every earlier order, once the worker has heard of it.
+ * Makes the worker refuse every earlier order, once it has received the new fence.
  *
- * @param worker - the worker that they went to
+ * @param worker - the worker that the orders were sent to
  */
 export const raiseFence = (worker: WorkerEntry): void => {
   worker.fence += agentContract.FENCE_STEP;
@@ -121,11 +121,11 @@
 
 /**
  * @param agentId - the agent
- * @param url - where it answers
+ * @param url - URL of the agent
  * @param fence - first fence of the leader's epoch
  * @param nowMs - the leader's clock
- * @param formerLapseAtMs - by then whatever a former leader granted here has run out
- * @returns an agent of which nothing is known yet
+ * @param formerLapseAtMs - time by which every lease that a previous leader granted here has expired
+ * @returns an agent whose worker is not known yet
  */
 export const createWorkerEntry = (
   agentId: string,
@@ -155,7 +155,7 @@
 /**
  * @param entry - the job
  * @param task - its task
- * @returns names of the task, its step and the group that it runs and ends with
+ * @returns keys of the task, its step and the group that it runs and ends with
  */
 export const keysOf = (
   entry: jobBook.JobEntry,
@@ -169,10 +169,10 @@
 
 /**
  * @param entry - the job
- * @param task - its task, given to a worker
+ * @param task - its task, assigned to a worker
  * @param phase - where the run is
  * @param nowMs - the leader's clock
- * @returns the run as it takes room on its worker
+ * @returns the run as it occupies capacity on its worker
  */
 export const createRun = (
   entry: jobBook.JobEntry,
@@ -205,74 +205,74 @@
 };
 
 /**
- * What a task that checkpoints loses by a stop, which saves it: the time to go on from there. Counted
- * from its last checkpoint instead, it looked as dear as one that loses everything.
+ * Work that a checkpointing task loses by a stop, which saves a checkpoint: the time to resume from it.
+ * Counted from its last checkpoint instead, its loss looked as high as that of a task that loses everything.
  */
 const RESTORE_MS = 250;
 
-/** Below this percentage the progress says little about the whole. */
-const MIN_TELLING_PERCENT = 5;
+/** Below this percentage the progress is not conclusive for the entire task. */
+const MIN_CONCLUSIVE_PERCENT = 5;
 
-/** Beyond it what is left says little about the whole. */
-const MAX_TELLING_PERCENT = 90;
+/** Above this percentage the rest is not conclusive for the entire task. */
+const MAX_CONCLUSIVE_PERCENT = 90;
 
 /**
  * @param run - a run
- * @param workMs - what its task is expected to take near its data
+ * @param workMs - expected runtime of its task with local data
  */
 export const expectWork = (run: RunHolding, workMs: number): void => {
   run.expectedMs = workMs * Math.max(1, run.distanceFactor);
 };
 
 /**
- * Counts a run of a former leader from its beginning. Counted from the take-over it looked as if nothing
- * were lost by stopping it, and a claim chose what was nearly done.
+ * Counts a run of a previous leader from its start. Counted from the takeover, preempting it would seem
+ * to lose nothing, and a claim would choose runs that are nearly done.
  *
- * @param run - a run that another leader gave
- * @param book - what tasks take
+ * @param run - a run that another leader started
+ * @param estimates - runtime estimates of tasks
  * @param now - the leader's clock and Unix milliseconds
  */
 export const countFromStart = (
   run: RunHolding,
-  book: estimateBook.EstimateBook,
+  estimates: estimateBook.EstimateBook,
   now: { readonly nowMs: number; readonly wallMs: number },
 ): void => {
   const { task, entry, step } = run;
   const heldMs = task.startedAtWallMs === 0 ? 0 : Math.max(0, now.wallMs - task.startedAtWallMs);
   run.sinceMs = now.nowMs - heldMs;
   const { queue } = entry.job.policy;
-  expectWork(run, estimateBook.expectedWorkMs(book, queue, step.estimatedMs));
+  expectWork(run, estimateBook.expectedWorkMs(estimates, queue, step.estimatedMs));
 };
 
 /**
  * @param run - a run
  * @param nowMs - the leader's clock
- * @returns expected time to its end, from its own progress where that tells
+ * @returns expected time to its end, from its own progress where that is conclusive
  */
 export const remainingMsOf = (run: RunHolding, nowMs: number): number => {
   const elapsedMs = nowMs - run.sinceMs;
   const { first, percent } = run;
   if (run.isResumed) {
-    // Its percentage tells of earlier runs as well: its pace is what came since it was first listed.
+    // Its percentage includes earlier runs: only progress since its first report shows its own speed.
     const done = first === undefined ? 0 : percent - first.percent;
-    return first !== undefined && done >= MIN_TELLING_PERCENT
+    return first !== undefined && done >= MIN_CONCLUSIVE_PERCENT
       ? ((nowMs - first.atMs) * (100 - percent)) / done
       : (run.expectedMs * (100 - percent)) / 100;
   }
-  if (percent >= MIN_TELLING_PERCENT) return (elapsedMs * (100 - percent)) / percent;
+  if (percent >= MIN_CONCLUSIVE_PERCENT) return (elapsedMs * (100 - percent)) / percent;
   return Math.max(run.expectedMs - elapsedMs, run.expectedMs / 4);
 };
 
 /**
  * @param run - a run that is done
  * @param nowMs - the leader's clock
- * @returns its work near its data; 0 where its beginning or its distance was not seen
+ * @returns its runtime converted to that with local data; 0 where its start or locality is unknown
  */
 export const observedWorkMs = (run: RunHolding, nowMs: number): number => {
   const { distanceFactor, first } = run;
   if (distanceFactor === 0) return 0;
   if (!run.isResumed) return (nowMs - run.sinceMs) / distanceFactor;
-  if (first === undefined || first.percent > MAX_TELLING_PERCENT) return 0;
+  if (first === undefined || first.percent > MAX_CONCLUSIVE_PERCENT) return 0;
   return ((nowMs - first.atMs) * 100) / (100 - first.percent) / distanceFactor;
 };
 
@@ -284,7 +284,7 @@
 export const lostByStopMs = (step: poolJob.Step, heldMs: number): number =>
   step.isCheckpointing ? Math.min(RESTORE_MS, heldMs) : heldMs;
 
-const toHolding = (run: RunHolding, nowMs: number): planTypes.Holding => ({
+const toAllocation = (run: RunHolding, nowMs: number): planTypes.Holding => ({
   jobId: run.entry.job.jobId,
   task: run.name,
   run: run.run,
@@ -303,7 +303,7 @@
 
 /**
  * @param worker - an agent with its worker
- * @returns room that no run takes
+ * @returns capacity that no run occupies
  */
 export const freeRoom = (worker: WorkerEntry): poolJob.Resources => {
   let free = worker.info?.capacity ?? poolJob.NO_RESOURCES;
@@ -313,7 +313,7 @@
 
 /**
  * @param worker - an agent with its worker
- * @returns whether the worker may be given new tasks
+ * @returns whether the worker may get new tasks
  */
 export const takesTasks = (worker: WorkerEntry): boolean =>
   worker.isReachable &&
@@ -322,7 +322,7 @@
 
 /**
  * @param workers - agents with their workers
- * @returns the room of all of them, each kind of task counted once
+ * @returns counts how many tasks of a step all of them hold; counted once for each kind of task
  */
 export const createSlotCount = (workers: Iterable<WorkerEntry>): jobChain.SlotsOf => {
   const infos = [...workers].flatMap(({ info }) => info ?? []);
@@ -340,20 +340,20 @@
 };
 
 /**
- * Guards against a task that runs twice: what a silent worker runs goes on until its lease has lapsed,
- * also where a former leader granted it.
+ * Guards against a task that runs twice: an unreachable worker keeps running its tasks until their leases
+ * have expired, including those that a previous leader granted.
  *
  * @param worker - an agent with its worker
  * @param nowMs - the leader's clock
- * @returns whether all that may have run there has ended
+ * @returns whether every run that may have been there has ended
  */
 export const isLapsed = (worker: WorkerEntry, nowMs: number): boolean =>
   !worker.isReachable && nowMs > worker.leasesLapseAtMs;
 
 /**
- * @param worker - a worker that takes tasks
+ * @param worker - an agent with its worker
  * @param nowMs - the leader's clock
- * @returns the worker as a planning round looks at it, or undefined where it takes no tasks
+ * @returns the worker as input of a planning round, or undefined where it accepts no tasks
  */
 export const toPlanWorker = (
   worker: WorkerEntry,
@@ -370,7 +370,7 @@
     labels: info.labels,
     capacity: info.capacity,
     free: freeRoom(worker),
-    holdings: [...worker.runs.values()].map((run) => toHolding(run, nowMs)),
+    holdings: [...worker.runs.values()].map((run) => toAllocation(run, nowMs)),
     isSuspect: workerBlame.isSuspect(worker.blame, nowMs),
     placedSteps: new Map(),
   };
