--- a/src/coordination/common/pool/test/heldUpRuns.test.ts
+++ b/src/coordination/common/pool/test/heldUpRuns.test.ts
@@ -1,5 +1,5 @@
 /**
- * Runs that a worker holds up: when that is seen, and what is begun again.
+ * Stragglers: when a run counts as one, and when it is relocated.
  */
 import * as assert from 'node:assert/strict';
 import * as test from 'node:test';
@@ -28,7 +28,7 @@
   return worker;
 };
 
-/** Starts a job's first step, one task a worker in turn, and lets it get on at a speed. */
+/** Starts a job's first step, with its tasks on the workers in turn, and sets their speed. */
 const startJob = (
   workers: readonly workerTable.WorkerEntry[],
   step: Partial<poolJob.Step>,
@@ -37,14 +37,16 @@
 ): void => {
   const entry = jobBook.createEntry(fixtures.makeJob([step], { jobId, acceptedAtMs: 0 }), 0);
   const tasks = jobBook.tasksOf(entry);
-  const homes = tasks.map((_, index) => workers[index % workers.length] as workerTable.WorkerEntry);
+  const assigned = tasks.map(
+    (_, index) => workers[index % workers.length] as workerTable.WorkerEntry,
+  );
   jobBook.assign(
     entry,
     tasks.map((task, index) => ({
       task,
-      workerId: homes[index]?.info?.workerId ?? '',
+      workerId: assigned[index]?.info?.workerId ?? '',
       incarnationMs: 1,
-      agentId: homes[index]?.agentId ?? '',
+      agentId: assigned[index]?.agentId ?? '',
     })),
   );
   tasks.forEach((task, index) => {
@@ -53,22 +55,22 @@
     runPace.noteProgress(run.pace, 0, 0, run.step.estimatedMs);
     runPace.noteProgress(run.pace, 1000, percent, run.step.estimatedMs);
     run.percent = percent;
-    homes[index]?.runs.set(workerTable.runKey(run.name, run.run), run);
+    assigned[index]?.runs.set(workerTable.runKey(run.name, run.run), run);
   });
 };
 
-/** The tasks of the queue took so many times what was declared. */
-const bookOf = (factors: readonly number[]): estimateBook.EstimateBook => {
-  const book = estimateBook.createEstimateBook();
+/** Estimates of a queue whose tasks took these multiples of their declared work. */
+const estimatesOf = (factors: readonly number[]): estimateBook.EstimateBook => {
+  const estimates = estimateBook.createEstimateBook();
   const step = fixtures.makeStep({ estimatedMs: 1000 });
   factors.forEach((factor, index) => {
     const job = fixtures.makeJob([step], { jobId: `done-${index}` });
-    estimateBook.noteDone(book, job, step, 1000 * factor);
+    estimateBook.noteDone(estimates, job, step, 1000 * factor);
   });
-  return book;
+  return estimates;
 };
 
-const BELIEVED = bookOf([1, 1, 1.2, 0.8, 1, 1.5]);
+const TRUSTED = estimatesOf([1, 1, 1.2, 0.8, 1, 1.5]);
 
 interface Case {
   readonly name: string;
@@ -76,135 +78,138 @@
   readonly speed: number;
   readonly racks?: readonly string[];
   readonly nowMs?: number;
-  /** Whether the job's group is to be begun again elsewhere. */
-  readonly isMoved: boolean;
+  /** Whether the job's group is to be relocated. */
+  readonly isRelocated: boolean;
 }
 
 /** In time within 3 × 4 s + 1 s. */
 const FOUR_SECONDS = { estimatedMs: 4000 };
 
 const CASES: readonly Case[] = [
-  { name: 'as declared', step: FOUR_SECONDS, speed: 1, isMoved: false },
+  { name: 'runs as declared', step: FOUR_SECONDS, speed: 1, isRelocated: false },
   {
-    name: 'twice as long as declared',
+    name: 'takes twice as long as declared',
     step: FOUR_SECONDS,
     speed: 0.5,
     nowMs: 8000,
-    isMoved: false,
+    isRelocated: false,
   },
   {
-    // A worker turns slow under a task that has just the time left to be done again elsewhere.
-    name: 'eight times as long, with just the time left',
+    // Its worker turns slow when there is just enough time left to restart the task on another one.
+    name: 'takes eight times as long, with just enough time left to restart',
     step: FOUR_SECONDS,
     speed: 0.125,
     nowMs: 8000,
-    isMoved: true,
+    isRelocated: true,
   },
   {
-    name: 'eight times as long, with time to wait',
+    name: 'takes eight times as long, with time to wait',
     step: FOUR_SECONDS,
     speed: 0.125,
     nowMs: 1000,
-    isMoved: false,
+    isRelocated: false,
   },
   {
-    name: 'eight times as long, and late wherever it goes',
+    name: 'takes eight times as long, and is late on any worker',
     step: FOUR_SECONDS,
     speed: 0.125,
     nowMs: 10_000,
-    isMoved: false,
+    isRelocated: false,
   },
   {
-    name: 'a third of the speed, away from its data',
+    name: 'runs at a third of the speed, remote from its data',
     step: { ...FOUR_SECONDS, preferredRack: 'r2' },
     speed: 0.33,
     nowMs: 8000,
-    isMoved: false,
+    isRelocated: false,
   },
   {
-    name: 'a third of the speed, a gang over two racks',
+    name: 'runs at a third of the speed, as a gang over two racks',
     step: { ...FOUR_SECONDS, count: 2, isGang: true, isSameRack: true },
     speed: 0.33,
     racks: ['r1', 'r2'],
     nowMs: 8000,
-    isMoved: false,
+    isRelocated: false,
   },
   {
-    // One of its workers holds up a whole gang; which one, the gang does not tell.
-    name: 'a gang over two workers, with just the time left',
+    // One slow worker slows down the entire gang; the progress of its members doesn't show which one.
+    name: 'stalls as a gang over two workers, with just enough time left to restart',
     step: { ...FOUR_SECONDS, count: 2, isGang: true },
     speed: 0,
     racks: ['r1', 'r1'],
     nowMs: 8000,
-    isMoved: true,
+    isRelocated: true,
   },
   {
-    name: 'a task that lasts',
+    name: 'stalls as a long-running task',
     step: { ...FOUR_SECONDS, isLongRunning: true },
     speed: 0,
     nowMs: 8000,
-    isMoved: false,
+    isRelocated: false,
   },
 ];
 
-test.describe('a run that gets on', () => {
+test.describe('a run that', () => {
   for (const it of CASES) {
     test.it(it.name, () => {
       const workers = (it.racks ?? ['r1']).map((rack, index) => createWorker(index, rack));
       startJob(workers, it.step, it.speed);
-      const moved = heldUpRuns.findHeldUp(workers, BELIEVED, it.nowMs ?? 0);
-      assert.equal(moved.length, it.isMoved ? 1 : 0);
+      const relocated = heldUpRuns.findHeldUp(workers, TRUSTED, it.nowMs ?? 0);
+      assert.equal(relocated.length, it.isRelocated ? 1 : 0);
     });
   }
 
-  // A submitter declares a fifth of the true work. Its tasks were begun again wherever they ran, and the
-  // workers that had them were suspected one after the other.
-  const BOOKS: readonly [name: string, factors: readonly number[], isBelieved: boolean][] = [
-    ['a queue that nobody has seen yet', [], false],
-    ['a queue of which little has been seen', [1, 1], false],
-    ['a queue that declares what it takes', [1, 1, 1.2, 0.8, 1, 1.5], true],
+  // Guards against a submitter who declares a fifth of the work: its tasks were restarted wherever they
+  // ran, and their workers were suspected one after the other.
+  const QUEUES: readonly [name: string, factors: readonly number[], isTrusted: boolean][] = [
+    ['a queue without observations', [], false],
+    ['a queue with few observations', [1, 1], false],
+    ['a queue that declares accurately', [1, 1, 1.2, 0.8, 1, 1.5], true],
     ['a queue that declares a fifth', [5, 5, 4, 6, 5, 5], false],
-    ['a queue that declares a fifth now and then', [1, 5, 1, 5, 1, 1, 5], false],
+    ['a queue that sometimes declares a fifth', [1, 5, 1, 5, 1, 1, 5], false],
     ['one slow task among many', [1, 1, 1, 8, 1, 1, 1, 1], true],
   ];
-  for (const [name, factors, isBelieved] of BOOKS) {
-    test.it(`${name} is ${isBelieved ? '' : 'not '}believed`, () => {
+  for (const [name, factors, isTrusted] of QUEUES) {
+    test.it(`${name} is ${isTrusted ? '' : 'not '}trusted`, () => {
       const worker = createWorker(0);
       startJob([worker], FOUR_SECONDS, 0.1);
-      const book = bookOf(factors);
-      assert.equal(heldUpRuns.findHeldUp([worker], book, 8000).length, isBelieved ? 1 : 0);
+      const estimates = estimatesOf(factors);
+      assert.equal(heldUpRuns.findHeldUp([worker], estimates, 8000).length, isTrusted ? 1 : 0);
     });
   }
 
-  // A submitter of a queue that is believed otherwise declares a tenth of the true work of one job. Its
-  // tasks get on alike on two workers; both were suspected, and thirteen tasks begun again.
-  const SIBLINGS: readonly [name: string, elsewhere: number, isBelieved: boolean][] = [
-    ['as slow as elsewhere', 0.1, false],
-    ['four times slower than elsewhere', 0.4, true],
+  // Guards against a job that declares a tenth of its work in an otherwise trusted queue. Its tasks ran
+  // equally slowly on two workers; both workers were suspected, and thirteen tasks were restarted.
+  const SIBLINGS: readonly [name: string, elsewhere: number, isTrusted: boolean][] = [
+    ['as slowly as elsewhere', 0.1, false],
+    ['four times as slowly as elsewhere', 0.4, true],
   ];
-  for (const [name, elsewhere, isBelieved] of SIBLINGS) {
-    test.it(`a job that gets on ${name} is ${isBelieved ? '' : 'not '}held up`, () => {
+  for (const [name, elsewhere, isTrusted] of SIBLINGS) {
+    test.it(`a job that runs ${name} is ${isTrusted ? '' : 'not '}a straggler`, () => {
       const workers = [createWorker(0), createWorker(1)];
       startJob(workers, { ...FOUR_SECONDS, count: 2 }, 0.1);
       const [, second] = workers;
       for (const run of second?.runs.values() ?? []) run.pace.speed = elsewhere;
-      assert.equal(heldUpRuns.findHeldUp(workers, BELIEVED, 8000).length, isBelieved ? 1 : 0);
+      assert.equal(heldUpRuns.findHeldUp(workers, TRUSTED, 8000).length, isTrusted ? 1 : 0);
     });
   }
 
-  test.it('is moved twice at most', () => {
+  test.it('is relocated at most twice', () => {
     const worker = createWorker(0);
     startJob([worker], FOUR_SECONDS, 0);
     for (const run of worker.runs.values()) run.task.moves = heldUpRuns.MAX_MOVES;
-    assert.deepEqual(heldUpRuns.findHeldUp([worker], BELIEVED, 8000), []);
+    assert.deepEqual(heldUpRuns.findHeldUp([worker], TRUSTED, 8000), []);
   });
 
-  test.it('is judged by spans that tell, not by lists that come close together', () => {
-    const pace = runPace.createRunPace();
-    runPace.noteProgress(pace, 0, 0, 10_000);
-    runPace.noteProgress(pace, 100, 0, 10_000);
-    assert.equal(pace.speed, undefined);
-    runPace.noteProgress(pace, 1000, 10, 10_000);
-    assert.equal(pace.speed, 1);
-  });
+  test.it(
+    'has a speed only over a conclusive span, not between reports in quick succession',
+    () => {
+      const pace = runPace.createRunPace();
+      runPace.noteProgress(pace, 0, 0, 10_000);
+      runPace.noteProgress(pace, 100, 0, 10_000);
+      assert.equal(pace.speed, undefined);
+      runPace.noteProgress(pace, 1000, 10, 10_000);
+      assert.equal(pace.speed, 1);
+    },
+  );
 });
--- a/src/coordination/common/pool/test/jobBook.test.ts
+++ b/src/coordination/common/pool/test/jobBook.test.ts
@@ -1,5 +1,5 @@
 /**
- * A job's tasks: what may start, and what an end means.
+ * The state of a job: which of its tasks may start, and how the end of a run changes it.
  */
 import * as assert from 'node:assert/strict';
 import * as test from 'node:test';
@@ -16,10 +16,10 @@
   readonly name: string;
   readonly steps: readonly Partial<poolJob.Step>[];
   readonly attempts?: number;
-  /** Rounds of assigning all that is ready, then taking note of ends. */
+  /** Rounds; each assigns all ready units, then records these ends. */
   readonly rounds: readonly (readonly End[])[];
   readonly state: poolJob.PoolJobState;
-  /** Groups that may start in the end, by step and first index. */
+  /** Units that may start after the last round, by step and first index. */
   readonly ready?: readonly string[];
 }
 
@@ -35,7 +35,7 @@
     ready: [],
   },
   {
-    name: 'then it may start',
+    name: 'a step may start once all tasks of those before it are done',
     steps: [{ count: 2 }, { after: [0] }],
     rounds: [
       [
@@ -47,7 +47,7 @@
     ready: ['1.0'],
   },
   {
-    name: 'one end stands for the gang',
+    name: 'one done member completes the gang',
     steps: [GANG],
     rounds: [[[0, 1, 1, 'done']]],
     state: 'complete',
@@ -73,7 +73,7 @@
     ready: ['0.0'],
   },
   {
-    name: 'failures as often as allowed end the job',
+    name: 'as many failures as allowed end the job',
     steps: [{}],
     attempts: 2,
     rounds: [[[0, 0, 1, 'failed']], [[0, 0, 2, 'failed']]],
@@ -81,7 +81,7 @@
     ready: [],
   },
   {
-    name: 'what was stopped or lost counts as no failure',
+    name: 'a stopped or lost run does not count as a failure',
     steps: [{}],
     attempts: 1,
     rounds: [[[0, 0, 1, 'stopped']], [[0, 0, 2, 'lost']], [[0, 0, 3, 'lapsed']]],
@@ -89,9 +89,9 @@
     ready: ['0.0'],
   },
   {
-    // An end of the first run arrives after the second has begun. Taken for the second, the job would
-    // be shown as complete while its task still works.
-    name: 'an end of an earlier run changes nothing',
+    // The end of the first run arrives after the second has started. Taken for the end of the second, the
+    // job would be shown as complete while its task is still running.
+    name: 'the end of an earlier run changes nothing',
     steps: [{}],
     rounds: [[[0, 0, 1, 'lost']], [[0, 0, 1, 'done']]],
     state: 'running',
@@ -117,7 +117,7 @@
   }
 };
 
-const noteAll = (entry: jobBook.JobEntry, ends: readonly End[]): void => {
+const recordAll = (entry: jobBook.JobEntry, ends: readonly End[]): void => {
   for (const [step, index, run, how] of ends) {
     const name = { jobId: 'job', occurrence: 0, step, index };
     const task = jobBook.findTask(entry, name) as jobBook.TaskEntry;
@@ -135,11 +135,11 @@
       const entry = jobBook.createEntry(job, 0);
       for (const ends of it.rounds) {
         assignAll(entry);
-        noteAll(entry, ends);
+        recordAll(entry, ends);
       }
       assert.equal(entry.state, it.state);
       if (it.ready !== undefined) assert.deepEqual(readyOf(entry), it.ready);
-      // What is kept is enough for the next leader.
+      // The stored record is sufficient for the next leader.
       const text = progressRecord.encodeProgress(jobBook.toRecord(entry));
       const restored = jobBook.createEntry(job, 0);
       jobBook.restore(restored, progressRecord.decodeProgress(text), 1);
@@ -148,13 +148,13 @@
     });
   }
 
-  test.it('a gang goes on from one checkpoint, under one run number', () => {
+  test.it('a gang resumes from one checkpoint, under one run number', () => {
     const entry = jobBook.createEntry(fixtures.makeJob([GANG]), 0);
     assignAll(entry);
     const [first] = jobBook.tasksOf(entry);
     assert.ok(first);
     jobEnds.noteEnd(entry, first, { run: 1, how: 'stopped', saved: 'here' }, 5);
-    noteAll(entry, [[0, 1, 1, 'broken']]);
+    recordAll(entry, [[0, 1, 1, 'broken']]);
     assignAll(entry);
     assert.deepEqual(
       jobBook.tasksOf(entry).map((task) => [task.run, task.saved]),
@@ -165,14 +165,14 @@
     );
   });
 
-  test.it('an occurrence starts when it is due, and the job ends with the last', () => {
+  test.it('an occurrence starts when it is due, and the job ends with the last one', () => {
     const schedule = { firstAtMs: 1000, intervalMs: 500, occurrences: 2 };
     const entry = jobBook.createEntry(fixtures.makeJob([{}], { schedule }), 0);
     jobBook.addDueOccurrences(entry, 999);
     assert.equal(jobBook.readyUnits(entry).length, 0);
     jobBook.addDueOccurrences(entry, 1000);
     assignAll(entry);
-    noteAll(entry, [[0, 0, 1, 'done']]);
+    recordAll(entry, [[0, 0, 1, 'done']]);
     assert.equal(entry.state, 'running');
     jobBook.addDueOccurrences(entry, 1500);
     assignAll(entry);
--- a/src/coordination/common/pool/test/jobEnds.test.ts
+++ b/src/coordination/common/pool/test/jobEnds.test.ts
@@ -1,5 +1,5 @@
 /**
- * What it means that a run was done which had been given up.
+ * How a job changes when a run that was declared lost turns out to be done.
  */
 import * as assert from 'node:assert/strict';
 import * as test from 'node:test';
@@ -17,8 +17,8 @@
 interface Case {
   readonly name: string;
   readonly step?: Partial<poolJob.Step>;
-  /** Whether a second run is at work when the end of the first is heard. */
-  readonly isGivenAgain: boolean;
+  /** Whether a second run is in progress when the end of the first is reported. */
+  readonly isReassigned: boolean;
   readonly how: jobEnds.RunOutcome['how'];
   /** How the second run ends, where there is one. */
   readonly laterHow?: jobEnds.RunOutcome['how'];
@@ -28,40 +28,40 @@
 
 const CASES: readonly Case[] = [
   {
-    // Guards against a task that begins again after its end was acknowledged.
-    name: 'a task that waits is done',
-    isGivenAgain: false,
+    // Guards against a task that starts again after its end was acknowledged.
+    name: 'a waiting task is done',
+    isReassigned: false,
     how: 'done',
     state: 'complete',
     isReady: false,
   },
   {
-    name: 'a gang that waits is done',
+    name: 'a waiting gang is done',
     step: GANG,
-    isGivenAgain: false,
+    isReassigned: false,
     how: 'done',
     state: 'complete',
     isReady: false,
   },
   {
-    // Guards against a job that is shown as complete while its task still works.
-    name: 'a task at work goes on until its run has ended',
-    isGivenAgain: true,
+    // Guards against a job that is shown as complete while its task is still running.
+    name: 'a task with a later run goes on until that run has ended',
+    isReassigned: true,
     how: 'done',
     state: 'running',
     isReady: false,
   },
   {
-    name: 'a task whose later run is stopped is done',
-    isGivenAgain: true,
+    name: 'a task is done once its later run is stopped',
+    isReassigned: true,
     how: 'done',
     laterHow: 'stopped',
     state: 'complete',
     isReady: false,
   },
   {
-    name: 'a failure of the later run counts for nothing',
-    isGivenAgain: true,
+    name: 'a failure of the later run does not count',
+    isReassigned: true,
     how: 'done',
     laterHow: 'failed',
     state: 'complete',
@@ -69,15 +69,15 @@
   },
   {
     name: 'any other end of an earlier run changes nothing',
-    isGivenAgain: false,
+    isReassigned: false,
     how: 'failed',
     state: 'running',
     isReady: true,
   },
   {
-    name: 'a long-running task begins again',
+    name: 'a long-running task starts again',
     step: { isLongRunning: true },
-    isGivenAgain: false,
+    isReassigned: false,
     how: 'done',
     state: 'running',
     isReady: true,
@@ -94,7 +94,7 @@
   }
 };
 
-/** What the next leader finds. */
+/** The state of the job after the next leader has restored it. */
 const restored = (entry: jobBook.JobEntry): jobBook.JobEntry => {
   const text = progressRecord.encodeProgress(jobBook.toRecord(entry));
   const next = jobBook.createEntry(entry.job, 0);
@@ -102,14 +102,14 @@
   return next;
 };
 
-test.describe('a run that was given up and done all the same', () => {
+test.describe('a run that was declared lost and is done', () => {
   for (const it of CASES) {
     test.it(it.name, () => {
       const job = fixtures.makeJob([it.step ?? {}], { attempts: 1 });
       let entry = jobBook.createEntry(job, 0);
       assignAll(entry);
       for (const task of jobBook.tasksOf(entry)) jobEnds.noteEnd(entry, task, LOST, 5);
-      if (it.isGivenAgain) assignAll(entry);
+      if (it.isReassigned) assignAll(entry);
       const [first] = jobBook.tasksOf(entry);
       assert.ok(first);
       jobEnds.noteEarlierDone(entry, first, { run: 1, how: it.how, saved: '' }, 5);
--- a/src/coordination/common/pool/test/planRound.test.ts
+++ b/src/coordination/common/pool/test/planRound.test.ts
@@ -1,5 +1,5 @@
 /**
- * Planning rounds: what starts where, what has to leave, and what waits.
+ * Planning rounds: what starts where, what is preempted or relocated, and what waits.
  */
 import * as assert from 'node:assert/strict';
 import * as test from 'node:test';
@@ -10,7 +10,7 @@
 import * as planRound from '../planRound.js';
 import * as fixtures from './poolFixtures.js';
 
-/** Room of a task that needs so many accelerators. */
+/** Resources of a task that needs this number of accelerators. */
 const needing = (accelerators: number): Partial<poolJob.Step> => ({
   resources: { cpuMillicores: 1000, memoryMb: 1000, accelerators },
 });
@@ -24,7 +24,7 @@
   /** Group keys that start, each with its workers. */
   readonly starts: Readonly<Record<string, readonly string[]>>;
   readonly evictions?: readonly string[];
-  /** Jobs whose first unit runs and is held up, with the workers that have it. */
+  /** Jobs whose first unit is a straggler, with the workers that run it. */
   readonly heldUp?: readonly { readonly job: poolJob.PoolJob; readonly on: readonly string[] }[];
   readonly moves?: readonly string[];
 }
@@ -33,16 +33,16 @@
 
 const CASES: readonly Case[] = [
   {
-    // A customer asks for at most one task of a step on a worker, since a lost worker must not take
-    // two. Both became ready in one round; the second was placed beside the first, because the round
-    // counted only what ran before it.
+    // A customer allows one task of a step per worker, so that a lost worker never takes two with it. Two
+    // that became ready in one round were placed on the same worker, because the round counted only tasks
+    // that ran before it.
     name: 'the spread limit counts what the same round has placed',
     workers: () => [fixtures.makeWorker('w1'), fixtures.makeWorker('w2')],
     jobs: [fixtures.makeJob([{ count: 3, maxPerWorker: 1 }])],
     starts: { 'job.0.0.0': ['w1'], 'job.0.0.1': ['w2'] },
   },
   {
-    name: 'small tasks go where the room is tightest, so that a whole worker stays whole',
+    name: 'small tasks go where the least capacity is left, so that an entire worker stays free',
     workers: () => [
       fixtures.makeWorker('w1'),
       fixtures.makeWorker('w2', { holdings: [fixtures.makeHolding('a', 6)] }),
@@ -51,13 +51,13 @@
     starts: { 'job.0.0.0': ['w2'], 'job.0.0.1': ['w2'] },
   },
   {
-    name: 'a gang starts whole or not at all',
+    name: 'a gang starts completely or not at all',
     workers: () => [fixtures.makeWorker('w1'), fixtures.makeWorker('w2')],
     jobs: [fixtures.makeJob([{ count: 3, isGang: true, ...needing(8) }])],
     starts: {},
   },
   {
-    name: 'a gang that wants one rack waits for it while that is cheaper than distance',
+    name: 'a gang that asks for one rack waits for it while that costs less time than several racks',
     workers: () => [
       fixtures.makeWorker('w1', { holdings: [fixtures.makeHolding('a', 8)] }),
       fixtures.makeWorker('w2'),
@@ -67,7 +67,7 @@
     starts: {},
   },
   {
-    name: 'it goes over racks once it has waited longer than distance costs',
+    name: 'it is spread over racks once it has waited longer than the spread costs',
     workers: () => [
       fixtures.makeWorker('w1', { holdings: [fixtures.makeHolding('a', 8)] }),
       fixtures.makeWorker('w2'),
@@ -78,7 +78,7 @@
     starts: { 'job.0.0': ['w2', 'w3'] },
   },
   {
-    name: 'a claim within the guarantee stops the cheapest lower work that frees its room',
+    name: 'a claim within the guarantee preempts lower-priority work that frees its capacity at the least loss',
     workers: () => [
       fixtures.makeWorker('w1', {
         holdings: [fixtures.makeHolding('dear', 8, { unsavedMs: 9e3, remainingMs: 9e3 })],
@@ -93,7 +93,7 @@
     evictions: ['cheap'],
   },
   {
-    // Guards against work that is thrown away moments before its end, for room that was to come anyway.
+    // Guards against preemption of work shortly before its end, for capacity that was about to become free.
     name: 'a claim waits for a run that ends by itself soon enough',
     workers: () => [
       fixtures.makeWorker('w1', { holdings: [fixtures.makeHolding('ends', 8)] }),
@@ -107,7 +107,7 @@
     evictions: [],
   },
   {
-    name: 'a claim that has waited as long as it may stops what does not end in time',
+    name: 'a claim that has waited as long as allowed preempts what does not end in time',
     workers: () => [fixtures.makeWorker('w1', { holdings: [fixtures.makeHolding('ends', 8)] })],
     jobs: [fixtures.makeJob([needing(8)], { priority: 0 })],
     waitedMs: 1400,
@@ -116,14 +116,14 @@
     evictions: ['ends'],
   },
   {
-    // Guards against a burst of lasting work that takes every worker: each claim then throws some away.
-    name: 'work that can wait and saves nothing leaves a worker in four for claims',
+    // Guards against a burst of long tasks that takes every worker: each claim then destroys work.
+    name: 'deferrable work without checkpoints leaves one worker in four for claims',
     workers: () => ['w1', 'w2', 'w3', 'w4'].map((it) => fixtures.makeWorker(it)),
     jobs: [fixtures.makeJob([{ count: 4, ...needing(8) }], { priority: 1 })],
     starts: { 'job.0.0.0': ['w1'], 'job.0.0.1': ['w2'], 'job.0.0.2': ['w3'] },
   },
   {
-    name: 'work that saves itself takes every worker, since a claim costs it nothing',
+    name: 'checkpointing work takes every worker, since preemption costs it nothing',
     workers: () => ['w1', 'w2', 'w3', 'w4'].map((it) => fixtures.makeWorker(it)),
     jobs: [fixtures.makeJob([{ count: 4, isCheckpointing: true, ...needing(8) }], { priority: 1 })],
     starts: {
@@ -134,8 +134,8 @@
     },
   },
   {
-    // Guards against a tighter worker that is preferred although the task takes three times as long there.
-    name: 'room near its data goes before tighter room far from it',
+    // Guards against a better fit that is preferred although the task takes three times as long there.
+    name: 'a local worker goes before a remote one that fits better',
     workers: () => [
       fixtures.makeWorker('w1', { rack: 'near' }),
       fixtures.makeWorker('w2', {
@@ -148,7 +148,7 @@
     starts: { 'job.0.0.0': ['w1'] },
   },
   {
-    name: 'it goes far at once where the room near its data comes later than distance costs',
+    name: 'it goes remote immediately where local capacity becomes free later than that costs',
     workers: () => [
       fixtures.makeWorker('w1', {
         rack: 'near',
@@ -160,7 +160,7 @@
     starts: { 'job.0.0.0': ['w2'] },
   },
   {
-    name: 'a claim stops nothing while something is leaving that frees its room',
+    name: 'a claim preempts nothing while a terminating run frees capacity for it',
     workers: () => [
       fixtures.makeWorker('w1', { holdings: [fixtures.makeHolding('runs', 8)] }),
       fixtures.makeWorker('w2', {
@@ -173,7 +173,7 @@
     evictions: [],
   },
   {
-    name: 'what goes beyond the guarantee stops nothing',
+    name: 'work beyond the guarantee preempts nothing',
     workers: () => [fixtures.makeWorker('w1', { holdings: [fixtures.makeHolding('a', 8)] })],
     jobs: [fixtures.makeJob([needing(8)], { priority: 0 })],
     guarantees: new Map([['customer', 7]]),
@@ -181,9 +181,9 @@
     evictions: [],
   },
   {
-    // Two waves of small tasks take every gap on a busy worker, and a task that needs all of it never
-    // starts. After its wait the gap is kept for it.
-    name: 'a wide task that has waited keeps room free from small ones',
+    // Two waves of small tasks fill every gap on a busy worker, and a task that needs all of it never
+    // starts. After its wait the gap is reserved for it.
+    name: 'a wide task that has waited reserves capacity against small ones',
     workers: () => [fixtures.makeWorker('w1', { holdings: [fixtures.makeHolding('a', 4)] })],
     jobs: [
       fixtures.makeJob([needing(8)], { jobId: 'wide', priority: 1 }),
@@ -193,7 +193,7 @@
     starts: {},
   },
   {
-    name: 'before that the small ones use the gap',
+    name: 'small tasks use the gap before the wide one has waited long enough',
     workers: () => [fixtures.makeWorker('w1', { holdings: [fixtures.makeHolding('a', 4)] })],
     jobs: [
       fixtures.makeJob([needing(8)], { jobId: 'wide', priority: 1 }),
@@ -202,7 +202,7 @@
     starts: { 'small.0.0.0': ['w1'] },
   },
   {
-    name: 'what is held up is begun again where a sound worker has room to spare',
+    name: 'a straggler is relocated where a healthy worker has spare capacity',
     workers: () => [fixtures.makeWorker('w1'), fixtures.makeWorker('w2')],
     jobs: [],
     heldUp: [{ job: fixtures.makeJob([needing(8)], { jobId: 'slow' }), on: ['w1'] }],
@@ -210,8 +210,8 @@
     moves: ['slow.0.0.0'],
   },
   {
-    // Moved with no room elsewhere a run loses what it has done, and waits besides.
-    name: 'it stays where nobody else has room',
+    // A run that is relocated without capacity on another worker loses its progress and has to wait.
+    name: 'a straggler stays where no other worker has capacity',
     workers: () => [
       fixtures.makeWorker('w1'),
       fixtures.makeWorker('w2', { holdings: [fixtures.makeHolding('a', 4)] }),
@@ -222,7 +222,7 @@
     moves: [],
   },
   {
-    name: 'it stays where what waits takes the room',
+    name: 'a straggler stays where a waiting unit takes the capacity',
     workers: () => [
       fixtures.makeWorker('w1', { holdings: [fixtures.makeHolding('slow', 8)] }),
       fixtures.makeWorker('w2'),
@@ -233,7 +233,7 @@
     moves: [],
   },
   {
-    name: 'it is not moved to a worker that is suspected',
+    name: 'a straggler is not relocated to a suspect worker',
     workers: () => [fixtures.makeWorker('w1'), fixtures.makeWorker('w2', { isSuspect: true })],
     jobs: [],
     heldUp: [{ job: fixtures.makeJob([needing(8)], { jobId: 'slow' }), on: ['w1'] }],
@@ -241,31 +241,35 @@
     moves: [],
   },
   {
-    name: 'a required label is kept to',
+    name: 'a required label is respected',
     workers: () => [fixtures.makeWorker('w1'), fixtures.makeWorker('w2', { labels: ['b'] })],
     jobs: [fixtures.makeJob([{ requiredLabel: 'b' }])],
     starts: { 'job.0.0.0': ['w2'] },
   },
   {
-    name: 'workers of another service take nothing',
+    name: 'workers of another service get nothing',
     workers: () => [fixtures.makeWorker('w1', { service: 'another' })],
     jobs: [fixtures.makeJob([{}])],
     starts: {},
   },
 ];
 
-// On call one sees a gang take three times its time and has to know whether it is away from its data.
-const AWAY: readonly [name: string, step: Partial<poolJob.Step>, racks: string[], away: number][] =
-  [
-    ['without a wish', { count: 2 }, ['r1', 'r2'], 0],
-    ['near their data', { count: 2, preferredRack: 'r1' }, ['r1', 'r1'], 0],
-    ['one of them away from it', { count: 2, preferredRack: 'r1' }, ['r1', 'r2'], 1],
-    ['a gang on its rack', { count: 2, isGang: true, isSameRack: true }, ['r1', 'r1'], 0],
-    ['a gang over two racks', { count: 2, isGang: true, isSameRack: true }, ['r1', 'r2'], 2],
-  ];
+// On-call engineers who see a gang take three times as long have to know whether it is remote.
+const REMOTE_TASKS: readonly [
+  name: string,
+  step: Partial<poolJob.Step>,
+  racks: string[],
+  away: number,
+][] = [
+  ['without a preference', { count: 2 }, ['r1', 'r2'], 0],
+  ['local to their data', { count: 2, preferredRack: 'r1' }, ['r1', 'r1'], 0],
+  ['one of them remote', { count: 2, preferredRack: 'r1' }, ['r1', 'r2'], 1],
+  ['a gang on one rack', { count: 2, isGang: true, isSameRack: true }, ['r1', 'r1'], 0],
+  ['a gang over two racks', { count: 2, isGang: true, isSameRack: true }, ['r1', 'r2'], 2],
+];
 
-test.describe('tasks away from where they want to be', () => {
-  for (const [name, step, racks, away] of AWAY) {
+test.describe('number of remote tasks', () => {
+  for (const [name, step, racks, away] of REMOTE_TASKS) {
     test.it(name, () => {
       assert.equal(gangPlacement.tasksAway(fixtures.makeStep(step), racks), away);
     });
--- a/src/coordination/common/pool/test/poolFixtures.ts
+++ b/src/coordination/common/pool/test/poolFixtures.ts
@@ -1,5 +1,5 @@
 /**
- * Jobs and workers for the tests of pools.
+ * Jobs, workers and units for the tests of pools.
  */
 import type * as poolJob from '../../../../state/common/pool/poolJob.js';
 import * as estimateBook from '../estimateBook.js';
@@ -7,7 +7,7 @@
 import type * as planTypes from '../planTypes.js';
 import * as readyQueue from '../readyQueue.js';
 
-/** One step with defaults for what a test does not care about. */
+/** A step with defaults for all that is not in `changes`. */
 export const makeStep = (changes: Partial<poolJob.Step> = {}): poolJob.Step => ({
   count: 1,
   resources: { cpuMillicores: 1000, memoryMb: 1000, accelerators: 1 },
@@ -24,7 +24,7 @@
   ...changes,
 });
 
-/** What a test says of a job. */
+/** Properties of a job that a test may set. */
 export interface JobChanges {
   readonly jobId?: string;
   readonly customerId?: string;
@@ -57,7 +57,7 @@
   },
 });
 
-/** A worker of eight accelerators with what runs on it. */
+/** A worker of eight accelerators, less what its runs occupy. */
 export const makeWorker = (
   workerId: string,
   changes: Partial<planTypes.PlanWorker> = {},
@@ -87,7 +87,7 @@
   return worker;
 };
 
-/** A run that takes room. */
+/** A run that occupies capacity. */
 export const makeHolding = (
   task: string,
   accelerators: number,
@@ -110,7 +110,7 @@
   ...changes,
 });
 
-/** What of the jobs is ready, after a wait. */
+/** The units of the jobs that are ready, after a wait. */
 export const makeUnits = (jobs: readonly poolJob.PoolJob[], waitedMs = 0): planTypes.PlanUnit[] => {
   const queue = readyQueue.createReadyQueue(estimateBook.createEstimateBook());
   const entries = jobs.map((job) => jobBook.createEntry(job, 0));
--- a/src/coordination/common/pool/test/poolGuards.test.ts
+++ b/src/coordination/common/pool/test/poolGuards.test.ts
@@ -1,5 +1,5 @@
 /**
- * The small pure guards: leases in the worker's time, ends without a gap, and blame.
+ * Small pure guards: leases in the worker's time, ends stored without a gap, and failure attribution.
  */
 import * as assert from 'node:assert/strict';
 import * as test from 'node:test';
@@ -12,7 +12,7 @@
 
 test.describe('leaseClock', () => {
   const CASES: readonly [name: string, nowMs: number, leaseMs: number, untilMs: number][] = [
-    ['at once', 50, 6000, 7000],
+    ['from a reading just taken', 50, 6000, 7000],
     ['from a reading that is a second old', 1050, 6000, 8000],
     ['in whole milliseconds', 50.7, 6000, 7000],
   ];
@@ -20,7 +20,7 @@
     test.it(name, () => assert.equal(leaseClock.leaseUntil(SAMPLE, nowMs, leaseMs), untilMs));
   }
 
-  test.it('a lease has run out even on a worker whose clock is 2% slow', () => {
+  test.it('a lease has expired even on a worker whose clock is 2% slow', () => {
     const byMs = leaseClock.lapsedBy(SAMPLE, 11_000);
     const slowestClockMs = SAMPLE.clockMs + (byMs - SAMPLE.atMs) * 0.98;
     assert.ok(slowestClockMs >= 11_000);
@@ -28,18 +28,18 @@
 });
 
 test.describe('endLedger', () => {
-  // The second end is stored before the first. Acknowledged, it would take the first with it, and
-  // nobody would know of that after the leader has died.
-  const CASES: readonly [name: string, noted: readonly number[], upTo: number][] = [
-    ['in their order', [1, 2, 3], 3],
-    ['a gap holds back what comes after', [2, 3], 0],
-    ['a gap that closes', [2, 1], 2],
+  // The second end is stored before the first. Acknowledging it would acknowledge the first as well, which
+  // would be lost if the leader died.
+  const CASES: readonly [name: string, stored: readonly number[], upTo: number][] = [
+    ['ends stored in order', [1, 2, 3], 3],
+    ['a gap holds back the ends after it', [2, 3], 0],
+    ['a gap that is closed', [2, 1], 2],
   ];
-  for (const [name, noted, upTo] of CASES) {
+  for (const [name, stored, upTo] of CASES) {
     test.it(name, () => {
       const ledger = endLedger.createEndLedger();
       [1, 2, 3].forEach(ledger.add);
-      assert.equal(noted.map(ledger.note).at(-1), upTo);
+      assert.equal(stored.map(ledger.note).at(-1), upTo);
     });
   }
 });
@@ -50,9 +50,9 @@
     ends: readonly (readonly [jobId: string, isDone: boolean])[],
     isSuspect: boolean,
   ][] = [
-    ['one failure is nobody’s fault yet', [['a', false]], false],
+    ['one failure is not attributed yet', [['a', false]], false],
     [
-      'two failures of one job are the job’s',
+      'two failures of one job are attributed to the job',
       [
         ['a', false],
         ['a', false],
@@ -60,7 +60,7 @@
       false,
     ],
     [
-      'two failures of different jobs are the worker’s',
+      'two failures of different jobs are attributed to the worker',
       [
         ['a', false],
         ['b', false],
@@ -68,7 +68,7 @@
       true,
     ],
     [
-      'a success between them clears it',
+      'a success between them clears the worker',
       [
         ['a', false],
         ['c', true],
@@ -79,29 +79,29 @@
   ];
   for (const [name, ends, isSuspect] of CASES) {
     test.it(name, () => {
-      const blame = workerBlame.createWorkerBlame();
+      const suspicion = workerBlame.createWorkerBlame();
       for (const [jobId, isDone] of ends) {
-        if (isDone) workerBlame.noteSuccess(blame);
-        else workerBlame.noteFailure(blame, jobId, 0);
+        if (isDone) workerBlame.noteSuccess(suspicion);
+        else workerBlame.noteFailure(suspicion, jobId, 0);
       }
-      assert.equal(workerBlame.isSuspect(blame, 1), isSuspect);
+      assert.equal(workerBlame.isSuspect(suspicion, 1), isSuspect);
     });
   }
 
-  test.it('a fault that lasts keeps the worker out longer each time, up to a bound', () => {
-    const blame = workerBlame.createWorkerBlame();
-    const outMs: number[] = [];
+  test.it('a lasting fault makes the worker suspect for longer each time, up to a bound', () => {
+    const suspicion = workerBlame.createWorkerBlame();
+    const periodsMs: number[] = [];
     let nowMs = 0;
     for (let round = 0; round < 6; round += 1) {
-      workerBlame.noteFailure(blame, `a${round}`, nowMs);
-      workerBlame.noteFailure(blame, `b${round}`, nowMs);
-      outMs.push(blame.suspectUntilMs - nowMs);
-      nowMs = blame.suspectUntilMs + 1;
+      workerBlame.noteFailure(suspicion, `a${round}`, nowMs);
+      workerBlame.noteFailure(suspicion, `b${round}`, nowMs);
+      periodsMs.push(suspicion.suspectUntilMs - nowMs);
+      nowMs = suspicion.suspectUntilMs + 1;
     }
     assert.deepEqual(
-      [...outMs].sort((a, b) => a - b),
-      outMs,
+      [...periodsMs].sort((a, b) => a - b),
+      periodsMs,
     );
-    assert.equal(outMs.at(-1), 16_000);
+    assert.equal(periodsMs.at(-1), 16_000);
   });
 });
--- a/src/coordination/common/pool/test/progressBatch.test.ts
+++ b/src/coordination/common/pool/test/progressBatch.test.ts
@@ -42,18 +42,18 @@
     outcome: 'conflict',
   },
   {
-    name: 'nobody leads any more',
+    name: 'no process leads any more',
     current: [entry('progress/a', 3)],
     outcome: 'conflict',
   },
   {
-    name: 'a job of two was cancelled',
+    name: 'one of two jobs was cancelled',
     current: [entry('leader', 7), entry('progress/a', 3), entry('a/cancel', 9)],
     outcome: 'outdated',
     cancels: ['a/cancel'],
   },
   {
-    name: 'an earlier copy was written',
+    name: 'an earlier attempt was written',
     current: [entry('leader', 7), entry('progress/a', 9, 'new a'), entry('progress/b', 9, 'new b')],
     outcome: 'written',
     revisions: [
@@ -62,7 +62,7 @@
     ],
   },
   {
-    name: 'an earlier copy was written, and a job cancelled after it',
+    name: 'an earlier attempt was written, and a job was cancelled after it',
     current: [
       entry('leader', 7),
       entry('progress/a', 9, 'new a'),
@@ -77,12 +77,12 @@
     ],
   },
   {
-    name: 'somebody else changed a record',
+    name: 'another process changed a record',
     current: [entry('leader', 7), entry('progress/a', 4, 'other')],
     outcome: 'conflict',
   },
   {
-    name: 'somebody else changed a record, and a job was cancelled',
+    name: 'another process changed a record, and a job was cancelled',
     current: [entry('leader', 7), entry('progress/a', 4, 'other'), entry('b/cancel', 9)],
     outcome: 'conflict',
     cancels: ['b/cancel'],
--- a/src/coordination/common/pool/test/workerTable.test.ts
+++ b/src/coordination/common/pool/test/workerTable.test.ts
@@ -1,5 +1,5 @@
 /**
- * What a planning round is told of a worker.
+ * The state of a worker as input of a planning round, and the expiry of its leases.
  */
 import * as assert from 'node:assert/strict';
 import * as test from 'node:test';
@@ -12,11 +12,11 @@
 
 const NOW_MS = 10_000;
 
-/** When the former leader's leases have run out. */
-const FORMER_LAPSE_MS = 6500;
+/** Time by which the previous leader's leases have expired. */
+const PREVIOUS_EXPIRY_MS = 6500;
 
 const createWorker = (): workerTable.WorkerEntry => {
-  const worker = workerTable.createWorkerEntry('agent', 'http://a:1', 1, 0, FORMER_LAPSE_MS);
+  const worker = workerTable.createWorkerEntry('agent', 'http://a:1', 1, 0, PREVIOUS_EXPIRY_MS);
   worker.isReachable = true;
   worker.sample = { incarnationMs: 1, clockMs: 0, atMs: 0 };
   worker.info = {
@@ -39,11 +39,11 @@
   worker.runs.set(workerTable.runKey(run.name, run.run), run);
 };
 
-test.describe('a worker as a planning round sees it', () => {
+test.describe('a worker in a planning round', () => {
   const LOSSES: readonly [name: string, step: Partial<poolJob.Step>, unsavedMs: number][] = [
     ['a task without checkpoints loses all its work by a stop', {}, NOW_MS],
-    // Claims stopped long-running tasks that would have lost everything, and spared those that save.
-    ['a task that checkpoints is saved by the stop', { isCheckpointing: true }, 250],
+    // Guards against claims that preempt long tasks which lose everything, and spare those that checkpoint.
+    ['a checkpointing task is saved by the stop', { isCheckpointing: true }, 250],
   ];
   for (const [name, step, unsavedMs] of LOSSES) {
     test.it(name, () => {
@@ -54,7 +54,7 @@
     });
   }
 
-  test.it('a filler takes memory and accelerators, and no processor room', () => {
+  test.it('a filler occupies memory and accelerators, but no processor capacity', () => {
     const worker = createWorker();
     addRun(worker, { isFiller: true });
     assert.deepEqual(workerTable.freeRoom(worker), {
@@ -64,8 +64,8 @@
     });
   });
 
-  // Guards against a claim that, right after a take-over, throws away what is nearly done.
-  test.it('a run of a former leader counts from its beginning', () => {
+  // Guards against a claim that, right after a takeover, preempts runs that are nearly done.
+  test.it('a run of a previous leader counts from its start', () => {
     const entry = jobBook.createEntry(fixtures.makeJob([{}]), 0);
     const tasks = jobBook.tasksOf(entry);
     const assignments = tasks.map((task) => ({
@@ -78,8 +78,8 @@
     const [task] = tasks;
     assert.ok(task);
     const run = workerTable.createRun(entry, task, workerTable.RunPhase.present, NOW_MS);
-    const book = estimateBook.createEstimateBook();
-    workerTable.countFromStart(run, book, { nowMs: NOW_MS, wallMs: 502_000 });
+    const estimates = estimateBook.createEstimateBook();
+    workerTable.countFromStart(run, estimates, { nowMs: NOW_MS, wallMs: 502_000 });
     assert.equal(run.sinceMs, NOW_MS - 2000);
     assert.equal(run.expectedMs, 3000);
     assert.equal(workerTable.observedWorkMs(run, NOW_MS + 1000), 1000);
@@ -90,18 +90,18 @@
     run: { percent: number; saved?: string; first?: { percent: number; atMs: number } },
     remainingMs: number,
   ][] = [
-    ['by its progress', { percent: 50 }, NOW_MS],
-    ['by what is expected before that tells', { percent: 2 }, 250],
-    // Guards against a percentage of earlier runs that is taken for this one's speed.
-    ['of a resumed run before it has got on', { percent: 60, saved: 's' }, 400],
+    ['by its own progress', { percent: 50 }, NOW_MS],
+    ['by its expected runtime before its progress is conclusive', { percent: 2 }, 250],
+    // Guards against the progress of earlier runs being taken for the speed of this one.
+    ['of a resumed run before it has made progress', { percent: 60, saved: 's' }, 400],
     [
-      'of a resumed run by what it did itself',
+      'of a resumed run by its own progress',
       { percent: 60, saved: 's', first: { percent: 50, atMs: NOW_MS - 1000 } },
       4000,
     ],
   ];
   for (const [name, { percent, saved = '', first }, remainingMs] of REMAINING) {
-    test.it(`what remains ${name}`, () => {
+    test.it(`remaining time ${name}`, () => {
       const entry = jobBook.createEntry(fixtures.makeJob([{}]), 0);
       const [task] = jobBook.tasksOf(entry);
       assert.ok(task);
@@ -113,24 +113,29 @@
     });
   }
 
-  // A leader takes over and can't reach a worker that runs on under the former leader's leases. Given up
-  // at once, its tasks start elsewhere and run twice.
-  const LAPSES: readonly [name: string, isReachable: boolean, nowMs: number, isOver: boolean][] = [
-    ['while former leases stand', false, FORMER_LAPSE_MS, false],
-    ['once they have run out', false, FORMER_LAPSE_MS + 1, true],
-    ['while it answers', true, FORMER_LAPSE_MS + 1, false],
+  // Guards against tasks that run twice: after a takeover an unreachable worker runs on under the previous
+  // leader's leases. Declared lost immediately, its tasks would start on other workers as well.
+  const EXPIRIES: readonly [
+    name: string,
+    isReachable: boolean,
+    nowMs: number,
+    hasEnded: boolean,
+  ][] = [
+    ['while previous leases are valid', false, PREVIOUS_EXPIRY_MS, false],
+    ['once previous leases have expired', false, PREVIOUS_EXPIRY_MS + 1, true],
+    ['while it answers', true, PREVIOUS_EXPIRY_MS + 1, false],
   ];
-  for (const [name, isReachable, nowMs, isOver] of LAPSES) {
-    test.it(`whether a worker's runs are over ${name}`, () => {
+  for (const [name, isReachable, nowMs, hasEnded] of EXPIRIES) {
+    test.it(`whether a worker's runs have ended ${name}`, () => {
       const worker = createWorker();
       worker.isReachable = isReachable;
-      assert.equal(workerTable.isLapsed(worker, nowMs), isOver);
+      assert.equal(workerTable.isLapsed(worker, nowMs), hasEnded);
     });
   }
 
   const UNUSABLE: readonly [name: string, change: (worker: workerTable.WorkerEntry) => void][] = [
     [
-      'that is leaving',
+      'that is draining',
       (worker) => {
         if (worker.info !== undefined) worker.info = { ...worker.info, state: 'draining' };
       },
@@ -142,14 +147,14 @@
       },
     ],
     [
-      'whose present life has not been heard yet',
+      'whose current incarnation has not reported yet',
       (worker) => {
         if (worker.info !== undefined) worker.info = { ...worker.info, incarnationMs: 2 };
       },
     ],
   ];
   for (const [name, change] of UNUSABLE) {
-    test.it(`a worker ${name} takes nothing`, () => {
+    test.it(`a worker ${name} accepts no tasks`, () => {
       const worker = createWorker();
       change(worker);
       assert.equal(workerTable.toPlanWorker(worker, NOW_MS), undefined);
