--- a/src/coordination/common/pool/gangPlacement.ts
+++ b/src/coordination/common/pool/gangPlacement.ts
@@ -124,7 +124,7 @@
   const usable = [untried, healthy].find((its) => couldEverFit(its, unit)) ?? suitable;
   const needsOneRack = step.isSameRack && step.isGang && tasks.length > 1;
   const racks = [...byRack(usable).entries()];
-  const near = racks
+  const localGroups = racks
     .filter(([rack, its]) => {
       const isPreferred = step.preferredRack === undefined || rack === step.preferredRack;
       return isPreferred && couldEverFit(its, unit);
@@ -133,7 +133,7 @@
   const hasLocalityPreference = needsOneRack || step.preferredRack !== undefined;
   if (!hasLocalityPreference) return { near: [usable], far: [] };
   const oneRack = needsOneRack ? racks.map(([, its]) => its) : [];
-  return { near, far: [...oneRack, usable] };
+  return { near: localGroups, far: [...oneRack, usable] };
 };
 
 /**
--- a/src/coordination/common/pool/placeChoice.ts
+++ b/src/coordination/common/pool/placeChoice.ts
@@ -44,29 +44,29 @@
  * @returns the choice; each unit is decided once, by the free capacity at that time
  */
 export const createPlaceChoice = (input: PlaceChoiceInput): PlaceChoice => {
-  const { workers, runs, waitCosts, farFactor } = input;
+  const { workers, runs, waitCosts, farFactor: remoteFactor } = input;
   const candidatesOf = memoizeByUnit((unit) => gangPlacement.candidateGroups(workers, unit));
 
   const isRemoteFaster = memoizeByUnit((unit) => {
-    const { near, far } = candidatesOf(unit);
-    if (far.length === 0) return false;
-    const slowdownMs = (farFactor - 1) * unit.expectedMs;
-    if (near.length === 0 || unit.waitedMs >= slowdownMs) return true;
-    const future = roomToCome.findRoomToCome(runs, near, unit, waitCosts);
+    const { near: localGroups, far: remoteGroups } = candidatesOf(unit);
+    if (remoteGroups.length === 0) return false;
+    const slowdownMs = (remoteFactor - 1) * unit.expectedMs;
+    if (localGroups.length === 0 || unit.waitedMs >= slowdownMs) return true;
+    const future = roomToCome.findRoomToCome(runs, localGroups, unit, waitCosts);
     return future === undefined || roomToCome.longestWaitMs(runs, future.leaving) > slowdownMs;
   });
 
   return {
     nearOf: (unit) => candidatesOf(unit).near,
     groupsOf: (unit) => {
-      const { near, far } = candidatesOf(unit);
-      return isRemoteFaster(unit) ? [...near, ...far] : near;
+      const { near: localGroups, far: remoteGroups } = candidatesOf(unit);
+      return isRemoteFaster(unit) ? [...localGroups, ...remoteGroups] : localGroups;
     },
     findNow: (unit) => {
-      const { near, far } = candidatesOf(unit);
-      const placement = gangPlacement.placeNow(near, unit);
+      const { near: localGroups, far: remoteGroups } = candidatesOf(unit);
+      const placement = gangPlacement.placeNow(localGroups, unit);
       if (placement !== undefined || !isRemoteFaster(unit)) return placement;
-      return gangPlacement.placeNow(far, unit);
+      return gangPlacement.placeNow(remoteGroups, unit);
     },
   };
 };
--- a/src/coordination/common/pool/planRound.ts
+++ b/src/coordination/common/pool/planRound.ts
@@ -58,16 +58,16 @@
   resources.cpuMillicores / 1000 + CORES_PER_ACCELERATOR * resources.accelerators;
 
 /** Loss by preempting a run for urgent work of priority 0; undefined where it must not be preempted. */
-const lossOf: roomToCome.CostOf = (holding) =>
-  holding.priority > 0 && !holding.isProtected
-    ? (1 + holding.unsavedMs) * weightInCores(holding.room)
+const lossOf: roomToCome.CostOf = (allocation) =>
+  allocation.priority > 0 && !allocation.isProtected
+    ? (1 + allocation.unsavedMs) * weightInCores(allocation.room)
     : undefined;
 
 /** The same for work beyond its guarantee: spares jobs that were preempted too often already. */
-const preemptLossOf: roomToCome.CostOf = (holding) =>
-  holding.preemptions < MAX_PREEMPTIONS ? lossOf(holding) : undefined;
+const preemptLossOf: roomToCome.CostOf = (allocation) =>
+  allocation.preemptions < MAX_PREEMPTIONS ? lossOf(allocation) : undefined;
 
-const waitCostOf: roomToCome.CostOf = (holding) => 1 + holding.remainingMs;
+const waitCostOf: roomToCome.CostOf = (allocation) => 1 + allocation.remainingMs;
 
 const acceleratorsOf = (unit: planTypes.PlanUnit): number =>
   unit.room.accelerators * unit.unit.tasks.length;
@@ -121,9 +121,9 @@
  * @returns what to start, preempt and relocate, and what waits
  */
 export const planRound = (input: RoundInput): planTypes.RoundPlan => {
-  const { workers, farFactor, nowMs } = input;
+  const { workers, farFactor: remoteFactor, nowMs } = input;
   const starts: planTypes.Placement[] = [];
-  const evictions = new Map<string, planTypes.PlanUnit>();
+  const preemptions = new Map<string, planTypes.PlanUnit>();
   const waits: planTypes.Wait[] = [];
   const { claims, others } = splitClaims(input);
   const runs = roomToCome.indexRuns(workers);
@@ -132,11 +132,18 @@
   const waitCosts = roomToCome.createGroupCosts(runs, waitCostOf);
   const leaving = new Set(
     workers.flatMap((it) =>
-      it.holdings.filter((holding) => holding.isLeaving).map((holding) => holding.groupKey),
+      it.holdings
+        .filter((allocation) => allocation.isLeaving)
+        .map((allocation) => allocation.groupKey),
     ),
   );
 
-  const places = placeChoice.createPlaceChoice({ workers, runs, waitCosts, farFactor });
+  const places = placeChoice.createPlaceChoice({
+    workers,
+    runs,
+    waitCosts,
+    farFactor: remoteFactor,
+  });
   const headroom = claimHeadroom.createClaimHeadroom(workers, nowMs);
 
   const startNow = (unit: planTypes.PlanUnit): boolean => {
@@ -168,7 +175,7 @@
   /** Reserves the capacity, and preempts what is not terminating already. */
   const preemptFor = (unit: planTypes.PlanUnit, future: roomToCome.FuturePlacement): void => {
     gangPlacement.takeRoom(future.placement);
-    for (const key of future.leaving) if (!leaving.has(key)) evictions.set(key, unit);
+    for (const key of future.leaving) if (!leaving.has(key)) preemptions.set(key, unit);
     waits.push({ unit, reason: `waits for ${future.leaving.size} groups to leave` });
   };
 
@@ -223,16 +230,16 @@
     }
   }
   // After all waiting units: a relocated run loses its progress, so it only uses spare capacity.
-  const moves: planTypes.PlanUnit[] = [];
+  const relocations: planTypes.PlanUnit[] = [];
   for (const { unit, workerIds } of input.heldUp) {
     const elsewhere = workers.filter((it) => !workerIds.has(it.workerId));
-    const { near } = gangPlacement.candidateGroups(elsewhere, unit);
-    const placement = gangPlacement.placeNow(near, unit);
+    const { near: localGroups } = gangPlacement.candidateGroups(elsewhere, unit);
+    const placement = gangPlacement.placeNow(localGroups, unit);
     const isHealthy = placement?.workers.every((it) => !it.isSuspect) === true;
     if (placement !== undefined && isHealthy) {
       gangPlacement.takeRoom(placement);
-      moves.push(unit);
+      relocations.push(unit);
     }
   }
-  return { starts, evictions, waits, moves };
+  return { starts, evictions: preemptions, waits, moves: relocations };
 };
--- a/src/coordination/common/pool/roomToCome.ts
+++ b/src/coordination/common/pool/roomToCome.ts
@@ -10,7 +10,7 @@
 const TERMINATION_MS = 400;
 
 /** Cost of ending or awaiting a run; `undefined` where that must not be done. */
-export type CostOf = (holding: planTypes.Holding) => number | undefined;
+export type CostOf = (allocation: planTypes.Holding) => number | undefined;
 
 /** A placement of a unit with the groups that have to end first. */
 export interface FuturePlacement {
@@ -38,7 +38,7 @@
 /** A run with its worker. */
 interface PlacedRun {
   readonly worker: planTypes.PlanWorker;
-  readonly holding: planTypes.Holding;
+  readonly allocation: planTypes.Holding;
 }
 
 /** Runs by the key of their group; all runs of a group end together. */
@@ -54,10 +54,10 @@
 export const indexRuns = (workers: readonly planTypes.PlanWorker[]): RunsByGroup => {
   const runs = new Map<string, PlacedRun[]>();
   for (const worker of workers) {
-    for (const holding of worker.holdings) {
-      const its = runs.get(holding.groupKey);
-      if (its === undefined) runs.set(holding.groupKey, [{ worker, holding }]);
-      else its.push({ worker, holding });
+    for (const allocation of worker.holdings) {
+      const its = runs.get(allocation.groupKey);
+      if (its === undefined) runs.set(allocation.groupKey, [{ worker, allocation }]);
+      else its.push({ worker, allocation });
     }
   }
   return runs;
@@ -76,8 +76,8 @@
  */
 export const createGroupCosts = (runs: RunsByGroup, costOf: CostOf): CostOfGroup => {
   const costs = new Map<string, number>();
-  const add = (sum: number, { holding }: PlacedRun): number =>
-    sum + (holding.isLeaving ? 0 : (costOf(holding) ?? Infinity));
+  const add = (sum: number, { allocation }: PlacedRun): number =>
+    sum + (allocation.isLeaving ? 0 : (costOf(allocation) ?? Infinity));
   return (groupKey) => {
     const known = costs.get(groupKey);
     if (known !== undefined) return known;
@@ -96,8 +96,8 @@
   [...groupKeys]
     .flatMap((it) => runs.get(it) ?? [])
     .reduce(
-      (longest, { holding }) =>
-        Math.max(longest, holding.isLeaving ? TERMINATION_MS : holding.remainingMs),
+      (longest, { allocation }) =>
+        Math.max(longest, allocation.isLeaving ? TERMINATION_MS : allocation.remainingMs),
       0,
     );
 
@@ -114,14 +114,14 @@
   let cost = 0;
   const candidates = worker.holdings
     .filter((it) => !draft.leaving.has(it.groupKey) && it.stepKey !== unit.stepKey)
-    .map((holding) => ({ holding, cost: costOfGroup(holding.groupKey) }))
+    .map((allocation) => ({ allocation, cost: costOfGroup(allocation.groupKey) }))
     .filter((it) => Number.isFinite(it.cost))
     .sort((a, b) => a.cost - b.cost);
   for (const it of candidates) {
     if (poolJob.timesThatFit(free, unit.room) > 0) break;
-    free = poolJob.addResources(free, it.holding.room);
-    if (!groupKeys.includes(it.holding.groupKey)) {
-      groupKeys.push(it.holding.groupKey);
+    free = poolJob.addResources(free, it.allocation.room);
+    if (!groupKeys.includes(it.allocation.groupKey)) {
+      groupKeys.push(it.allocation.groupKey);
       cost += it.cost;
     }
   }
@@ -134,9 +134,9 @@
   groupKeys: readonly string[],
 ): void => {
   for (const groupKey of groupKeys) {
-    for (const { worker, holding } of runs.get(groupKey) ?? []) {
+    for (const { worker, allocation } of runs.get(groupKey) ?? []) {
       const free = draft.free.get(worker.workerId) ?? worker.free;
-      draft.free.set(worker.workerId, poolJob.addResources(free, holding.room));
+      draft.free.set(worker.workerId, poolJob.addResources(free, allocation.room));
       draft.victimsByWorker.delete(worker.workerId);
     }
     draft.leaving.add(groupKey);
--- a/src/coordination/common/pool/test/workerTable.test.ts
+++ b/src/coordination/common/pool/test/workerTable.test.ts
@@ -49,8 +49,8 @@
     test.it(name, () => {
       const worker = createWorker();
       addRun(worker, step);
-      const [holding] = workerTable.toPlanWorker(worker, NOW_MS)?.holdings ?? [];
-      assert.equal(holding?.unsavedMs, unsavedMs);
+      const [allocation] = workerTable.toPlanWorker(worker, NOW_MS)?.holdings ?? [];
+      assert.equal(allocation?.unsavedMs, unsavedMs);
     });
   }
 
--- a/src/coordination/common/pool/viewIntake.ts
+++ b/src/coordination/common/pool/viewIntake.ts
@@ -74,25 +74,25 @@
       worker.appliedUpTo = end.sequence;
     }
   }
-  const strays: poolWorker.RunningTask[] = [];
+  const unknownRuns: poolWorker.RunningTask[] = [];
   const saved: workerTable.RunHolding[] = [];
   const listed = new Set<string>();
   for (const running of view.running) {
     const key = workerTable.runKey(running.task, running.run);
     listed.add(key);
     const run = worker.runs.get(key);
-    if (run === undefined) strays.push(running);
+    if (run === undefined) unknownRuns.push(running);
     else if (updateRun(run, running, view.clockMs, nowMs)) saved.push(run);
   }
   const gone: workerTable.RunHolding[] = [];
-  const vanished: workerTable.RunHolding[] = [];
+  const missing: workerTable.RunHolding[] = [];
   for (const [key, run] of worker.runs) {
     if (!listed.has(key)) {
       const isClosed = run.phase === workerTable.RunPhase.closing && viewFence >= run.closeFence;
       if (isClosed) gone.push(run);
-      else if (run.phase === workerTable.RunPhase.present) vanished.push(run);
+      else if (run.phase === workerTable.RunPhase.present) missing.push(run);
     }
   }
   gone.forEach((run) => worker.runs.delete(workerTable.runKey(run.name, run.run)));
-  return { ends, done, strays, gone, vanished, saved };
+  return { ends, done, strays: unknownRuns, gone, vanished: missing, saved };
 };
