--- a/src/coordination/common/pool/test/planRound.test.ts
+++ b/src/coordination/common/pool/test/planRound.test.ts
@@ -23,10 +23,13 @@
   readonly guarantees?: planTypes.Guarantees;
   /** Group keys that start, each with its workers. */
   readonly starts: Readonly<Record<string, readonly string[]>>;
-  readonly evictions?: readonly string[];
+  readonly preemptions?: readonly string[];
   /** Jobs whose first unit is a straggler, with the workers that run it. */
-  readonly heldUp?: readonly { readonly job: poolJob.PoolJob; readonly on: readonly string[] }[];
-  readonly moves?: readonly string[];
+  readonly stragglers?: readonly {
+    readonly job: poolJob.PoolJob;
+    readonly on: readonly string[];
+  }[];
+  readonly relocations?: readonly string[];
 }
 
 const guaranteed8: planTypes.Guarantees = new Map([['customer', 8]]);
@@ -90,7 +93,7 @@
     jobs: [fixtures.makeJob([needing(8)], { priority: 0 })],
     guarantees: guaranteed8,
     starts: {},
-    evictions: ['cheap'],
+    preemptions: ['cheap'],
   },
   {
     // Guards against preemption of work shortly before its end, for capacity that was about to become free.
@@ -104,7 +107,7 @@
     jobs: [fixtures.makeJob([needing(8)], { priority: 0 })],
     guarantees: guaranteed8,
     starts: {},
-    evictions: [],
+    preemptions: [],
   },
   {
     name: 'a claim that has waited as long as allowed preempts what does not end in time',
@@ -113,7 +116,7 @@
     waitedMs: 1400,
     guarantees: guaranteed8,
     starts: {},
-    evictions: ['ends'],
+    preemptions: ['ends'],
   },
   {
     // Guards against a burst of long tasks that takes every worker: each claim then destroys work.
@@ -170,7 +173,7 @@
     jobs: [fixtures.makeJob([needing(8)], { priority: 0 })],
     guarantees: guaranteed8,
     starts: {},
-    evictions: [],
+    preemptions: [],
   },
   {
     name: 'work beyond the guarantee preempts nothing',
@@ -178,7 +181,7 @@
     jobs: [fixtures.makeJob([needing(8)], { priority: 0 })],
     guarantees: new Map([['customer', 7]]),
     starts: {},
-    evictions: [],
+    preemptions: [],
   },
   {
     // Two waves of small tasks fill every gap on a busy worker, and a task that needs all of it never
@@ -205,9 +208,9 @@
     name: 'a straggler is relocated where a healthy worker has spare capacity',
     workers: () => [fixtures.makeWorker('w1'), fixtures.makeWorker('w2')],
     jobs: [],
-    heldUp: [{ job: fixtures.makeJob([needing(8)], { jobId: 'slow' }), on: ['w1'] }],
+    stragglers: [{ job: fixtures.makeJob([needing(8)], { jobId: 'slow' }), on: ['w1'] }],
     starts: {},
-    moves: ['slow.0.0.0'],
+    relocations: ['slow.0.0.0'],
   },
   {
     // A run that is relocated without capacity on another worker loses its progress and has to wait.
@@ -217,9 +220,9 @@
       fixtures.makeWorker('w2', { holdings: [fixtures.makeHolding('a', 4)] }),
     ],
     jobs: [],
-    heldUp: [{ job: fixtures.makeJob([needing(8)], { jobId: 'slow' }), on: ['w1'] }],
+    stragglers: [{ job: fixtures.makeJob([needing(8)], { jobId: 'slow' }), on: ['w1'] }],
     starts: {},
-    moves: [],
+    relocations: [],
   },
   {
     name: 'a straggler stays where a waiting unit takes the capacity',
@@ -228,17 +231,17 @@
       fixtures.makeWorker('w2'),
     ],
     jobs: [fixtures.makeJob([needing(8)], { jobId: 'waits' })],
-    heldUp: [{ job: fixtures.makeJob([needing(8)], { jobId: 'slow' }), on: ['w1'] }],
+    stragglers: [{ job: fixtures.makeJob([needing(8)], { jobId: 'slow' }), on: ['w1'] }],
     starts: { 'waits.0.0.0': ['w2'] },
-    moves: [],
+    relocations: [],
   },
   {
     name: 'a straggler is not relocated to a suspect worker',
     workers: () => [fixtures.makeWorker('w1'), fixtures.makeWorker('w2', { isSuspect: true })],
     jobs: [],
-    heldUp: [{ job: fixtures.makeJob([needing(8)], { jobId: 'slow' }), on: ['w1'] }],
+    stragglers: [{ job: fixtures.makeJob([needing(8)], { jobId: 'slow' }), on: ['w1'] }],
     starts: {},
-    moves: [],
+    relocations: [],
   },
   {
     name: 'a required label is respected',
@@ -283,7 +286,7 @@
         nowMs: it.waitedMs ?? 0,
         workers: it.workers(),
         units: fixtures.makeUnits(it.jobs, it.waitedMs),
-        heldUp: (it.heldUp ?? []).flatMap(({ job, on }) =>
+        heldUp: (it.stragglers ?? []).flatMap(({ job, on }) =>
           fixtures.makeUnits([job]).map((unit) => ({ unit, workerIds: new Set(on) })),
         ),
         farFactor: 3,
@@ -296,10 +299,10 @@
         ]),
       );
       assert.deepEqual(starts, it.starts);
-      assert.deepEqual([...plan.evictions.keys()], it.evictions ?? []);
+      assert.deepEqual([...plan.evictions.keys()], it.preemptions ?? []);
       assert.deepEqual(
         plan.moves.map((unit) => unit.groupKey),
-        it.moves ?? [],
+        it.relocations ?? [],
       );
     });
   }
