--- a/src/coordination/node/pool/adviceDesk.ts
+++ b/src/coordination/node/pool/adviceDesk.ts
@@ -1,9 +1,9 @@
 /**
- * Consent of the policy service, which alone knows the workers that may run a step. Which ones they are
- * never changes; the ticket that a start carries is valid for a while and for one life of the worker.
+ * Caches the tickets of the policy service, which alone decides which workers may run a step. The set of
+ * allowed workers never changes; a ticket is valid for a limited time and for one incarnation of the worker.
  *
- * Load it answers: the service takes a fixed time and more for each worker that is named, one call at a
- * time. So a call names a few workers only, and once some are allowed only these are named again.
+ * The service handles one call at a time and takes a fixed time plus some time per worker named. So a call
+ * names few workers, allowed ones first, and a worker that was not allowed is never named again.
  */
 import type * as clock from '../../../base/common/clock.js';
 import * as errors from '../../../base/common/errors.js';
@@ -16,12 +16,12 @@
   readonly validMs: number;
 }
 
-/** What the desk needs. */
+/** Dependencies of the ticket cache. */
 export interface AdviceDeskOptions {
   readonly clock: clock.Clock;
   readonly log: logging.Log;
   readonly metrics: metrics.Metrics;
-  /** Asks the policy service; throws where it does not answer. */
+  /** Calls the policy service; throws if it does not answer. */
   readonly ask: (
     stepKey: string,
     workerIds: readonly string[],
@@ -30,39 +30,39 @@
   readonly onDidAdvise: () => void;
 }
 
-/** Knows who may run which step. */
+/** Tickets by step and worker. */
 export interface AdviceDesk {
   /**
    * @param stepKey - a step of one occurrence
-   * @param workerIds - workers that would suit it, the best first
-   * @returns tickets that are valid now, by worker; undefined while the service is being asked
+   * @param workerIds - workers that could run it, the best first
+   * @returns currently valid tickets by worker; undefined if there are none yet, and the service is asked for them
    */
   readonly ticketsFor: (
     stepKey: string,
     workerIds: readonly string[],
   ) => ReadonlyMap<string, string> | undefined;
-  /** Forgets steps that are of no more interest. */
+  /** Drops all other steps from the cache. */
   readonly keepOnly: (stepKeys: ReadonlySet<string>) => void;
 }
 
-/** Workers named in one call: enough for most steps, and a second or so of the service's time. */
+/** Workers named in one call: enough for most steps, and takes the service about a second. */
 const WORKERS_A_CALL = 30;
 
-/** A ticket has to be valid still when the start arrives: a store's write and an order later. */
+/** A ticket must still be valid when the start order arrives, after a store write and the order itself. */
 const TICKET_SLACK_MS = 700;
 
-/** Pause before the service is asked again after a refusal or silence. */
+/** Delay before the service is asked again after a call that failed. */
 const RETRY_MS = 500;
 
 /**
- * Wait for an answer: a call that is never answered holds up every other step for no longer than this. A
- * service that thinks longer is given twice the time after each failure, up to the longest.
+ * Time-out of a call: calls are made one at a time, so one that is never answered delays all other steps this
+ * long. For a slow service the time-out is doubled after each failure, up to the maximum.
  */
 const FIRST_TIMEOUT_MS = 3000;
 const MAX_TIMEOUT_MS = 15_000;
 
 interface KnownStep {
-  /** Workers that the service has been asked about. */
+  /** Workers that were named in an answered call. */
   readonly asked: Set<string>;
   readonly allowed: Set<string>;
   tickets: Map<string, string>;
@@ -73,8 +73,8 @@
 }
 
 /**
- * @param options - what the desk needs
- * @returns a desk that knows nothing yet
+ * @param options - its dependencies
+ * @returns an empty cache
  */
 export const createAdviceDesk = (options: AdviceDeskOptions): AdviceDesk => {
   const { clock: time, log, metrics } = options;
@@ -147,7 +147,7 @@
       const named = workersToAsk(step, workerIds);
       if (named.length === 0) return undefined;
       step.isWaiting = true;
-      // The service handles one call of a machine at a time; more would only wait there.
+      // The service handles one call per machine at a time; concurrent calls would only queue there.
       last = last.then(() => ask(stepKey, step, named));
       return undefined;
     },
--- a/src/coordination/node/pool/agentSession.ts
+++ b/src/coordination/node/pool/agentSession.ts
@@ -1,6 +1,6 @@
 /**
- * The leader's standing conversation with one agent: each exchange renews the tasks' leases and waits
- * for news of the worker.
+ * The leader's long-poll loop with one agent: each sync request renews the tasks' leases and waits for updates
+ * of the worker.
  */
 import * as clock from '../../../base/common/clock.js';
 import type * as disposable from '../../../base/common/disposable.js';
@@ -10,41 +10,41 @@
 import * as leaseClock from '../../common/pool/leaseClock.js';
 import type * as workerTable from '../../common/pool/workerTable.js';
 
-/** What a session needs. */
+/** Dependencies of a session. */
 export interface AgentSessionOptions {
   readonly link: agentContract.AgentLink;
   readonly clock: clock.Clock;
   readonly log: logging.Log;
   readonly worker: workerTable.WorkerEntry;
-  /** How long leases are granted for; 0 while the leadership is not certain. */
+  /** Duration of the leases granted; 0 while the leadership is not certain. */
   readonly grantMs: () => number;
-  /** @returns settled once the ends among the news may be acknowledged */
+  /** @returns settled once the run ends in the update may be acknowledged */
   readonly onNews: (news: agentContract.WorkerNews, receivedAtMs: number) => Promise<unknown>;
   readonly onDidLose: () => void;
 }
 
-/** How long an exchange waits for news; leases of ten seconds are renewed ten times as often. */
+/** How long a sync request waits for updates; leases of ten seconds are renewed ten times as often. */
 const WAIT_MS = 900;
 
-/** Pause after an exchange that failed: a restarted agent is found again within it. */
+/** Delay after a failed sync request: bounds the time until a restarted agent is reached again. */
 const RETRY_MS = 200;
 
 /**
- * Longest wait for ends to be stored before the next exchange, which acknowledges them. Without the
- * wait the acknowledgement would come with the exchange after it, most of a second later.
+ * Longest wait for run ends to be stored before the next sync request, which acknowledges them. Without the
+ * wait the acknowledgement would be sent with the request after it, most of a second later.
  */
 const MAX_STORING_MS = 150;
 
-/** With an older reading of the worker's clock nothing is granted: the worker does not answer. */
+/** No lease is granted from an older sample of the worker's clock: the worker does not respond. */
 const MAX_SAMPLE_AGE_MS = 2500;
 
 /**
- * Counts what it grants, so that the leader knows when all of it has lapsed.
+ * Computes a lease and records its expiry, so that the leader knows when all granted leases have expired.
  *
  * @param worker - the worker
  * @param nowMs - the leader's clock
- * @param grantMs - how long leases are granted for; 0 grants none
- * @returns end of the leases on the worker's clock; 0 where nothing is granted
+ * @param grantMs - duration of the lease; 0 grants none
+ * @returns expiry of the lease on the worker's clock; 0 if none is granted
  */
 export const grantLease = (
   worker: workerTable.WorkerEntry,
@@ -60,8 +60,8 @@
 };
 
 /**
- * @param options - what the session needs
- * @returns the session; disposing it ends it after the exchange under way
+ * @param options - its dependencies
+ * @returns the session; disposing it ends it after the request in flight
  */
 export const startAgentSession = (options: AgentSessionOptions): disposable.Disposable => {
   const { worker, clock: time } = options;
--- a/src/coordination/node/pool/callPace.ts
+++ b/src/coordination/node/pool/callPace.ts
@@ -1,26 +1,26 @@
 /**
- * How often a process calls the store while all is well, by which it paces itself while nothing is.
+ * Estimates the mean interval between answered store calls, which limits the rate of attempts during an outage.
  */
 import type * as clock from '../../../base/common/clock.js';
 
-/** The pace of calls that were answered. */
+/** Estimated interval between answered calls. */
 export interface CallPace {
   readonly noteAnswer: () => void;
-  /** The time since the last answer says nothing of the pace. */
+  /** The next interval is not counted, since it includes the time of the failure. */
   readonly noteFailure: () => void;
   /** Mean time from one answered call to the next. */
   readonly gapMs: () => number;
 }
 
-/** Until the pace is known. */
+/** Initial estimate. */
 const FIRST_GAP_MS = 300;
 
-/** The latest calls that tell the pace, bursts among them. */
+/** Number of recent calls that the moving average covers, including bursts. */
 const MOST_CALLS = 32;
 
 /**
  * @param time - the clock
- * @returns the pace, which stands still while calls fail
+ * @returns the estimate, which does not change while calls fail
  */
 export const createCallPace = (time: Pick<clock.Clock, 'monotonicMs'>): CallPace => {
   let gapMs = FIRST_GAP_MS;
--- a/src/coordination/node/pool/configurationFeed.ts
+++ b/src/coordination/node/pool/configurationFeed.ts
@@ -1,6 +1,6 @@
 /**
- * Follows the operators' configuration in the store. Takes only later versions, and knows up to which
- * moment it has certainly seen every change.
+ * Follows the operators' configuration in the store. Applies only later versions, and tracks up to which
+ * instant it has certainly seen every change.
  */
 import * as clock from '../../../base/common/clock.js';
 import type * as disposable from '../../../base/common/disposable.js';
@@ -14,14 +14,14 @@
 import * as prefixWatch from './prefixWatch.js';
 import * as viewAge from './viewAge.js';
 
-/** What the feed needs. */
+/** Dependencies of the feed. */
 export interface ConfigurationFeedOptions {
   readonly store: Pick<recordStore.RecordStore, 'list' | 'watch'>;
   readonly clock: clock.Clock;
   readonly log: logging.Log;
   /** Key of the record that holds the configuration. */
   readonly key: string;
-  /** @throws where the text is no configuration */
+  /** @throws if the text is not a valid configuration */
   readonly decode: (text: string) => poolConfiguration.PoolConfiguration;
 }
 
@@ -33,34 +33,34 @@
   /** Revision of the store up to which all changes were seen. */
   readonly seenRevision: () => number;
   /**
-   * How long ago the store certainly had nothing later than {@link current}. A credential that was
-   * withdrawn since then may still be accepted here.
+   * How long ago {@link current} was last confirmed as the store's latest. A credential that was revoked since
+   * then may still be accepted by this process.
    */
   readonly ageMs: () => number;
   readonly onDidChange: event.Event<poolConfiguration.HeldConfiguration>;
 }
 
-/** Wait of a watch: bounds how old the proof of freshness gets on a quiet day. */
+/** Wait of a watch: bounds the age of the last confirmation while nothing changes. */
 const WATCH_MS = 1200;
 
-/** Wait of a watch that shall prove at once that nothing has changed: after a change, and after a failure. */
+/** Short wait of a watch that confirms the copy as current immediately: after a change and after a failure. */
 const PROOF_MS = 50;
 
-/** Pause after a failed call. */
+/** Delay after a failed call. */
 const RETRY_MS = 200;
 
 /**
- * Watches that fail one after the other before the record is read whole. A watch tells nothing where nothing has
- * changed, and each version since then otherwise, which may be more than a line can carry.
+ * Successive failed watches before the complete record is read instead. A watch is empty if nothing has changed,
+ * but otherwise carries each version since then, which may be more than the link can transfer.
  */
 const MAX_FAILED_WATCHES = 2;
 
-/** A watch that fails sooner was refused, and tells nothing of what is on its way. */
+/** A watch that fails sooner was refused: the failure does not indicate an answer too large to transfer. */
 const REFUSED_MS = 300;
 
 /**
- * @param options - what the feed needs
- * @returns the feed, which follows until it is disposed
+ * @param options - its dependencies
+ * @returns the feed, which follows changes until it is disposed
  */
 export const startConfigurationFeed = (options: ConfigurationFeedOptions): ConfigurationFeed => {
   const { clock: time, log } = options;
@@ -71,12 +71,12 @@
   let heldRecord: store.StoreEntry | undefined;
   const age = viewAge.createViewAge(time);
   let isConnected = false;
-  /** Calls of the store that failed one after the other. */
+  /** Successive failed store calls. */
   let failures = 0;
-  /** Of these, those that waited. */
+  /** Those of them that failed after waiting. */
   let failedWatches = 0;
   let attemptedAtMs = 0;
-  /** Everything up to it has been seen. */
+  /** All changes up to this revision have been seen; undefined requires a new read. */
   let seenRevision: number | undefined;
 
   const take = (record: store.StoreEntry): void => {
@@ -140,7 +140,7 @@
     noteAnswer();
   };
 
-  /** Until a watch fails, or the store no longer remembers. */
+  /** Follows changes until a watch fails or the store no longer retains them. */
   const follow = async (afterRevision: number): Promise<void> => {
     await prefixWatch.followPrefix(
       {
--- a/src/coordination/node/pool/configurationShare.ts
+++ b/src/coordination/node/pool/configurationShare.ts
@@ -1,9 +1,9 @@
 /**
- * One read of the configuration for all processes of a machine: its entry follows the store, and the scheduler
- * beside it asks the entry.
+ * Reads the configuration once per machine: the entry process follows the store, and the scheduler on the same
+ * machine requests it from the entry.
  *
- * Load it answers: a configuration of a megabyte on a line of a few Mbit/s. Read by both processes at once it
- * takes twice as long, in which callers wait or are refused.
+ * If both processes read a configuration of a megabyte over a link of a few Mbit/s at the same time, it takes
+ * twice as long, and meanwhile callers wait or are refused.
  */
 import * as clock from '../../../base/common/clock.js';
 import * as errors from '../../../base/common/errors.js';
@@ -13,43 +13,43 @@
 
 import type * as configurationFeed from './configurationFeed.js';
 
-/** What an entry tells; without a record where it has nothing later. */
+/** An entry's answer; has no record if there is nothing later. */
 export interface SharedConfiguration {
   /** Revision of the store up to which the entry has seen all changes. */
   readonly seenRevision: number;
   readonly record?: { readonly value: string; readonly revision: number };
 }
 
-/** Asks an entry for a configuration later than a revision; throws where it does not answer. */
+/** Requests a configuration later than a revision from an entry; throws if it does not answer. */
 export type AskConfiguration = (
   afterRevision: number,
   waitMs: number,
 ) => Promise<SharedConfiguration>;
 
-/** What an entry shares. */
+/** Dependencies of an entry that shares its configuration. */
 export interface ShareOptions {
   /** The entry's own configuration. */
   readonly feed: configurationFeed.ConfigurationFeed;
   readonly clock: clock.Clock;
-  /** How long ago the entry last heard the store, also where all that came was a piece of an answer. */
+  /** Time since the entry last received anything from the store, including part of an answer. */
   readonly storeAgeMs: () => number;
 }
 
-/** An entry that has not heard the store for longer knows no better than the store itself. */
+/** An entry that has received nothing from the store for longer refuses, so that the scheduler asks the store. */
 const MAX_SILENCE_MS = 3000;
 
-/** How often a waiting entry looks. */
+/** Polling interval of a waiting request. */
 const LOOK_MS = 50;
 
 /**
- * @param options - what the entry shares
- * @returns answers the scheduler beside it; throws `storeUnavailable` while the entry does not hear the store
+ * @param options - its dependencies
+ * @returns answers the scheduler's requests; throws `storeUnavailable` while the entry gets nothing from the store
  */
 export const shareConfiguration = (options: ShareOptions): AskConfiguration => {
   const { feed, clock: time } = options;
   const checkHeard = (): void => {
     if (options.storeAgeMs() <= MAX_SILENCE_MS) return;
-    throw errors.fail('storeUnavailable', 'this entry does not hear the store');
+    throw errors.fail('storeUnavailable', 'this entry receives no answers from the store');
   };
   return async (afterRevision, waitMs) => {
     const untilMs = time.monotonicMs() + waitMs;
@@ -69,22 +69,22 @@
   };
 };
 
-/** What asking needs. */
+/** Dependencies of a scheduler that reads the configuration from its machine's entry. */
 export interface SharedStoreOptions {
   readonly ask: AskConfiguration;
-  /** Asked where the entry does not answer. */
+  /** Used if the entry does not answer. */
   readonly store: Pick<recordStore.RecordStore, 'list' | 'watch'>;
   /** Key of the record that holds the configuration. */
   readonly key: string;
   readonly log: logging.Log;
 }
 
-/** Wait of a question while the entry beside the scheduler reads its first configuration. */
+/** How long a request waits while the entry is still reading its first configuration. */
 const FIRST_WAIT_MS = 1000;
 
 /**
- * @param options - what asking needs
- * @returns the configuration's record as the entry beside this process tells it, or else the store
+ * @param options - its dependencies
+ * @returns reads the configuration's record from the entry on this machine, or else from the store
  */
 export const createSharedStore = (
   options: SharedStoreOptions,
--- a/src/coordination/node/pool/endNotes.ts
+++ b/src/coordination/node/pool/endNotes.ts
@@ -1,6 +1,6 @@
 /**
- * What the leader tells and learns from the ends of runs and jobs: lines and counters for operators, whose
- * fault a failure is, and whose declared work can be believed.
+ * Records the ends of runs and jobs: logs and metrics, attribution of failures to workers, and updates of the
+ * runtime estimates.
  */
 import type * as clock from '../../../base/common/clock.js';
 import type * as logging from '../../../base/common/logging.js';
@@ -15,21 +15,21 @@
 import * as workerBlame from '../../common/pool/workerBlame.js';
 import * as workerTable from '../../common/pool/workerTable.js';
 
-/** What the notes need. */
+/** Dependencies of the recorder. */
 export interface EndNotesOptions {
   readonly clock: clock.Clock;
   readonly log: logging.Log;
   readonly metrics: metrics.Metrics;
   /** The pool's workers by agent. */
   readonly workers: ReadonlyMap<string, workerTable.WorkerEntry>;
-  /** Whose declared work can be believed; learns from what is done. */
+  /** Runtime estimates, updated from completed runs. */
   readonly estimates: estimateBook.EstimateBook;
 }
 
-/** Takes note of ends. */
+/** Records ends. */
 export interface EndNotes {
   readonly noteJobEnd: (entry: jobBook.JobEntry) => void;
-  /** The end of a run, or of the gang that it stands for, has changed its job. */
+  /** Called if the end of a run, or of the gang it belongs to, has changed the job's state. */
   readonly noteRunEnd: (
     entry: jobBook.JobEntry,
     task: jobBook.TaskEntry,
@@ -40,7 +40,7 @@
     end: poolWorker.EndedRun,
     jobId: string,
   ) => void;
-  /** @param done - runs that the worker has ended as done */
+  /** @param done - runs that the worker reported as done */
   readonly learn: (
     worker: workerTable.WorkerEntry,
     done: readonly workerTable.RunHolding[],
@@ -48,8 +48,8 @@
 }
 
 /**
- * @param options - what the notes need
- * @returns the notes
+ * @param options - its dependencies
+ * @returns the recorder
  */
 export const createEndNotes = (options: EndNotesOptions): EndNotes => {
   const { clock: time, log, metrics } = options;
@@ -108,7 +108,7 @@
     },
     learn: (worker, done) => {
       for (const run of done) run.task.workMs = workerTable.observedWorkMs(run, nowMs());
-      // What a suspected worker took says more of the worker than of the declaration.
+      // The runtime on a suspected worker says more about the worker than about the declared work.
       if (workerBlame.isSuspect(worker.blame, nowMs())) return;
       for (const { entry, step, task } of done) {
         estimateBook.noteDone(options.estimates, entry.job, step, task.workMs);
--- a/src/coordination/node/pool/endedJobs.ts
+++ b/src/coordination/node/pool/endedJobs.ts
@@ -1,5 +1,5 @@
 /**
- * Removes the records of jobs that ended so long ago that nobody is owed their state.
+ * Removes the records of ended jobs once their status no longer has to be available.
  */
 import type * as clock from '../../../base/common/clock.js';
 import * as errors from '../../../base/common/errors.js';
@@ -9,30 +9,30 @@
 import * as jobBook from '../../common/pool/jobBook.js';
 import type * as jobRegistry from '../../common/pool/jobRegistry.js';
 
-/** What the removal needs. */
+/** Dependencies of the removal. */
 export interface EndedJobsOptions {
   readonly store: Pick<recordStore.RecordStore, 'transact'>;
   readonly clock: clock.Clock;
   readonly log: logging.Log;
   readonly registry: jobRegistry.JobRegistry;
-  /** The record of leadership that must still stand. */
+  /** The leadership record, which must be unchanged for a removal to take effect. */
   readonly leadership: recordStore.Condition;
-  /** A job's state is told at least this long after its end. */
+  /** A job's status is available at least this long after its end. */
   readonly statusMs: number;
 }
 
-/** Ended jobs are removed this long after their state has to be told: clocks differ, callers are late. */
+/** Extra time before ended jobs are removed, since clocks differ and requests may arrive late. */
 const SLACK_MS = 60_000;
 
 /** Jobs removed in one transaction: three records each. */
 const JOBS_AT_ONCE = 8;
 
-/** How often ended jobs are looked for; their removal is not urgent. */
+/** Interval between scans for ended jobs; their removal is not urgent. */
 const PERIOD_MS = 10_000;
 
 /**
- * @param options - what the removal needs
- * @returns looks for ended jobs where it is time, and removes some of them
+ * @param options - its dependencies
+ * @returns scans for ended jobs if the interval has passed, and removes some of them
  */
 export const createEndedJobsRemoval = (options: EndedJobsOptions): (() => Promise<void>) => {
   const { clock: time, log, registry } = options;
--- a/src/coordination/node/pool/jobDesk.ts
+++ b/src/coordination/node/pool/jobDesk.ts
@@ -1,11 +1,11 @@
 /**
- * Takes jobs in, cancels them and tells their state, at any entry and without the leader: a job is
- * accepted once its record is stored, under the condition that the configuration by which it was
- * judged is still the one in force.
+ * Handles submits, cancellations and status requests of jobs, at any entry and without the leader. A job is
+ * accepted once its record is stored, on the condition that the configuration by which the call was admitted
+ * is still the active one.
  *
- * Guards against an answer of the store that is lost: the same write is sent again, which changes
- * nothing where the first took effect. Where it stays open whether the job is stored, the answer is
- * `outcomeUnknown` and never a refusal, since a late copy of the write may still take effect.
+ * Guards against a lost answer of the store: the same write is retried, which changes nothing if the first
+ * attempt took effect. If it remains unknown whether the job is stored, the answer is `outcomeUnknown` and
+ * never a refusal, since a delayed duplicate of the write may still take effect.
  */
 import * as clock from '../../../base/common/clock.js';
 import type * as disposable from '../../../base/common/disposable.js';
@@ -22,7 +22,7 @@
 
 import type * as configurationFeed from './configurationFeed.js';
 
-/** What the desk needs. */
+/** Dependencies of the request handler. */
 export interface JobDeskOptions {
   readonly store: recordStore.RecordStore;
   readonly clock: clock.Clock;
@@ -31,43 +31,43 @@
   readonly feed: configurationFeed.ConfigurationFeed;
   /** Key of the record that holds the configuration. */
   readonly configurationKey: string;
-  /** How long ago the store was last heard, also where all that came was a piece of an answer. */
+  /** Time since anything was last received from the store, including part of an answer. */
   readonly storeAgeMs: () => number;
-  /** A withdrawn credential must be refused this long after the withdrawal. */
+  /** A revoked credential must be refused this long after its revocation. */
   readonly revokeMs: number;
 }
 
-/** What every call says of itself. */
+/** Properties of every call. */
 export interface Call {
-  /** Names the call in the log. */
+  /** Identifies the call in the log. */
   readonly requestId: string;
   readonly host: string;
   readonly path: string;
   readonly apiKey: string | undefined;
-  /** How long the caller waits for the answer. */
+  /** How long the caller waits for the answer, in milliseconds from now. */
   readonly deadlineMs: number;
 }
 
-/** What a caller asks to run. */
+/** The job that a caller submits. */
 export interface JobDraft {
   readonly payload: string;
   readonly steps: readonly poolJob.Step[];
   readonly schedule: poolJob.Schedule | undefined;
 }
 
-/** A call whose queue and customer are known. */
+/** A call whose queue and customer have been determined. */
 export interface AdmittedCall {
   readonly queue: poolConfiguration.Queue;
   readonly customerId: string;
-  /** Rest of the path behind the queue's prefix: a job's id, or nothing. */
+  /** The path after the queue's prefix: a job's id, or empty. */
   readonly jobId: string;
-  /** Revision of the configuration by which the call was judged. */
+  /** Revision of the configuration by which the call was admitted. */
   readonly configurationRevision: number;
 }
 
-/** Takes jobs in. Each call throws the error that the caller gets. */
+/** Handles requests about jobs. Each method throws the error that is sent to the caller. */
 export interface JobDesk {
-  /** Whether the configuration is proved freshly enough to check credentials by it. */
+  /** Whether the configuration was confirmed as current recently enough to check credentials by it. */
   readonly canCheckCredentials: () => boolean;
   /** @throws AuburnliftError `notFound`, `unauthenticated` or `staleConfiguration` */
   readonly admit: (call: Call) => AdmittedCall;
@@ -77,52 +77,52 @@
 }
 
 /**
- * Without proof of a fresh configuration for this part of the bound on withdrawals, a credential is
- * not accepted any more; the rest is for the call's own way.
+ * Credentials are no longer accepted once the configuration has not been confirmed as current for this share of
+ * `revokeMs`; the rest is left for handling the call.
  */
 const FRESH_SHARE = 0.7;
 
 /**
- * With an older proof nobody is told that a queue or a credential does not exist: the next configuration, which may
- * have it, has to be in force soon after.
+ * If the configuration was confirmed longer ago, no caller is told that a queue or a credential does not exist: a
+ * later configuration, which has to be active soon after it is stored, may contain it.
  */
 const DENY_MS = 2000;
 
-/** Kept of the caller's time for the way back of the answer. */
+/** Part of the caller's deadline reserved for returning the answer. */
 const ANSWER_MS = 250;
 
 /**
- * Longest time that a call is held while the store does not answer: two attempts. Told then, the
- * caller comes back at another entry, which may have a way to the store, with most of its time left.
+ * Longest time that a call waits while the store does not answer, enough for two attempts. A caller refused then
+ * can retry at another entry, which may reach the store, with most of its time left.
  */
 const MAX_HELD_MS = 900;
 
-/** Pause before a failed call to the store is tried again. */
+/** Delay before a failed store call is retried. */
 const RETRY_MS = 60;
 
-/** Less time than this is not worth another attempt: the store is two regions' delays away. */
+/** With less time left, no further attempt is made: the store is two inter-region delays away. */
 const MIN_ATTEMPT_MS = 200;
 
-/** A store that was silent for this long counts as out of reach: a call is refused without being tried. */
+/** A store that sent nothing for this long counts as unreachable: calls are refused without an attempt. */
 const STORE_LOST_MS = 2000;
 
-/** When a caller that was refused for the store's sake may come back; outages last seconds. */
+/** Retry delay sent to callers that are refused because of the store; outages last seconds. */
 const RETRY_AFTER_MS = 1000;
 
-/** Times that a call is judged anew because the configuration changed under it. */
+/** How often a call is admitted again because the configuration changed meanwhile. */
 const MAX_REJUDGED = 4;
 
 const unavailable = (message: string): errors.AuburnliftError =>
   errors.fail('storeUnavailable', `${message}; nothing ran`, { retryAfterMs: RETRY_AFTER_MS });
 
 const stillOpen = (): errors.AuburnliftError =>
-  errors.fail('outcomeUnknown', 'the store did not answer; the outcome is open');
+  errors.fail('outcomeUnknown', 'the store did not answer; the outcome is unknown');
 
 const gone = (): errors.AuburnliftError => errors.fail('gone', 'no such job', { field: 'jobId' });
 
 /**
- * @param options - what the desk needs
- * @returns the desk
+ * @param options - its dependencies
+ * @returns the request handler
  */
 export const createJobDesk = (options: JobDeskOptions): JobDesk => {
   const { clock: time, feed, log, metrics } = options;
@@ -131,8 +131,8 @@
   const agoText = (ageMs: number): string => `${Math.round(ageMs)} ms ago`;
   const unproved = (what: string): errors.AuburnliftError =>
     unavailable(
-      `${what} can not be checked: the configuration was proved ${agoText(feed.ageMs())}, ` +
-        `the store heard ${agoText(options.storeAgeMs())}`,
+      `${what} can not be checked: the configuration was confirmed ${agoText(feed.ageMs())}, ` +
+        `the store last answered ${agoText(options.storeAgeMs())}`,
     );
   const checkLatest = (what: string): void => {
     if (feed.ageMs() > DENY_MS) throw unproved(what);
@@ -170,12 +170,12 @@
 
   const isOver = (endMs: number): boolean => time.monotonicMs() + MIN_ATTEMPT_MS >= endMs;
 
-  /** What comes later than the caller is told is of no use to it; the exchange ends by its own limits. */
+  /** Stops waiting at the deadline; the store call itself goes on until its own time-out. */
   const within = async <T>(endMs: number, attempt: Promise<T>): Promise<T> => {
     let timer: disposable.Disposable | undefined;
     const late = new Promise<never>((_, reject) => {
       timer = time.after(Math.max(0, endMs - time.monotonicMs()), () => {
-        reject(new store.StoreOutcomeUnknown('no answer in the time of the caller'));
+        reject(new store.StoreOutcomeUnknown('no answer before the deadline of the caller'));
       });
     });
     try {
@@ -190,13 +190,13 @@
     log('warn', 'storeCallFailed', { request: call.requestId, isOpen, reason: message });
   };
 
-  /** Tries a transaction until it is answered or the caller's time is over. */
+  /** Retries a transaction until it is answered or the deadline has passed. */
   const transact = async (
     call: Call,
     endMs: number,
     transaction: recordStore.Transaction,
   ): Promise<recordStore.TransactionResult> => {
-    if (options.storeAgeMs() > STORE_LOST_MS) throw unavailable('the store is out of reach');
+    if (options.storeAgeMs() > STORE_LOST_MS) throw unavailable('the store is unreachable');
     let isOpen = false;
     for (;;) {
       try {
@@ -204,7 +204,7 @@
       } catch (thrown) {
         isOpen ||= thrown instanceof store.StoreOutcomeUnknown;
         noteFailure(call, thrown, isOpen);
-        if (isOver(endMs)) throw isOpen ? stillOpen() : unavailable('the store refuses');
+        if (isOver(endMs)) throw isOpen ? stillOpen() : unavailable('the store did not accept the write');
       }
       await clock.sleep(time, RETRY_MS);
     }
@@ -227,17 +227,17 @@
     }
   };
 
-  /** The feed is told of a change by itself; a second copy for each call would fill a narrow line. */
+  /** Waits for the feed to receive the change; a read for each call would saturate a low-bandwidth link. */
   const waitForLater = async (revision: number, endMs: number): Promise<void> => {
     while ((feed.current()?.revision ?? 0) <= revision) {
       if (time.monotonicMs() >= endMs) {
-        throw unavailable('a new configuration is on its way');
+        throw unavailable('a new configuration has not been received yet');
       }
       await clock.sleep(time, RETRY_MS);
     }
   };
 
-  /** Writes a record unless it exists, as long as the call is allowed by the configuration in force. */
+  /** Writes a record unless it exists, as long as the active configuration allows the call. */
   const writeOnce = async (
     call: Call,
     endMs: number,
@@ -257,7 +257,7 @@
         omitsCurrent: true,
       });
       if (result.isCommitted) return 'written';
-      // Until it is known that the record is absent it may be this call's own, whose first answer was lost.
+      // The record may exist because an earlier attempt of this call took effect and its answer was lost.
       const existing = await read(call, endMs, () => options.store.get(key), stillOpen);
       if (existing !== undefined) return 'exists';
       await waitForLater(judged.configurationRevision, endMs);
@@ -298,7 +298,7 @@
     });
   };
 
-  /** The job's records that any entry writes; none where nobody submitted it. */
+  /** The parts of the job's records that entries write; empty if the job was never submitted. */
   const findRecords = (
     call: Call,
     endMs: number,
--- a/src/coordination/node/pool/leasedRecord.ts
+++ b/src/coordination/node/pool/leasedRecord.ts
@@ -1,11 +1,11 @@
 /**
- * Keeps a leased record in the store by which a process is found.
+ * Maintains a leased record in the store through which other processes find this one.
  *
- * Guards against a lease that lapses while the store is away: the record is written anew with the first
- * renewal that says so, within a second of the store's return. And against a copy of an unanswered write
- * that takes effect after its repetition: it would put back a lease that nobody renews, and the record would
- * go away with that lease while its holder believes that it stands. Each write is conditional on what it
- * overwrites, so the late copy changes nothing.
+ * Guards against a lease that expires while the store is unavailable: the first renewal that reports the expiry
+ * writes the record again, within a second of the store's return. Also guards against a delayed duplicate of an
+ * unanswered write that takes effect after its retry: it would restore a lease that nobody renews, and the record
+ * would be removed with that lease while its holder assumes that it exists. Each write is conditional on the
+ * revision it overwrites, so the duplicate changes nothing.
  */
 import * as clock from '../../../base/common/clock.js';
 import type * as disposable from '../../../base/common/disposable.js';
@@ -14,7 +14,7 @@
 import type * as recordStore from '../../../state/common/pool/recordStore.js';
 import * as store from '../../../state/common/store.js';
 
-/** What the record needs. */
+/** Dependencies and content of the record. */
 export interface LeasedRecordOptions {
   readonly store: recordStore.RecordStore;
   readonly clock: clock.Clock;
@@ -24,19 +24,19 @@
   readonly leaseMs: number;
 }
 
-/** Renewals in one lease: two may fail before it lapses. */
+/** Renewals per lease duration: two may fail before the lease expires. */
 const RENEWALS_PER_LEASE = 3;
 
-/** Thrown where another copy of a write came first; the next attempt overwrites it. */
+/** Thrown if another copy of a write took effect first; the next attempt overwrites it. */
 const unsettled = (key: string): errors.AuburnliftError =>
-  errors.fail('storeUnavailable', `the record ${key} changed while it was written`);
+  errors.fail('storeUnavailable', `the record ${key} was changed concurrently`);
 
-/** Pause after a failed call: short, so that the record is back soon after an outage. */
+/** Delay after a failed call: short, so that the record is restored soon after an outage. */
 const RETRY_MS = 400;
 
 /**
- * @param options - what the record needs
- * @returns the record, kept until it is disposed, which takes it away
+ * @param options - its dependencies and content
+ * @returns stops the renewals when disposed, and removes the record
  */
 export const keepLeasedRecord = (options: LeasedRecordOptions): disposable.Disposable => {
   const { clock: time, log, key } = options;
--- a/src/coordination/node/pool/lostRuns.ts
+++ b/src/coordination/node/pool/lostRuns.ts
@@ -1,9 +1,9 @@
 /**
- * Gives up the runs of workers that nobody can reach.
+ * Declares runs of unreachable workers lost.
  *
- * Guards against a task that runs twice: a silent worker runs on until its leases have lapsed; and a next life of
- * it, which no fence holds back, may begin what its former one was ordered, as long as a copy of that order may
- * still come.
+ * Guards against a task that runs twice: an unreachable worker continues until its leases have expired. A new
+ * incarnation of it has seen no fence, and may execute a start ordered from the previous one as long as a delayed
+ * duplicate of that order can arrive.
  */
 import type * as clock from '../../../base/common/clock.js';
 import type * as logging from '../../../base/common/logging.js';
@@ -12,29 +12,29 @@
 import * as lateOrders from '../../common/pool/lateOrders.js';
 import * as workerTable from '../../common/pool/workerTable.js';
 
-/** What giving up needs. */
+/** Dependencies of the detection of lost runs. */
 export interface LostRunsOptions {
   readonly clock: clock.Clock;
   readonly log: logging.Log;
   readonly registry: jobRegistry.JobRegistry;
   readonly workers: ReadonlyMap<string, workerTable.WorkerEntry>;
-  /** Leader's clock by which every lease that a former leader granted has run out. */
+  /** Leader's clock by which every lease granted by a previous leader has expired. */
   readonly formerLapseAtMs: number;
-  /** Ends a run of which nothing is left to wait for. */
+  /** Ends a run that has certainly ended or can no longer start. */
   readonly noteLost: (run: workerTable.RunHolding, cause: string) => void;
 }
 
-/** Gives runs up. */
+/** Declares runs lost. */
 export interface LostRuns {
-  /** Nothing of a worker is left: it said that it ends. */
+  /** Declares all runs of a worker lost that has announced its shutdown. */
   readonly giveUpWorker: (worker: workerTable.WorkerEntry) => void;
-  /** Looks at workers that are silent, and at those that nobody has seen since the former leader. */
+  /** Checks workers that are unreachable, and those not seen since this leader took over. */
   readonly giveUp: () => void;
 }
 
 /**
- * @param options - what giving up needs
- * @returns gives runs up when it is asked
+ * @param options - its dependencies
+ * @returns declares runs lost when called
  */
 export const createLostRuns = (options: LostRunsOptions): LostRuns => {
   const { clock: time, log } = options;
@@ -52,7 +52,7 @@
     runs.forEach((run) => options.noteLost(run, cause));
   };
 
-  /** @returns whether a copy of its order may still be carried out */
+  /** @returns whether a delayed duplicate of its start order may still take effect */
   const isAwaited = (worker: workerTable.WorkerEntry, run: workerTable.RunHolding): boolean => {
     const leftMs = run.lateUntilMs - nowMs();
     if (leftMs > 0 && !awaited.has(run)) {
--- a/src/coordination/node/pool/orderDesk.ts
+++ b/src/coordination/node/pool/orderDesk.ts
@@ -1,5 +1,5 @@
 /**
- * Sends the leader's orders: those of one turn of the loop to one worker go in one message.
+ * Sends the leader's orders. Orders to one worker from the same turn of the event loop are sent in one message.
  */
 import type * as clock from '../../../base/common/clock.js';
 import * as errors from '../../../base/common/errors.js';
@@ -15,32 +15,32 @@
   readonly ticket: string | undefined;
 }
 
-/** What an order came to; `unknown` where no answer came. */
+/** The result of an order; `unknown` if no answer was received. */
 export interface SettledOrder {
   readonly run: workerTable.RunHolding;
   readonly outcome: agentContract.OrderOutcome;
   readonly reason: string;
-  /** A copy of it may still be carried out. */
+  /** A delayed duplicate of it may still take effect. */
   readonly hasOpenCopy: boolean;
 }
 
-/** What a message of orders came to. */
+/** The results of one message of orders. */
 export interface SettledOrders {
   readonly worker: workerTable.WorkerEntry;
   readonly starts: readonly SettledOrder[];
   readonly stops: readonly SettledOrder[];
-  /** The worker after the orders; undefined where no answer came. */
+  /** The agent's update about the worker; undefined if no answer was received. */
   readonly news: agentContract.WorkerNews | undefined;
   readonly isNewsLater: boolean;
   readonly receivedAtMs: number;
 }
 
-/** What the desk needs. */
+/** Dependencies of the order sender. */
 export interface OrderDeskOptions {
   readonly link: agentContract.AgentLink;
   readonly clock: clock.Clock;
   readonly log: logging.Log;
-  /** How long leases are granted for; 0 while the leadership is not certain. */
+  /** Duration of the leases granted; 0 while the leadership is not certain. */
   readonly grantMs: () => number;
   readonly onSettled: (settled: SettledOrders) => void;
 }
@@ -79,8 +79,8 @@
   }));
 
 /**
- * @param options - what the desk needs
- * @returns a desk without orders
+ * @param options - its dependencies
+ * @returns a sender without pending orders
  */
 export const createOrderDesk = (options: OrderDeskOptions): OrderDesk => {
   const outgoing = new Map<string, Outgoing>();
@@ -98,7 +98,7 @@
       workerId: info.workerId,
       incarnationMs: info.incarnationMs,
       payloads,
-      // Without a lease nothing could run; the start is refused by its deadline of 0.
+      // Nothing may run without a lease: if none was granted, `leaseUntilMs` is 0 and the agent refuses the start.
       starts: its.starts.map((order) => toStart(order, leaseUntilMs)),
       stops: its.stops.map(({ name, run }) => ({ task: name, run })),
       paces: [],
--- a/src/coordination/node/pool/orderIntake.ts
+++ b/src/coordination/node/pool/orderIntake.ts
@@ -1,5 +1,5 @@
 /**
- * What became of the leader's orders.
+ * Applies the results of the leader's orders to its state of the runs.
  */
 import type * as clock from '../../../base/common/clock.js';
 import type * as logging from '../../../base/common/logging.js';
@@ -11,7 +11,7 @@
 import * as workerTable from '../../common/pool/workerTable.js';
 import type * as orderDesk from './orderDesk.js';
 
-/** What the intake needs. */
+/** Dependencies of the handler. */
 export interface OrderIntakeOptions {
   readonly clock: clock.Clock;
   readonly log: logging.Log;
@@ -23,27 +23,27 @@
     run: workerTable.RunHolding,
     cause: string,
   ) => void;
-  /** Nothing of the run is left once the worker has answered under the next fence. */
+  /** Marks the run as closing: it counts as gone once the worker has answered under a higher fence. */
   readonly close: (worker: workerTable.WorkerEntry, run: workerTable.RunHolding) => void;
-  /** Ends a run of which nothing is left to wait for. */
+  /** Ends a run that has certainly ended or can no longer start. */
   readonly noteLost: (run: workerTable.RunHolding, cause: string) => void;
 }
 
-/** Takes what became of orders into the picture of the runs. */
+/** Handles the results of start and stop orders. */
 export interface OrderIntake {
   readonly takeStart: (worker: workerTable.WorkerEntry, order: orderDesk.SettledOrder) => void;
   readonly takeStop: (settled: orderDesk.SettledOrders, order: orderDesk.SettledOrder) => void;
 }
 
 /**
- * @param options - what the intake needs
- * @returns the intake
+ * @param options - its dependencies
+ * @returns the handler
  */
 export const createOrderIntake = (options: OrderIntakeOptions): OrderIntake => {
   const { clock: time, log, metrics, stopRun, close, noteLost } = options;
   const nowMs = (): number => time.monotonicMs();
 
-  /** Kept with the job: the next leader has to wait for the copy as well. */
+  /** Stores with the job how long a duplicate may arrive, since the next leader has to wait for it as well. */
   const noteOpenCopy = (run: workerTable.RunHolding): void => {
     run.lateUntilMs = nowMs() + lateOrders.MAX_LATE_MS;
     if (run.task.run !== run.run) return;
@@ -83,7 +83,7 @@
       ({ task, run }) => task === it.run.name && run === it.run.run,
     );
     if (isListed !== false) return;
-    // Stopped before it was there: the worker refuses the run for good.
+    // Stopped before it started: the worker permanently refuses this run.
     worker.runs.delete(key);
     noteLost(it.run, 'stoppedBeforeStart');
   };
--- a/src/coordination/node/pool/peerDirectory.ts
+++ b/src/coordination/node/pool/peerDirectory.ts
@@ -1,6 +1,6 @@
 /**
- * Where the entries and schedulers of other machines answer, read from the store every few seconds and kept
- * while the store is away: that is when a process needs its peers.
+ * Addresses of the entries and schedulers on other machines, read from the store every few seconds and retained
+ * while the store is unavailable, which is when a process needs its peers.
  */
 import * as clock from '../../../base/common/clock.js';
 import type * as disposable from '../../../base/common/disposable.js';
@@ -10,12 +10,12 @@
 import type * as recordStore from '../../../state/common/pool/recordStore.js';
 import * as addressRecord from '../../common/pool/addressRecord.js';
 
-/** What the directory needs. */
+/** Dependencies of the directory. */
 export interface PeerDirectoryOptions {
   readonly store: Pick<recordStore.RecordStore, 'list'>;
   readonly clock: clock.Clock;
   readonly log: logging.Log;
-  /** This process's own address, which is left out. */
+  /** This process's own address, which is excluded. */
   readonly ownUrl: string;
 }
 
@@ -24,20 +24,20 @@
   readonly urls: (role: poolKeys.PeerRole) => readonly string[];
 }
 
-/** A machine that is added or replaced is known within it. */
+/** Polling interval: bounds the time until an added or replaced machine is known. */
 const PERIOD_MS = 5000;
 
-/** Until all processes of a start have written their entries. */
+/** Shorter interval after start-up, until all processes that start together have written their records. */
 const FIRST_PERIOD_MS = 1000;
 
-/** Looks at the shorter distance after a start. */
+/** Number of reads at the shorter interval. */
 const FIRST_LOOKS = 5;
 
 const RETRY_MS = 1000;
 
 /**
- * @param options - what the directory needs
- * @returns the directory, which looks until it is disposed
+ * @param options - its dependencies
+ * @returns the directory, which polls the store until it is disposed
  */
 export const startPeerDirectory = (options: PeerDirectoryOptions): PeerDirectory => {
   let isDisposed = false;
--- a/src/coordination/node/pool/pendingCounts.ts
+++ b/src/coordination/node/pool/pendingCounts.ts
@@ -1,9 +1,9 @@
 /**
- * How many accepted jobs of a queue have not begun: asked of the leader, counted from the store where
- * no leader answers. A figure is used again for half a second.
+ * Number of accepted jobs of a queue that have not started: requested from the leader, or counted from the store
+ * if no leader answers. A result is cached for half a second.
  *
- * Guards against counts that pile up: while one takes long, as on a narrow line, callers share it and are told
- * in time that there is none.
+ * Guards against an accumulation of concurrent counts: while one is slow, as over a low-bandwidth link, callers
+ * share it and get an error before their deadline.
  */
 import * as clock from '../../../base/common/clock.js';
 import * as errors from '../../../base/common/errors.js';
@@ -15,33 +15,33 @@
 
 import type * as poolLeadership from './poolLeadership.js';
 
-/** What the counts need. */
+/** Dependencies of the counts. */
 export interface PendingCountsOptions {
   readonly store: recordStore.RecordStore;
   readonly clock: clock.Clock;
   readonly log: logging.Log;
-  /** Asks a scheduler; throws where it does not lead or does not answer. */
+  /** Requests the counts from a scheduler; throws if it is not the leader or does not answer. */
   readonly askLeader: (url: string) => Promise<Readonly<Record<string, number>>>;
 }
 
-/** Counts jobs that have not begun. */
+/** Counts jobs that have not started. */
 export interface PendingCounts {
-  /** @throws AuburnliftError `storeUnavailable` where neither leader nor store answers */
+  /** @throws AuburnliftError `storeUnavailable` if neither leader nor store answers in time */
   readonly ofQueue: (queue: string) => Promise<number>;
 }
 
-/** A figure may be two seconds old when the caller has it; the leader's is up to one and a half. */
+/** Cache lifetime: a count may be two seconds old when the caller receives it; the leader's is up to 1.5 s old. */
 const KEEP_MS = 500;
 
-/** A count that was begun longer ago is of no use to anybody. */
+/** A count that was started longer ago is too old to be returned. */
 const MAX_AGE_MS = 2000;
 
-/** Longest time that a caller is held for a count. */
+/** Longest time that a caller waits for a count. */
 const MAX_HELD_MS = 900;
 
 type Counts = Readonly<Record<string, number>>;
 
-/** One count, shared by all who ask meanwhile. */
+/** One count, shared by all callers that request it meanwhile. */
 interface Count {
   readonly counts: Promise<Counts>;
   readonly beganAtMs: number;
@@ -49,7 +49,7 @@
 }
 
 const tooLate = (): errors.AuburnliftError =>
-  errors.fail('storeUnavailable', 'counting the jobs that wait takes too long', {
+  errors.fail('storeUnavailable', 'counting the pending jobs takes too long', {
     retryAfterMs: MAX_HELD_MS,
   });
 
--- a/src/coordination/node/pool/planDriver.ts
+++ b/src/coordination/node/pool/planDriver.ts
@@ -1,6 +1,6 @@
 /**
- * Runs planning rounds and carries them out: stores each start, sends it once it is stored, and stops
- * what a claim needs the room of.
+ * Runs planning rounds and executes their results: stores each start, sends it once it is stored, and stops runs
+ * that are preempted or relocated.
  */
 import * as clock from '../../../base/common/clock.js';
 import type * as logging from '../../../base/common/logging.js';
@@ -21,7 +21,7 @@
 import type * as poolLeadership from './poolLeadership.js';
 import type * as runControl from './runControl.js';
 
-/** What planning needs. */
+/** Dependencies of the driver. */
 export interface PlanDriverOptions {
   readonly clock: clock.Clock;
   readonly log: logging.Log;
@@ -29,9 +29,9 @@
   readonly term: poolLeadership.Term;
   readonly registry: jobRegistry.JobRegistry;
   readonly workers: ReadonlyMap<string, workerTable.WorkerEntry>;
-  /** Whose declared work can be believed. */
+  /** Runtime estimates, and which declared work is reliable. */
   readonly estimates: estimateBook.EstimateBook;
-  /** How much longer a task takes away from its data or its rack. */
+  /** Factor by which a task takes longer away from its data or its rack. */
   readonly farFactor: number;
   readonly control: () => runControl.RunControl;
   readonly desk: () => orderDesk.OrderDesk;
@@ -39,27 +39,27 @@
   readonly save: (jobId: string) => Promise<void>;
   readonly configuration: () => poolConfiguration.PoolConfiguration | undefined;
   readonly askAdvice: adviceDesk.AdviceDeskOptions['ask'];
-  /** How long ago every job and cancellation that was written had certainly been learnt. */
+  /** Age of the leader's state: all jobs and cancellations stored before then have certainly been received. */
   readonly recordsAgeMs: () => number;
-  /** Whether all jobs are known and the term goes on. */
+  /** Whether all jobs are loaded and the term has not ended. */
   readonly isReady: () => boolean;
 }
 
 /** Runs planning rounds. */
 export interface PlanDriver {
-  /** Asks for a round; changes that come together are planned together. */
+  /** Requests a round; changes within a short time share one round. */
   readonly schedule: () => void;
 }
 
-/** Changes of this time are planned together. */
+/** Changes within this time are planned in the same round. */
 const GATHER_MS = 1;
 
-/** A start that waits for a certain leadership looks again after this time. */
+/** Polling interval of a start that waits until the leadership is certain. */
 const RECHECK_MS = 50;
 
 /**
- * @param options - what planning needs
- * @returns the driver, which plans when it is asked
+ * @param options - its dependencies
+ * @returns the driver, which plans on request
  */
 export const createPlanDriver = (options: PlanDriverOptions): PlanDriver => {
   const { clock: time, log, metrics, registry, workers } = options;
@@ -84,8 +84,8 @@
   });
 
   /**
-   * Stores starts and waits until the leadership is certain. A job may be cancelled during that wait,
-   * unheard while the store is away: it is then stored once more, which shows a cancellation.
+   * Stores starts and waits until the leadership is certain. A cancellation during that wait may not be received
+   * while the store is unavailable, so the job is stored once more afterwards, which reveals a cancellation.
    */
   const storeUntilCertain = async (jobId: string): Promise<void> => {
     for (;;) {
@@ -108,7 +108,7 @@
       schedule();
       return;
     }
-    // The store may have kept it waiting; judged from its placement a sound run would stand still at once.
+    // Storing the start may have taken long: counted from its placement, a healthy run would count as stalled.
     run.sinceMs = nowMs();
     run.movedAtMs = nowMs();
     options.desk().start(worker, { run, ticket });
@@ -176,7 +176,7 @@
       ]),
     );
 
-  /** Leaves out what the policy service has not consented to yet. */
+  /** Leaves out units that need a ticket of the policy service and have none yet. */
   const withTickets = (
     units: readonly planTypes.PlanUnit[],
     planWorkers: readonly planTypes.PlanWorker[],
@@ -188,7 +188,7 @@
       const ids = suitable.map((it) => it.workerId);
       const ticketsByWorker = advice.ticketsFor(unit.stepKey, ids);
       if (ticketsByWorker !== undefined) return [{ ...unit, ticketsByWorker }];
-      noteWait({ unit, reason: 'the policy service is asked' });
+      noteWait({ unit, reason: 'waiting for the policy service' });
       return [];
     });
   };
--- a/src/coordination/node/pool/poolAgent.ts
+++ b/src/coordination/node/pool/poolAgent.ts
@@ -1,9 +1,9 @@
 /**
- * The agent's part: holds the worker's tasks in life for the leader, carries its orders to the worker
- * and tells it what changed. Keeps nothing that lasts.
+ * The agent beside a worker: renews the leases of its tasks for the leader, forwards the leader's orders to the
+ * worker and reports changes to the leader. Stores nothing durably.
  *
- * Guards against an order that gets no answer: it is given again until the worker answers, which is
- * safe since a worker knows each run by its number.
+ * Guards against an unanswered order: it is retried up to a limit. Retries are safe, since a worker identifies
+ * each run by its number.
  */
 import * as clock from '../../../base/common/clock.js';
 import type * as disposable from '../../../base/common/disposable.js';
@@ -13,7 +13,7 @@
 import * as agentContract from '../../../state/common/pool/agentContract.js';
 import * as poolWorker from '../../../state/common/pool/poolWorker.js';
 
-/** What the agent needs. */
+/** Dependencies of the agent. */
 export interface PoolAgentOptions {
   readonly worker: agentContract.WorkerLink;
   readonly clock: clock.Clock;
@@ -22,38 +22,38 @@
   readonly bootId: string;
 }
 
-/** What a worker says of itself, with what orders its messages. */
+/** A worker's information about itself, with a sequence number that orders its messages. */
 export interface Heartbeat {
   readonly info: poolWorker.WorkerInfo;
-  /** Rises with each message of one life. */
+  /** Increases with each message of one incarnation. */
   readonly sequence: number;
 }
 
 /** The agent beside one worker. */
 export interface PoolAgent extends disposable.Disposable {
   readonly noteHeartbeat: (heartbeat: Heartbeat) => void;
-  /** The worker said that it ends now. */
+  /** The worker has announced that it shuts down now. */
   readonly noteDeparture: (workerId: string) => void;
   readonly sync: (request: agentContract.SyncRequest) => Promise<agentContract.WorkerNews>;
   readonly order: (request: agentContract.OrderRequest) => Promise<agentContract.OrderReply>;
 }
 
-/** How long the worker may hold a request open for an end: each one also renews the leases. */
+/** How long the worker may hold a request open until a run ends; each request also renews the leases. */
 const VIEW_WAIT_MS = 900;
 
-/** Pause after the worker did not answer. */
+/** Delay after the worker did not answer. */
 const RETRY_MS = 150;
 
 /**
- * A worker answers at once while it lists ends that are not acknowledged; without this pause the agent
- * would ask it again and again until the leader has stored them.
+ * A worker answers immediately while it lists unacknowledged run ends; without this delay the agent would
+ * request its report in a busy loop until the leader has stored them.
  */
 const UNACKNOWLEDGED_MS = 250;
 
-/** A leader that asks about a worker that does not answer waits this long for news. */
+/** How long a sync request waits for updates while the worker does not answer. */
 const SILENT_WAIT_MS = 300;
 
-/** Attempts to give one order; the worker is on the same machine and answers in a millisecond. */
+/** Attempts to deliver one order; the worker is on the same machine and answers in a millisecond. */
 const ORDER_ATTEMPTS = 3;
 
 interface HeldView {
@@ -62,7 +62,7 @@
   readonly receivedAtMs: number;
 }
 
-/** An order that was not given to the worker. */
+/** The result of an order that was not sent to the worker. */
 const refused = (
   { task, run }: Pick<agentContract.OrderResult, 'task' | 'run'>,
   reason: string,
@@ -76,8 +76,8 @@
       }`;
 
 /**
- * @param options - what the agent needs
- * @returns the agent, which does nothing before a leader calls
+ * @param options - its dependencies
+ * @returns the agent, which is idle until a leader calls
  */
 export const createPoolAgent = (options: PoolAgentOptions): PoolAgent => {
   const { clock: time, log, metrics } = options;
@@ -87,15 +87,15 @@
   let held: HeldView | undefined;
   let fence = 0;
   let newestLifeMs = 0;
-  /** New lives of the worker since the leader last raised its fence. */
+  /** New incarnations of the worker since the leader last raised its fence. */
   let unfencedLives = 0;
   let lease = { incarnationMs: 0, untilMs: 0 };
   let seen = { incarnationMs: 0, upTo: 0 };
-  /** Ends of the worker's present life that stand in the log. */
+  /** Run ends of the worker's current incarnation that have been logged. */
   let told = { incarnationMs: 0, upTo: 0 };
   let version = 1;
   let isHolding = false;
-  /** The worker answered the last look. */
+  /** The worker answered the last request for its report. */
   let isAnswering = false;
   let onDidAcknowledge: () => void = () => undefined;
   const waiters = new Set<() => void>();
@@ -117,14 +117,14 @@
       waiters.add(wake);
     });
 
-  /** A new life has seen no fence and would take what its former life was told. */
+  /** A new incarnation has seen no fence and would accept orders meant for the previous one. */
   const noteLife = (incarnationMs: number): void => {
     if (incarnationMs <= newestLifeMs) return;
     if (newestLifeMs !== 0) unfencedLives += 1;
     newestLifeMs = incarnationMs;
   };
 
-  /** @returns the fence that the worker is told */
+  /** @returns the fence to send to the worker */
   const workerFence = (leaderFence: number): number =>
     leaderFence === fence
       ? fence + Math.min(unfencedLives, agentContract.FENCE_STEP - 1)
@@ -133,7 +133,7 @@
   const isPresentLife = (incarnationMs: number): boolean =>
     incarnationMs !== 0 && incarnationMs === (held?.view.incarnationMs ?? info?.incarnationMs);
 
-  /** One line for each end, so that the way from the worker's end to the job's can be timed. */
+  /** Logs each run end, so that the delay until the job's end can be measured. */
   const tellEnds = ({ incarnationMs, ended }: poolWorker.WorkerView): void => {
     const upTo = told.incarnationMs === incarnationMs ? told.upTo : 0;
     for (const { sequence, task, run, how } of ended) {
@@ -160,10 +160,10 @@
     noteChange();
   };
 
-  /** @returns whether the worker gave its list */
+  /** @returns whether the worker sent its report */
   const look = async (waitMs: number): Promise<boolean> => {
     const viewFence = fence;
-    // After a silence another life may answer, which would forget its own ends for those of the former.
+    // After an outage a new incarnation may answer; the previous one's acknowledgement would drop its run ends.
     const isSeenUpToMeant = isAnswering && isPresentLife(seen.incarnationMs);
     const answer = await options.worker.view(info?.workerId, {
       fence: workerFence(viewFence),
@@ -194,7 +194,7 @@
       };
     });
 
-  /** Renews the leases and waits for ends, as long as a leader has called. */
+  /** Renews the leases and waits for run ends, from the first call of a leader on. */
   const hold = async (): Promise<void> => {
     if (isHolding) return;
     isHolding = true;
@@ -233,9 +233,9 @@
   });
 
   const refusalOf = (request: agentContract.OrderRequest): string | undefined => {
-    if (info === undefined) return 'the worker is not known yet';
+    if (info === undefined) return 'no heartbeat of the worker has been received yet';
     if (info.workerId !== request.workerId || info.incarnationMs !== request.incarnationMs) {
-      return 'another life of the worker is meant';
+      return 'the order is for another incarnation of the worker';
     }
     return undefined;
   };
@@ -247,11 +247,11 @@
     let answer = await give();
     const hasOpenCopy = answer.outcome === 'unknown';
     for (let tries = 1; tries < ORDER_ATTEMPTS && answer.outcome === 'unknown'; tries += 1) {
-      // A new life would take as new what its former one may have carried out.
+      // A new incarnation would execute again what the previous one may already have executed.
       if (refusalOf(request) !== undefined) break;
       answer = await give();
     }
-    // After an attempt without an answer a refusal does not settle the order: the first copy may come late.
+    // After an unanswered attempt a refusal is not conclusive: the delayed duplicate may still take effect.
     return hasOpenCopy && answer.outcome === 'refused'
       ? { outcome: 'unknown', reason: answer.reason, hasOpenCopy }
       : { ...answer, hasOpenCopy };
@@ -265,7 +265,7 @@
     const refusal = refusalOf(request);
     if (refusal !== undefined) return refused(command, refusal);
     if (info?.state !== poolWorker.WorkerState.ready) {
-      return refused(command, 'the worker is leaving');
+      return refused(command, 'the worker is not ready for new tasks');
     }
     if (leaseUntilMs === 0) return refused(command, 'no lease was granted');
     const payload = request.payloads[jobId] ?? '';
@@ -353,7 +353,7 @@
       if (held === undefined || held.fence < fence) {
         const isSeen = await look(0);
         void hold();
-        // A worker that refuses at once would otherwise have the leader ask without a pause.
+        // If the worker refuses immediately, the leader would otherwise send requests in a busy loop.
         if (!isSeen) await waitForChange(Math.min(request.waitMs, SILENT_WAIT_MS));
         return news();
       }
--- a/src/coordination/node/pool/poolLeader.ts
+++ b/src/coordination/node/pool/poolLeader.ts
@@ -1,6 +1,6 @@
 /**
- * The leader of the pools for one term: wires what it learns, plans, stores and orders, and gives up what
- * nobody can reach any more.
+ * The leader of the pools for one term: connects the record feed, planning, the progress writer and the agents,
+ * and declares unreachable runs lost.
  */
 import type * as clock from '../../../base/common/clock.js';
 import * as disposable from '../../../base/common/disposable.js';
@@ -32,17 +32,17 @@
 import * as runControl from './runControl.js';
 import * as storedNews from './storedNews.js';
 
-/** Figures of the deployment that the leader works by. */
+/** Limits of the deployment that apply to the leader. */
 export interface PoolLimits {
   /** Longest lease that a worker grants. */
   readonly maxLeaseMs: number;
-  /** A job's state is told at least this long after its end. */
+  /** A job's status is available at least this long after its end. */
   readonly statusMs: number;
-  /** How much longer a task takes away from its data or its rack. */
+  /** Factor by which a task takes longer away from its data or its rack. */
   readonly farFactor: number;
 }
 
-/** What a leader needs. */
+/** Dependencies of a leader. */
 export interface PoolLeaderOptions {
   readonly store: recordStore.RecordStore;
   readonly clock: clock.Clock;
@@ -52,49 +52,49 @@
   readonly term: poolLeadership.Term;
   readonly limits: PoolLimits;
   readonly configuration: () => poolConfiguration.PoolConfiguration | undefined;
-  /** What this process has seen done in any of its terms. */
+  /** Completed runs that are not stored yet, of any term of this process. */
   readonly doneRuns: doneRuns.DoneRuns;
-  /** Somebody else leads or changed a record: the term is over. */
+  /** Another process leads or changed a record: the term is over. */
   readonly onDidConflict: (reason: string) => void;
-  /** Asks the policy service which workers may run a step. */
+  /** Requests from the policy service which workers may run a step. */
   readonly askAdvice: adviceDesk.AdviceDeskOptions['ask'];
 }
 
 /** The leader of the pools. */
 export interface PoolLeader extends disposable.Disposable {
   /**
-   * Accepted jobs by queue of which no task has started; undefined before all jobs are loaded, and while what
-   * is known of them is too old to be told.
+   * Number of accepted jobs by queue of which no task has started; undefined before all jobs are loaded, and
+   * while the leader's state is too old to be reported.
    */
   readonly pendingByQueue: () => Readonly<Record<string, number>> | undefined;
-  /** An entry has stored a record of a job; it is read where the watch has not told of it in a moment. */
+  /** An entry has stored a record of a job; it is read if the watch does not deliver it shortly after. */
   readonly noteStored: (jobId: string, part: poolKeys.JobPart) => Promise<void>;
 }
 
-/** Below the longest lease, so that the worker shortens none. */
+/** Leases are this much shorter than the longest one a worker grants, so that it does not shorten them. */
 const LEASE_SLACK_MS = 300;
 
-/** How often stops are repeated, lapsed leases looked for and due occurrences started. */
+/** Interval of repeating stops, checking for expired leases and starting due occurrences. */
 const TICK_MS = 200;
 
-/** An agent whose entry is gone and that is silent this long is forgotten. */
+/** An agent without a record that has not responded for this long is removed. */
 const FORGET_AGENT_MS = 60_000;
 
 /**
- * Checkpoints are stored together this often, so that a loss of all power costs no more than this much
- * of saved work; stored one by one they would be most of the leader's writes.
+ * Interval of storing new checkpoints in batches. A power loss of all machines costs at most this much saved work;
+ * stored one by one, checkpoints would be most of the leader's writes.
  */
 const CHECKPOINT_PERIOD_MS = 2000;
 
 /**
- * Callers are told figures of the last two seconds, and entries keep one for half a second. A watch of a slow
- * store, which answers in a quarter of a second, proves its knowledge within this.
+ * Callers may receive counts up to two seconds old, and entries cache a count for half a second. A watch of a slow
+ * store, which answers in a quarter of a second, confirms the leader's state within this time.
  */
 const MAX_TOLD_AGE_MS = 1500;
 
 /**
- * @param options - what the leader needs
- * @returns the leader; it loads what lasts and goes on until it is disposed
+ * @param options - its dependencies
+ * @returns the leader, which loads the stored state and runs until it is disposed
  */
 export const startPoolLeader = (options: PoolLeaderOptions): PoolLeader => {
   const { clock: time, log, metrics, term } = options;
@@ -190,7 +190,7 @@
     }
   };
 
-  /** The first news of a worker tells which of the former leader's runs are its own. */
+  /** The first update about a worker triggers the adoption of runs that a previous leader assigned to it. */
   const takeNews = (
     worker: workerTable.WorkerEntry,
     news: agentContract.WorkerNews,
@@ -224,7 +224,7 @@
     const agentId = record.key.slice(poolKeys.AGENTS.length);
     const url = addressRecord.parseAddressRecord(record.value);
     if (url === undefined) {
-      // Thrown out of the watch's answer, it would keep everything behind it from being heard, for good.
+      // If it threw, the watch would fail at this record again and again, and later records would never arrive.
       log('error', 'recordUnreadable', { key: record.key, revision: record.revision });
       return;
     }
@@ -247,7 +247,7 @@
     void writer.save(entry.job.jobId);
   };
 
-  /** @param source - what showed the record to the leader */
+  /** @param source - how the leader received the record */
   const takeJobRecord = (record: store.StoreEntry, source: 'watch' | 'write' | 'entry'): void => {
     const effect = registry.takeRecord(record, nowMs());
     if (effect === jobRegistry.RecordEffect.none || !isLoaded) return;
@@ -264,8 +264,8 @@
 
   const takeRecord = (record: store.StoreEntry): void => {
     if (record.key === poolKeys.LEADER) {
-      // A term ends the moment another one is seen.
-      if (record.revision !== term.condition.revision) options.onDidConflict('another leads');
+      // The term ends as soon as another one is observed.
+      if (record.revision !== term.condition.revision) options.onDidConflict('another term began');
     } else if (record.key.startsWith(poolKeys.AGENTS)) {
       takeAgent(record);
     } else {
--- a/src/coordination/node/pool/poolLeadership.ts
+++ b/src/coordination/node/pool/poolLeadership.ts
@@ -1,9 +1,9 @@
 /**
- * Leadership of the pools: a leased record names the leader, an epoch that only rises is its fence.
- * Both are written in one transaction.
+ * Leader election of the pools: a leased record names the leader, and an epoch that only increases is its fencing
+ * token. Both are written in one transaction.
  *
- * Guards against a holder that is paused: it counts from before its renewal was sent, by the clock
- * that went further. In a suspension the monotonic clock stands still, in a freeze both run on.
+ * Guards against a leader that was paused: it counts its lease from before the renewal was sent, by whichever clock
+ * advanced more. The monotonic clock stops in a suspended machine; both clocks advance while a process is frozen.
  */
 import * as clock from '../../../base/common/clock.js';
 import type * as disposable from '../../../base/common/disposable.js';
@@ -13,30 +13,30 @@
 import * as poolKeys from '../../../state/common/pool/poolKeys.js';
 import type * as recordStore from '../../../state/common/pool/recordStore.js';
 
-/** Who leads. */
+/** The leadership record. */
 export interface LeaderRecord {
   readonly holderId: string;
-  /** Where other processes reach it. */
+  /** Address of the leader for other processes. */
   readonly url: string;
   readonly epoch: number;
-  /** Chosen by the writer, so that a lost answer is settled by reading back. */
+  /** Chosen by the writer, which recognizes its own write by it after a lost answer. */
   readonly writeId: string;
-  /** The store's lease that the record stands by. */
+  /** The store's lease that the record is attached to. */
   readonly leaseId: string;
-  /** Names one life of the holder's process. */
+  /** Identifies one incarnation of the holder's process. */
   readonly bootId: string;
 }
 
-/** One period of leading. */
+/** One term of leadership. */
 export interface Term {
   readonly epoch: number;
   /** The leased record with its revision; every write of the leader is conditional on it. */
   readonly condition: recordStore.Condition;
-  /** Whether the lease certainly stands now. */
+  /** Whether the lease certainly has not expired. */
   readonly isCertain: () => boolean;
 }
 
-/** What leadership needs. */
+/** Dependencies of a candidate. */
 export interface LeadershipOptions {
   readonly store: recordStore.RecordStore;
   readonly clock: clock.Clock;
@@ -44,41 +44,41 @@
   readonly log: logging.Log;
   readonly newId: () => string;
   readonly holderId: string;
-  /** Where this process listens. */
+  /** Address at which this process listens. */
   readonly url: string;
-  /** Names this life of the process. */
+  /** Identifies this incarnation of the process. */
   readonly bootId: string;
   readonly leaseMs: number;
   readonly onDidGain: (term: Term) => void;
   readonly onDidLose: (reason: string) => void;
 }
 
-/** A candidate, or the leader. */
+/** A candidate, which may be the leader. */
 export interface Leadership extends disposable.Disposable {
-  /** Who leads, as far as this process knows. */
+  /** The current leader, as far as is known. */
   readonly leader: () => LeaderRecord | undefined;
-  /** Gives leadership up, so that another process takes it at once. */
+  /** Releases the leadership, so that another process can take over immediately. */
   readonly release: () => Promise<void>;
-  /** Steps down without touching the store: something contradicts this process's picture. */
+  /** Steps down because the store's state contradicts this process's state, and revokes the lease. */
   readonly abandon: (reason: string) => void;
 }
 
-/** Renewals in one lease: three may fail before it lapses. */
+/** Renewals per lease duration: three may fail before the lease expires. */
 const RENEWALS_PER_LEASE = 4;
 
-/** A renewal that takes longer is of no use: the next one is due. */
+/** Time-out of a renewal, as a share of the lease: later the next renewal is due. */
 const RENEW_TIMEOUT_SHARE = 0.4;
 
 /**
- * Wait of a follower's watch. A watch that was sent while the store was away is never answered, and until it is
- * given up, this and the time of an answer later, nobody takes a vacant leadership.
+ * Wait of a follower's watch. A watch sent while the store is unavailable is never answered, and until it is
+ * abandoned, this time plus the time for an answer later, no process takes a vacant leadership.
  */
 const WATCH_MS = 1200;
 
-/** Spread of the candidates' first attempts, so that not all write at once. */
+/** Random spread of the candidates' attempts, so that they do not all write at the same time. */
 const CAMPAIGN_SPREAD_MS = 120;
 
-/** Pause after a failed call. */
+/** Delay after a failed call. */
 const RETRY_MS = 250;
 
 interface Held {
@@ -102,7 +102,7 @@
   let known: LeaderRecord | undefined;
   let certainUntilMs = 0;
   let certainUntilWallMs = 0;
-  /** The last attempt to take over; its answer may have been lost. */
+  /** The last takeover attempt, whose answer may have been lost. */
   let attempt: { readonly record: LeaderRecord; readonly leaseId: string } | undefined;
   const aborter = new AbortController();
 
@@ -123,7 +123,7 @@
     try {
       await store.revokeLease(leaseId);
     } catch (thrown) {
-      // It lapses by itself; the next leader only comes later.
+      // The lease expires by itself; this only delays the next leader.
       log('warn', 'leaseEndFailed', { reason: errors.normalize(thrown).message });
     }
   };
@@ -166,7 +166,7 @@
     const stands = await store.renewLease(current.leaseId, options.leaseMs * RENEW_TIMEOUT_SHARE);
     if (held !== current) return;
     if (stands) noteRenewed(sentAtMs, sentAtWallMs);
-    else lose('the lease has lapsed');
+    else lose('the lease has expired');
   };
 
   const lead = async (current: Held): Promise<void> => {
@@ -175,7 +175,7 @@
       try {
         if (held === current) await renew(current);
       } catch (thrown) {
-        // Whether the lease stands is open; nothing is granted until a renewal has been answered.
+        // The lease may have expired; once it is uncertain, no task leases are granted until a renewal succeeds.
         log('warn', 'leaseRenewalFailed', { reason: errors.normalize(thrown).message });
         await clock.sleep(time, RETRY_MS);
       }
@@ -183,14 +183,14 @@
   };
 
   /**
-   * A process that is killed comes back in less than its lease. It listens at the address of the one
-   * that leads, under the same name and in another life: so that one is gone, and grants and writes
-   * nothing more. Without this nobody leads for the rest of the lease, and urgent work of a second is late.
+   * Whether the leader is a previous incarnation of this process, at the same address and with the same id: a killed
+   * process restarts in less than its lease. That incarnation is gone and neither grants nor writes any more.
+   * Without this check there is no leader for the rest of the lease, and urgent work of a second is late.
    */
   const isFormerSelf = ({ holderId, url, bootId }: LeaderRecord): boolean =>
     holderId === options.holderId && url === options.url && bootId !== options.bootId;
 
-  /** @returns the revision up to which the records were read, where somebody leads */
+  /** @returns the revision up to which the records were read, if another process leads */
   const campaign = async (): Promise<number | undefined> => {
     const { entries, revision } = await store.list(poolKeys.LEADERSHIP);
     const leader = entries.find((it) => it.key === poolKeys.LEADER);
@@ -200,7 +200,7 @@
       await store.revokeLease(known.leaseId);
     } else if (leader !== undefined) {
       if (attempt === undefined || known?.writeId !== attempt.record.writeId) return revision;
-      // Our own write whose answer was lost: it counts from its first renewal.
+      // This process's own write, whose answer was lost: the leadership is certain after its first renewal.
       gain(attempt.record, attempt.leaseId, leader.revision);
       return undefined;
     }
--- a/src/coordination/node/pool/prefixWatch.ts
+++ b/src/coordination/node/pool/prefixWatch.ts
@@ -1,38 +1,38 @@
 /**
  * Follows the changes of the records under a prefix.
  *
- * Guards against a watch that is never answered, as one that was sent while the store was away: nothing else
- * fails, and its process works by an old copy until it gives the watch up. The wait bounds that time.
+ * Guards against a watch that is never answered, such as one sent while the store was unavailable: no other call
+ * fails, and the process uses a stale copy until it abandons the watch. The wait bounds that time.
  */
 import type * as recordStore from '../../../state/common/pool/recordStore.js';
 import type * as store from '../../../state/common/store.js';
 
 import type * as viewAge from './viewAge.js';
 
-/** What following needs. */
+/** What to follow, and whom to notify. */
 export interface PrefixWatchOptions {
   readonly store: Pick<recordStore.RecordStore, 'watch'>;
   readonly prefix: string;
-  /** How long a watch waits for a change. A lost one is given up this and the time of an answer later. */
+  /** How long a watch waits for a change. A lost watch is abandoned after this time plus the time for an answer. */
   readonly waitMs: number;
   /**
-   * How long the first watch waits, and each one after changes, where the age of the copy matters more than a
-   * call: a long answer proves no more than that the copy was complete when its watch was sent.
+   * Shorter wait of the first watch and of each one after changes, for copies whose age matters more than the
+   * number of calls: an answer with changes only confirms that the copy was complete when its watch was sent.
    */
   readonly proofWaitMs?: number;
-  /** Ends it. */
+  /** Stops following. */
   readonly signal: AbortSignal;
-  /** Age of the copy that is kept by what is seen. */
+  /** Age of the copy that the caller maintains from the changes. */
   readonly age: viewAge.ViewAge;
-  /** An answer, also one without changes. */
+  /** Called for each answer, including empty ones. */
   readonly onDidSee: (seen: store.WatchResult) => void;
 }
 
 /**
- * @param options - what following needs
- * @param afterRevision - what is told already
- * @returns settled where the store no longer remembers all changes, or at the end
- * @throws AuburnliftError `storeUnavailable` where a watch fails
+ * @param options - what to follow
+ * @param afterRevision - revision up to which the caller has all changes
+ * @returns settled if the store no longer retains all changes since then, or if following was stopped
+ * @throws AuburnliftError `storeUnavailable` if a watch fails
  */
 export const followPrefix = async (
   options: PrefixWatchOptions,
@@ -47,7 +47,7 @@
     const seen = await options.store.watch(options.prefix, revision, waitMs, signal);
     if (signal.aborted || seen.isGap) return;
     options.onDidSee(seen);
-    // What was seen may have ended this very following: a leader that reads that another one leads.
+    // The callback may have aborted the signal, as when a leader sees that another process leads.
     if (signal.aborted) return;
     age.proveByWatch(sentAt, waitMs, seen);
     revision = seen.revision;
--- a/src/coordination/node/pool/progressWriter.ts
+++ b/src/coordination/node/pool/progressWriter.ts
@@ -1,11 +1,11 @@
 /**
- * Stores jobs' progress for the leader: one transaction at a time, several jobs in each.
+ * Stores jobs' progress for the leader: one transaction at a time, with several jobs in each.
  *
- * Guards against three failures. A former leader that still writes: each transaction is conditional on
- * the present leadership. A copy of an unanswered write that takes effect seconds later: it is also
- * conditional on each record that it overwrites, and nothing newer is sent before the first is settled.
- * A cancellation that the leader has not heard of, so that a cancelled job is started again: each
- * transaction is conditional on there being none, and a start is sent only after it is stored.
+ * Guards against three failures. A previous leader that still writes: each transaction is conditional on the
+ * current leadership record. A delayed duplicate of an unanswered write: each transaction is also conditional on
+ * the revisions it overwrites, and no newer one is sent before its outcome is known. A cancellation that the
+ * leader has not received, so that a cancelled job would be started: each transaction is conditional on there
+ * being none, and a start is sent only after it is stored.
  */
 import * as clock from '../../../base/common/clock.js';
 import * as errors from '../../../base/common/errors.js';
@@ -15,21 +15,21 @@
 import type * as store from '../../../state/common/store.js';
 import * as progressBatch from '../../common/pool/progressBatch.js';
 
-/** What the writer needs. */
+/** Dependencies of the writer. */
 export interface ProgressWriterOptions {
   readonly store: Pick<recordStore.RecordStore, 'transact'>;
   readonly clock: clock.Clock;
   readonly log: logging.Log;
   readonly metrics: metrics.Metrics;
-  /** The record of leadership that must still stand. */
+  /** The leadership record, which must be unchanged for a write to take effect. */
   readonly leadership: recordStore.Condition;
-  /** Encodes a job as it is now. */
+  /** Encodes the current state of a job. */
   readonly recordOf: (jobId: string) => progressBatch.DueRecord | undefined;
-  /** Hears the revision of a job's record that was written. */
+  /** Called with the new revision of a job's record. */
   readonly onDidWrite: (jobId: string, revision: number) => void;
-  /** A job was cancelled without the leader's knowledge; it has changed when this returns. */
+  /** Called with a cancellation that the leader had not received; must apply it before returning. */
   readonly onDidFindCancel: (record: store.StoreEntry) => void;
-  /** Somebody else changed a record or leads: the leader must give up. */
+  /** Another process changed a record or leads: the term is over. */
   readonly onDidConflict: (reason: string) => void;
 }
 
@@ -37,21 +37,21 @@
 export interface ProgressWriter {
   /**
    * @param jobId - a job that changed
-   * @returns settled once the job as it is now, or later, is stored; never where the leader gives up
+   * @returns settled once the job's current or a later state is stored; never if the term ends before
    */
   readonly save: (jobId: string) => Promise<void>;
   /**
    * @param jobId - a job
-   * @returns settled once nothing of the job waits to be stored any more
+   * @returns settled once no change of the job is waiting to be stored
    */
   readonly whenStored: (jobId: string) => Promise<void>;
   readonly dispose: () => void;
 }
 
-/** Keeps one transaction well below the store's limit on a body. */
+/** Keeps a transaction well below the store's limit on request bodies. */
 const MAX_BYTES = 400_000;
 
-/** Wait before an unanswered or refused write is tried again; the store answers in milliseconds. */
+/** Delay before an unanswered or refused write is retried; the store answers in milliseconds. */
 const RETRY_MS = 150;
 
 interface Waiter {
@@ -59,8 +59,8 @@
 }
 
 /**
- * @param options - what the writer needs
- * @returns a writer that is idle
+ * @param options - its dependencies
+ * @returns an idle writer
  */
 export const createProgressWriter = (options: ProgressWriterOptions): ProgressWriter => {
   const due = new Map<string, Waiter[]>();
@@ -104,7 +104,7 @@
     return refused.outcome;
   };
 
-  /** @returns whether the jobs are stored, as they are now */
+  /** @returns whether the current state of the jobs is stored */
   const write = async (first: progressBatch.ProgressBatch): Promise<boolean> => {
     let batch = first;
     while (!isDisposed && batch.length > 0) {
@@ -112,7 +112,7 @@
         const outcome = await attempt(batch);
         if (outcome === progressBatch.BatchOutcome.written) return true;
         if (outcome === progressBatch.BatchOutcome.conflict) {
-          options.onDidConflict('a record was changed by somebody else, or another process leads');
+          options.onDidConflict('another process leads or changed a record');
           return false;
         }
         batch = batch.map(({ jobId }) => encode(jobId)).filter((it) => it !== undefined);
@@ -129,7 +129,7 @@
   const run = async (): Promise<void> => {
     if (isWriting) return;
     isWriting = true;
-    // Changes of one turn of the loop go into one transaction.
+    // Changes within one turn of the event loop are stored in one transaction.
     await Promise.resolve();
     while (due.size > 0 && !isDisposed) {
       const { batch, waiters } = takeBatch();
--- a/src/coordination/node/pool/recordFeed.ts
+++ b/src/coordination/node/pool/recordFeed.ts
@@ -1,6 +1,6 @@
 /**
- * Tells the leader of every record that it works by: all of them at first, then each change, and all of
- * them again where the store no longer remembers what has changed.
+ * Delivers the store's records to the leader: all of them at first, then each change, and all of them again if
+ * the store no longer retains the changes.
  */
 import * as clock from '../../../base/common/clock.js';
 import type * as disposable from '../../../base/common/disposable.js';
@@ -13,46 +13,46 @@
 import * as prefixWatch from './prefixWatch.js';
 import * as viewAge from './viewAge.js';
 
-/** What the feed needs. */
+/** Dependencies of the feed. */
 export interface RecordFeedOptions {
   readonly store: recordStore.RecordStore;
   readonly clock: clock.Clock;
   readonly log: logging.Log;
-  /** A record as it stands; the same may be told again. */
+  /** The current content of a record; the same may be delivered again. */
   readonly onRecord: (record: store.StoreEntry) => void;
   readonly onRemoved: (key: string) => void;
-  /** A job's progress, told once after all records and before {@link onDidLoad}. */
+  /** A job's progress, delivered once, after all records and before {@link onDidLoad}. */
   readonly onProgress: (record: store.StoreEntry) => void;
   readonly onDidLoad: (revision: number) => void;
 }
 
-/** Tells records. */
+/** Delivers records. */
 export interface RecordFeed extends disposable.Disposable {
-  /** How long ago everything that was written had certainly been told. */
+  /** Age of the delivered state: all records written before then have certainly been delivered. */
   readonly ageMs: () => number;
 }
 
-/** Pause after a failed call to the store. */
+/** Delay after a failed store call. */
 const RETRY_MS = 200;
 
 /**
- * Wait of a watch. With a second for the answer a lost watch is followed by the next within two seconds: callers
- * are promised that a cancelled job has stopped, and an urgent one begun, within three.
+ * Wait of a watch. With a second for the answer, a lost watch is followed by the next one within two seconds:
+ * callers are guaranteed that a cancelled job has stopped, and an urgent one started, within three.
  */
 const WATCH_MS = 800;
 
 /**
- * Watches that fail one after the other before all records are read anew: what has changed since then may be more
- * than one answer carries.
+ * Successive failed watches before all records are read again: the changes since the last answer may be too many
+ * for one answer.
  */
 const MAX_FAILED_WATCHES = 6;
 
-/** A watch that fails sooner was refused, and tells nothing of what is on its way. */
+/** A watch that fails sooner was refused: the failure does not indicate an answer too large to transfer. */
 const REFUSED_MS = 300;
 
 /**
- * @param options - what the feed needs
- * @returns the feed, which goes on until it is disposed
+ * @param options - its dependencies
+ * @returns the feed, which runs until it is disposed
  */
 export const startRecordFeed = (options: RecordFeedOptions): RecordFeed => {
   const { clock: time, log } = options;
@@ -124,7 +124,7 @@
     noteAnswer();
   };
 
-  /** Follows until the store does not answer or does not remember. */
+  /** Follows changes until a watch fails; lists all records if the store no longer retains the changes. */
   const followOnce = async (): Promise<void> => {
     watchSentAtMs = time.monotonicMs();
     await prefixWatch.followPrefix(
--- a/src/coordination/node/pool/runControl.ts
+++ b/src/coordination/node/pool/runControl.ts
@@ -1,12 +1,12 @@
 /**
- * The leader's hold on what runs: takes agents' news into the jobs, orders starts and stops, and gives
- * a run up only when it has certainly ended or can't start any more.
+ * The leader's control of the runs: applies updates of agents to the jobs, orders stops, and declares a run lost
+ * only when it has certainly ended or can no longer start.
  *
- * Guards, each against a task that runs twice:
- * - an order without an answer may be carried out seconds later. The run counts as gone only once the
- *   worker has answered under a higher fence, which refuses every earlier order;
- * - a worker that can't be reached runs on. Its runs count until every lease granted there has lapsed;
- * - an end is acknowledged, and so forgotten by the worker, only after the job's progress is stored.
+ * Guards against a task that runs twice in three ways:
+ * - an unanswered order may be executed seconds later. The run counts as gone only once the worker has answered
+ *   under a higher fence, under which it refuses all earlier orders;
+ * - an unreachable worker continues. Its runs count as running until all leases granted to it have expired;
+ * - a run end is acknowledged, and so dropped by the worker, only after the job's progress is stored.
  */
 import type * as clock from '../../../base/common/clock.js';
 import type * as logging from '../../../base/common/logging.js';
@@ -31,7 +31,7 @@
 import * as orderIntake from './orderIntake.js';
 import * as runInspection from './runInspection.js';
 
-/** What run control needs. */
+/** Dependencies of run control. */
 export interface RunControlOptions {
   readonly clock: clock.Clock;
   readonly log: logging.Log;
@@ -39,35 +39,35 @@
   readonly registry: jobRegistry.JobRegistry;
   readonly workers: ReadonlyMap<string, workerTable.WorkerEntry>;
   readonly desk: () => orderDesk.OrderDesk;
-  /** How long leases are granted for: no lease of a younger life of a worker has lapsed. */
+  /** Duration of leases: on a worker whose incarnation is younger, no lease can have expired. */
   readonly grantMs: number;
-  /** Leader's clock by which every lease that a former leader granted has run out. */
+  /** Leader's clock by which every lease granted by a previous leader has expired. */
   readonly formerLapseAtMs: number;
-  /** Whose declared work can be believed; learns from what is done. */
+  /** Runtime estimates, updated from completed runs. */
   readonly estimates: estimateBook.EstimateBook;
   readonly doneRuns: doneRuns.DoneRuns;
   /** Stores a job's progress; settled once it is stored. */
   readonly save: (jobId: string) => Promise<void>;
-  /** Settled once nothing of a job waits to be stored any more. */
+  /** Settled once no change of a job is waiting to be stored. */
   readonly whenStored: (jobId: string) => Promise<void>;
-  /** A job has a new checkpoint, which is worth storing when convenient. */
+  /** A job has a new checkpoint, which can be stored later in a batch. */
   readonly onDidSave: (jobId: string) => void;
-  /** Something changed that a planning round should look at. */
+  /** Something changed that requires a planning round. */
   readonly onDidChange: () => void;
 }
 
-/** The leader's hold on what runs. */
+/** The leader's control of the runs. */
 export interface RunControl {
-  /** @returns settled once the ends among the news are stored and may be acknowledged */
+  /** @returns settled once the run ends in the update are stored and may be acknowledged */
   readonly takeNews: (
     worker: workerTable.WorkerEntry,
     news: agentContract.WorkerNews,
     receivedAtMs: number,
   ) => Promise<unknown>;
   readonly takeSettled: (settled: orderDesk.SettledOrders) => void;
-  /** Takes what this process saw done in an earlier term and could not store. */
+  /** Applies completed runs that this process received in an earlier term and could not store. */
   readonly recallDone: () => void;
-  /** Registers a run that a former leader ordered; the worker's next list settles it. */
+  /** Registers a run that a previous leader ordered; the worker's next report shows whether it exists. */
   readonly adoptAssigned: (
     worker: workerTable.WorkerEntry,
     entry: jobBook.JobEntry,
@@ -78,32 +78,32 @@
     run: workerTable.RunHolding,
     cause: string,
   ) => void;
-  /** Stops what runs of a group. */
+  /** Stops the present runs of a group. */
   readonly stopGroup: (groupKey: string, cause: string) => void;
-  /** Stops what is left of a job that has ended, and of gangs that lost a member. */
+  /** Stops the remaining runs of an ended job, and of gangs that lost a member. */
   readonly stopUnwanted: (entry: jobBook.JobEntry, cause: string) => void;
-  /** Ends a run of which nothing is left to wait for. */
+  /** Ends a run that has certainly ended or can no longer start. */
   readonly noteLost: (run: workerTable.RunHolding, cause: string) => void;
-  /** Gives up what nobody can reach any more. */
+  /** Declares the runs of unreachable workers lost once all their leases have expired. */
   readonly giveUpLost: () => void;
-  /** Sends stops again that had no effect yet. */
+  /** Repeats stop orders that have had no effect yet. */
   readonly repeatStops: () => void;
   readonly isWanted: (run: workerTable.RunHolding) => boolean;
-  /** Looks at what stands still, and at what a draining worker would take away with it. */
+  /** Stops stalled runs, and runs that cannot finish before their draining worker shuts down. */
   readonly inspect: () => void;
 }
 
-/** With an older list the worker does not answer its agent, and is given nothing new. */
+/** With an older report a worker counts as unreachable and receives no new tasks. */
 const MAX_VIEW_AGE_MS = 2500;
 
-/** A draining worker that does not say how long it lives is taken to leave after this time. */
+/** A draining worker that does not report its remaining time is assumed to shut down after this time. */
 const DEFAULT_REMAINING_MS = 2000;
 
-/** A worker that said it ends and has not answered since is taken to be gone after this time. */
+/** A worker that announced its shutdown is assumed gone once it has not answered for this long. */
 const DEPARTED_MS = 1200;
 
 /**
- * @param options - what run control needs
+ * @param options - its dependencies
  * @returns run control
  */
 export const createRunControl = (options: RunControlOptions): RunControl => {
@@ -141,7 +141,7 @@
     }
   };
 
-  /** Nothing of the run is left once the worker has answered under the next fence. */
+  /** Marks a run as closing: it counts as gone once the worker has answered under a higher fence. */
   const close = (worker: workerTable.WorkerEntry, run: workerTable.RunHolding): void => {
     workerTable.raiseFence(worker);
     run.phase = workerTable.RunPhase.closing;
@@ -156,7 +156,7 @@
   ): Promise<void> => {
     const { jobId } = entry.job;
     const hadEnded = jobBook.isEnded(entry);
-    // The end of another member may have changed the job already, and that may not be stored yet.
+    // The end of another gang member may already have changed the job, and that change may not be stored yet.
     const hasChanged =
       jobEnds.noteEnd(entry, task, outcome, time.wallMs()) ||
       (mayBeEarlier && jobEnds.noteEarlierDone(entry, task, outcome, time.wallMs()));
@@ -175,7 +175,7 @@
     void endRun(run.entry, run.task, outcome);
   };
 
-  /** The job and task of a run's name, where the leader knows them. */
+  /** The job and task for a task name, if the leader knows them. */
   const lookUp = (
     text: string,
   ): { entry: jobBook.JobEntry; task: jobBook.TaskEntry } | undefined => {
@@ -217,7 +217,7 @@
       log('warn', 'endOfUnknownRun', { task: end.task, run: end.run, agent: worker.agentId });
       return undefined;
     }
-    // Once the worker's lease may have lapsed, what ended before counts for nothing.
+    // The end of a run already declared lost counts only while no lease of this incarnation can have expired.
     const stored = endRun(known.entry, known.task, end, worker.viewClockMs < options.grantMs);
     return end.how === 'done' ? keepUntilStored(end, stored) : stored;
   };
@@ -254,8 +254,8 @@
     worker.leasesLapseAtMs = 0;
     worker.leavesAtMs = Infinity;
     worker.blame = workerBlame.createWorkerBlame();
-    // The former life ended with all it ran, but an order to it may still reach the new one, also one
-    // whose second copy was carried out long ago.
+    // The previous incarnation ended with all its runs, but an order to it may still reach the new one, even a
+    // duplicate of an order that was executed long ago.
     workerTable.raiseFence(worker);
     for (const run of worker.runs.values()) {
       run.phase = workerTable.RunPhase.closing;
--- a/src/coordination/node/pool/runInspection.ts
+++ b/src/coordination/node/pool/runInspection.ts
@@ -1,11 +1,11 @@
 /**
- * Looks at runs that would end with their worker or stand still.
+ * Finds stalled runs and runs that cannot finish before their worker shuts down.
  */
 import type * as clock from '../../../base/common/clock.js';
 import * as workerBlame from '../../common/pool/workerBlame.js';
 import * as workerTable from '../../common/pool/workerTable.js';
 
-/** What the inspection needs. */
+/** Dependencies of the inspection. */
 export interface RunInspectionOptions {
   readonly clock: clock.Clock;
   readonly workers: ReadonlyMap<string, workerTable.WorkerEntry>;
@@ -15,34 +15,34 @@
     run: workerTable.RunHolding,
     cause: string,
   ) => void;
-  /** Stops what runs of a group. */
+  /** Stops the present runs of a group. */
   readonly stopGroup: (groupKey: string, cause: string) => void;
 }
 
-/** Looks at runs. */
+/** Periodic checks of the runs. */
 export interface RunInspection {
-  /** Stops runs that go on better elsewhere. */
+  /** Stops runs that should continue on another worker. */
   readonly inspect: () => void;
-  /** Sends stops again that had no effect yet. */
+  /** Repeats stop orders that have had no effect yet. */
   readonly repeatStops: () => void;
 }
 
-/** A stop takes a few hundred milliseconds; one without effect is sent again after this time. */
+/** A stop takes a few hundred milliseconds; one without effect is repeated after this time. */
 const REPEAT_STOP_MS = 700;
 
-/** Kept of a draining worker's time for the stop itself and for the way there and back. */
+/** Part of a draining worker's remaining time reserved for the stop and its round trip. */
 const EVACUATION_MS = 800;
 
 /**
- * Without any progress for this long, and for this part of its declared work, a run is taken to stand
- * still: its worker gets nothing more, and after a longer time the run goes elsewhere. Workers that
- * stand still mostly go on within six seconds, and a run that moves loses what it has not saved.
+ * A run counts as stalled after this time plus this share of its declared work without any progress: its worker
+ * receives no more tasks, and after the longer time the run is relocated. Most stalled workers continue within
+ * six seconds, and a relocated run loses all unsaved work.
  */
 const STALL = { suspectMs: 1500, suspectShare: 0.05, moveMs: 6500, moveShare: 0.15 } as const;
 
 /**
- * @param options - what the inspection needs
- * @returns the inspection, which looks when it is asked
+ * @param options - its dependencies
+ * @returns the inspection, which checks when called
  */
 export const createRunInspection = (options: RunInspectionOptions): RunInspection => {
   const nowMs = (): number => options.clock.monotonicMs();
@@ -51,7 +51,7 @@
     if (run.phase !== workerTable.RunPhase.present || !options.isWanted(run)) return;
     const { estimatedMs, isLongRunning } = run.step;
     if (nowMs() + workerTable.remainingMsOf(run, nowMs()) > worker.leavesAtMs - EVACUATION_MS) {
-      // It would end with its worker; stopped now it can go on elsewhere, and from a checkpoint.
+      // It would be killed with its worker; if stopped now it can resume elsewhere from a checkpoint.
       options.stopGroup(run.groupKey, 'workerLeaves');
       return;
     }
--- a/src/coordination/node/pool/storeRelay.ts
+++ b/src/coordination/node/pool/storeRelay.ts
@@ -1,82 +1,82 @@
 /**
- * Calls of the store that go through another process where this one has no way of its own.
+ * Relays store calls through another process while this one cannot reach the store directly.
  *
- * Load it answers: the store turns some machines away and serves the others, or one machine's line to it is
- * cut, for seconds. An entry there sends callers away, two or three times each; a leader there stores no end
- * and grants nothing until its term has lapsed. Urgent work is late by either.
+ * For seconds at a time the store may refuse some machines and serve the others, or one machine's connection to
+ * it may be down. An entry there then refuses callers, two or three times each; a leader there stores no run ends
+ * and grants no leases until its term has expired. Either makes urgent work late.
  *
- * Guards against a write that takes effect twice: a write that may have been executed is not sent again by
- * this module; whoever made it learns that its outcome is open.
+ * Guards against a write that takes effect twice: a write that may have been executed is not retried by this
+ * module; its caller gets an error that leaves the outcome unknown.
  *
- * Guards against an outage that makes the load larger than a calm day's: while nobody is known to have a way,
- * one call at a time finds out for all, at a share of the pace of answered calls; the others are refused
- * without a message.
+ * Guards against an outage that increases the load above normal: while no process is known to reach the store, one
+ * call at a time searches for a relay on behalf of all, at a fraction of the normal call rate; the others fail
+ * without sending anything.
  */
 import type * as clock from '../../../base/common/clock.js';
 import * as http from '../../../base/common/http.js';
 import type * as logging from '../../../base/common/logging.js';
 import * as callPace from './callPace.js';
 
-/** What the relay needs. */
+/** Dependencies of the relay. */
 export interface StoreRelayOptions {
   readonly clock: clock.Clock;
   readonly log: logging.Log;
-  /** The process's own way. */
+  /** Calls the store directly. */
   readonly direct: http.HttpCall;
-  /** Processes that may have a way. */
+  /** Processes that may be able to reach the store. */
   readonly urls: () => readonly string[];
-  /** From 0 to 1: whom of them this process asks first, so that not all ask the same one. The first without it. */
+  /** Share of the list, from 0 to 1, at which this process starts, so that not all ask the same peer; 0 by default. */
   readonly startAt?: number;
-  /** Has another process make the call within the request's time-out; throws {@link http.HttpCallError}. */
+  /** Requests the call from another process within the request's time-out; throws {@link http.HttpCallError}. */
   readonly ask: (url: string, request: http.HttpRequest) => Promise<http.HttpReply>;
 }
 
-/** Calls of the store by whichever way. */
+/** Store calls, direct or relayed. */
 export interface StoreRelay {
-  /** For this process, by its own way as long as that answers. */
+  /** Calls for this process, made directly as long as the store answers. */
   readonly call: http.HttpCall;
-  /** For another process, by this one's own way or not at all: one without a way says so at once. */
+  /** Calls for another process, made directly only: fails immediately if this process does not reach the store. */
   readonly serve: http.HttpCall;
 }
 
-/** A request, and when its time over all ways ends. */
+/** A request with its deadline over all attempts, direct and relayed. */
 interface Timed {
   readonly request: http.HttpRequest;
   readonly endMs: number;
 }
 
-/** How a call ended that was not served. */
+/** The reply or the error of a call that was not served. */
 interface Failed {
   readonly reply?: http.HttpReply;
   readonly thrown?: unknown;
 }
 
-/** While others serve it, the process tries its own way again this much later. */
+/** Delay before the next direct attempt while another process relays. */
 const DIRECT_PAUSE_MS = 1000;
 
-/** Processes that a call is offered to: each may cost the time of a silent line. */
+/** Processes that a call is offered to at most: each one that does not answer costs a full time-out. */
 const MAX_OFFERS = 2;
 
 /**
- * While nobody has a way, the own way is tried at half the pace of a calm day and an offer made at a quarter of
- * it: together less than a calm day's, offers counted at both ends.
+ * While no process reaches the store, direct attempts are made at half the normal call rate and offers at a quarter
+ * of it: in total less than the normal load, even with offers counted at both ends.
  */
 const GAPS_A_TRY = 2;
 const GAPS_AN_OFFER = 4;
 
-/** Another process and the store behind it answer within two regions' delays, or are out of reach. */
+/** Time-out of an offer: a relaying process and the store answer within two inter-region delays or not at all. */
 const OFFER_MS = 700;
 
-/** The same for a watch, which waits for news for most of it. */
+/** The same for a watch, which waits for changes for most of that time. */
 const WATCH_OFFER_MS = 2500;
 
-/** Calls that may take longer are watches. */
+/** Calls with a longer time-out are treated as watches. */
 const MAX_BRIEF_MS = 1000;
 
-/** Less time than this is not worth an offer: the store is two regions' delays away. */
+/** With less time left, no offer is made: the store is two inter-region delays away. */
 const MIN_OFFER_MS = 200;
 
-/** The store does not serve this machine, or nobody. */
+/** Statuses with which the store refuses this machine, or all machines. */
 const TURNED_AWAY: ReadonlySet<number> = new Set([429, 503]);
 
 const isRead = ({ method }: http.HttpRequest): boolean => method === 'GET';
@@ -94,8 +94,8 @@
 };
 
 /**
- * @param options - what the relay needs
- * @returns makes calls of the store, by the process's own way as long as that answers
+ * @param options - its dependencies
+ * @returns the relay, which calls the store directly as long as it answers
  */
 export const createStoreRelay = (options: StoreRelayOptions): StoreRelay => {
   const { clock: time, log } = options;
@@ -106,13 +106,13 @@
   let relayAgainAtMs = Number.NEGATIVE_INFINITY;
   let heardAtMs = Number.NEGATIVE_INFINITY;
   let isTrying = false;
-  /** Serves this process's calls now. */
+  /** The process that currently relays for this one. */
   let preferred: string | undefined;
-  /** Nobody was found since a call was served by whichever way. */
+  /** The last search for a relay failed, and no call has been served since. */
   let haveAllFailed = false;
-  /** The call that finds out for all. */
+  /** The search for a relay in flight, whose result is used for all calls. */
   let finding: Promise<http.HttpReply | undefined> | undefined;
-  /** Offers made to find one, by which the next ones are chosen. */
+  /** Number of offers made in searches, which determines the next process to ask. */
   let passed = 0;
 
   const nowMs = (): number => time.monotonicMs();
@@ -141,7 +141,7 @@
     },
   });
 
-  /** A call that is late while others' answers come in tells of a full line, not of a lost one. */
+  /** A call that times out while other answers arrive indicates a saturated link, not a lost connection. */
   const isLineFull = (thrown: unknown, request: http.HttpRequest): boolean =>
     isFailure(thrown, http.HttpFailure.timeout) && heardAtMs > nowMs() - request.timeoutMs / 2;
 
@@ -159,7 +159,7 @@
         return reply;
       }
     } catch (thrown) {
-      // An entry that gave no answer may have had the write executed.
+      // The process asked may have executed the write although its answer is missing.
       if (!isRead(request) && !isFailure(thrown, http.HttpFailure.notSent)) {
         if (preferred === url) preferred = undefined;
         throw thrown;
@@ -175,7 +175,7 @@
     return urls[(first + passed) % urls.length];
   };
 
-  /** Offers a call to one after the other, fewer once all have failed before. */
+  /** Offers a call to one process after the other until one serves it. */
   const find = async (timed: Timed, offers: number): Promise<http.HttpReply | undefined> => {
     const count = Math.min(offers, options.urls().length);
     for (let made = 0; made < count; made += 1) {
@@ -203,7 +203,7 @@
     }
   };
 
-  /** @returns the store's answer, or undefined where nobody is known who could ask the store */
+  /** @returns the store's answer, or undefined if no process could relay the call */
   const relay = async (timed: Timed): Promise<http.HttpReply | undefined> => {
     if (preferred !== undefined) {
       const reply = await offer(preferred, timed);
@@ -244,7 +244,7 @@
     return (await relay(timed)) ?? giveFailed(failed);
   };
 
-  /** One call at a time finds out whether the own way is back. */
+  /** Makes a direct attempt; one call at a time tests whether the store is reachable again. */
   const tryDirectly = async (timed: Timed): Promise<http.HttpReply> => {
     isTrying = true;
     try {
@@ -254,10 +254,13 @@
     }
   };
 
-  /** Nothing is sent; whoever asked learns what the last call that was sent learnt. */
+  /** Fails a call without sending anything, with the store's last refusal if there was one. */
   const refuse = (): http.HttpReply => {
     if (lastReply !== undefined) return lastReply;
-    throw new http.HttpCallError(http.HttpFailure.notSent, 'no way to the store a moment ago');
+    throw new http.HttpCallError(
+      http.HttpFailure.notSent,
+      'the store was unreachable at the last attempt',
+    );
   };
 
   const call: http.HttpCall = async (request) => {
@@ -270,7 +273,7 @@
   };
 
   const serve: http.HttpCall = async (request) => {
-    if (isDown) throw new http.HttpCallError(http.HttpFailure.notSent, 'no way of its own');
+    if (isDown) throw new http.HttpCallError(http.HttpFailure.notSent, 'the store is unreachable');
     const reply = await options.direct(hearing(request));
     if (!isServed(reply)) noteDirect(false, `status ${reply.status}`);
     return reply;
--- a/src/coordination/node/pool/storedNews.ts
+++ b/src/coordination/node/pool/storedNews.ts
@@ -1,8 +1,8 @@
 /**
- * Reads records of jobs that an entry tells of and that the leader's watch does not.
+ * Reads job records that an entry has reported as stored but the leader's watch has not delivered.
  *
- * Load it answers: a watch that hears nothing for a second while all other calls are answered. Urgent work of a
- * second would be late by that alone.
+ * A watch may deliver nothing for a second while all other calls are answered; that delay alone would make urgent
+ * work of a second late.
  */
 import * as clock from '../../../base/common/clock.js';
 import * as errors from '../../../base/common/errors.js';
@@ -12,24 +12,24 @@
 import type * as store from '../../../state/common/store.js';
 import type * as jobRegistry from '../../common/pool/jobRegistry.js';
 
-/** What reading needs. */
+/** Dependencies of the reader. */
 export interface StoredNewsOptions {
   readonly store: Pick<recordStore.RecordStore, 'list'>;
   readonly clock: clock.Clock;
   readonly log: logging.Log;
   readonly registry: jobRegistry.JobRegistry;
-  /** Whether all jobs are known and the term goes on. */
+  /** Whether all jobs are loaded and the term has not ended. */
   readonly isReady: () => boolean;
-  /** A record as it stands; the same may be told again. */
+  /** The current content of a record; the same may be delivered again. */
   readonly onRecord: (record: store.StoreEntry) => void;
 }
 
-/** A watch that hears tells of a record within this time of the entry's own answer. */
+/** A working watch delivers a record within this time after the entry's own write is answered. */
 const WATCH_LAG_MS = 60;
 
 /**
- * @param options - what reading needs
- * @returns hears that a record of a job was stored
+ * @param options - its dependencies
+ * @returns to be called when an entry reports that it has stored a record of a job
  */
 export const createStoredNews = (
   options: StoredNewsOptions,
--- a/src/coordination/node/pool/test/prefixWatch.test.ts
+++ b/src/coordination/node/pool/test/prefixWatch.test.ts
@@ -1,5 +1,5 @@
 /**
- * Following a prefix, and its end.
+ * Tests of following a prefix and of stopping.
  */
 import * as assert from 'node:assert/strict';
 import * as test from 'node:test';
@@ -16,7 +16,7 @@
   isGap,
 });
 
-/** Follows what a store answers; gives the revisions that it was asked from. */
+/** Follows a store that gives these answers; returns the revisions after which it was watched. */
 const follow = async (
   answers: readonly store.WatchResult[],
   onDidSee: (seen: store.WatchResult, aborter: AbortController) => void,
@@ -30,7 +30,7 @@
           asked.push(afterRevision);
           const answer = answers[asked.length - 1];
           return answer === undefined
-            ? Promise.reject(new Error('asked too often'))
+            ? Promise.reject(new Error('more watches than expected'))
             : Promise.resolve(answer);
         },
       },
@@ -46,15 +46,15 @@
 };
 
 test.describe('following a prefix', () => {
-  test.it('goes on from what was seen, up to a gap', async () => {
+  test.it('continues from the last revision seen, until a gap', async () => {
     const asked = await follow([seenAt(4), seenAt(9), seenAt(9, true)], () => undefined);
     assert.deepEqual(asked, [1, 4, 9]);
   });
 
-  // After an outage in which the leadership lapsed, the leader's process ended. Its watch told that nobody leads, and
-  // that ended the term, and with it the following, before the answer was dealt with: one more watch was
-  // sent, already withdrawn, and failed where nobody listened.
-  test.it('sends nothing once what it saw has ended it', async () => {
+  // Guards against a crash of the leader's process after its leadership expired in an outage: the watch's answer
+  // shows the expiry, and handling it ends the term and aborts the signal. One more watch was then sent, already
+  // aborted, and its rejection was not handled.
+  test.it('sends no further watch once the callback has aborted the signal', async () => {
     const asked = await follow([seenAt(4)], (_seen, aborter) => aborter.abort());
     assert.deepEqual(asked, [1]);
   });
--- a/src/coordination/node/pool/test/viewAge.test.ts
+++ b/src/coordination/node/pool/test/viewAge.test.ts
@@ -1,5 +1,5 @@
 /**
- * What an answer of the store proves of the age of a copy.
+ * Tests of the age of a copy that answers of the store confirm.
  */
 import * as assert from 'node:assert/strict';
 import * as test from 'node:test';
@@ -11,25 +11,25 @@
 
 const CASES = [
   {
-    name: 'a watch that saw nothing proves the copy up to the end of its wait',
+    name: 'an empty answer to a watch confirms the copy up to the end of its wait',
     seen: { entries: [], deletedKeys: [] },
     answeredAfterMs: 1000,
     ageMs: 0,
   },
   {
-    name: 'an answer that comes late does not prove more than the wait',
+    name: 'a delayed answer does not confirm more than the wait',
     seen: { entries: [], deletedKeys: [] },
     answeredAfterMs: 1400,
     ageMs: 400,
   },
   {
-    name: 'a watch with events may have been answered before others came',
+    name: 'an answer with changes may have been sent before later changes',
     seen: { entries: [entry], deletedKeys: [] },
     answeredAfterMs: 600,
     ageMs: 600,
   },
   {
-    name: 'a removal is an event too',
+    name: 'a removal counts as a change',
     seen: { entries: [], deletedKeys: ['k'] },
     answeredAfterMs: 600,
     ageMs: 600,
@@ -49,7 +49,7 @@
     });
   }
 
-  test.it('an answer to an earlier call takes nothing back', async () => {
+  test.it('an answer to an earlier call does not reduce what was confirmed', async () => {
     const time = clock.createFakeClock(1000);
     const age = viewAge.createViewAge(time);
     const before = age.now();
--- a/src/coordination/node/pool/viewAge.ts
+++ b/src/coordination/node/pool/viewAge.ts
@@ -1,10 +1,10 @@
 /**
- * How long ago a copy of the store's records was certainly complete.
+ * Tracks how long ago a local copy of the store's records was certainly complete.
  */
 import type * as clock from '../../../base/common/clock.js';
 import type * as store from '../../../state/common/store.js';
 
-/** A moment by both clocks of the process. */
+/** An instant on both clocks of the process. */
 export interface Moment {
   readonly monotonicMs: number;
   readonly wallMs: number;
@@ -12,19 +12,19 @@
 
 /** The age of a copy. */
 export interface ViewAge {
-  /** @returns now, to be given to {@link prove} once a call that is sent now has been answered */
+  /** @returns the current instant, to be passed to {@link prove} once a call sent now has been answered */
   readonly now: () => Moment;
-  /** The copy had everything that was written up to this moment. */
+  /** Confirms that the copy contained everything written up to this instant. */
   readonly prove: (at: Moment) => void;
-  /** A watch was answered that was sent at this moment and waited no longer than this for a change. */
+  /** Confirms the copy by the answer to a watch that was sent at this instant with this maximum wait. */
   readonly proveByWatch: (sentAt: Moment, waitMs: number, seen: store.WatchResult) => void;
-  /** How long ago that was; infinite before the first proof. */
+  /** Time since the latest confirmed instant; infinite before the first one. */
   readonly ageMs: () => number;
 }
 
 /**
- * @param time - both clocks
- * @returns the age of a copy that nothing is known of yet
+ * @param time - the clocks
+ * @returns the age of a copy that has not been confirmed yet
  */
 export const createViewAge = (time: clock.Clock): ViewAge => {
   let proven: Moment = { monotonicMs: -Infinity, wallMs: -Infinity };
@@ -35,13 +35,13 @@
     now: () => ({ monotonicMs: time.monotonicMs(), wallMs: time.wallMs() }),
     prove,
     proveByWatch: (sentAt, waitMs, seen) => {
-      // A watch that saw nothing was answered when its wait was over, one with events at any time.
+      // An empty answer was sent at the end of the wait; one with changes may have been sent at any time before.
       const isEmpty = seen.entries.length + seen.deletedKeys.length === 0;
       const elapsedMs = time.monotonicMs() - sentAt.monotonicMs;
       const waitedMs = isEmpty ? Math.min(waitMs, elapsedMs) : 0;
       prove({ monotonicMs: sentAt.monotonicMs + waitedMs, wallMs: sentAt.wallMs + waitedMs });
     },
-    // The clock that went further tells: in a suspension the monotonic one stands still.
+    // Uses the clock that advanced more, since the monotonic one stops while the machine is suspended.
     ageMs: () => Math.max(time.monotonicMs() - proven.monotonicMs, time.wallMs() - proven.wallMs),
   };
 };
