--- a/src/coordination/node/pool/adviceDesk.ts
+++ b/src/coordination/node/pool/adviceDesk.ts
@@ -42,11 +42,11 @@
     workerIds: readonly string[],
   ) => ReadonlyMap<string, string> | undefined;
   /** Drops all other steps from the cache. */
-  readonly keepOnly: (stepKeys: ReadonlySet<string>) => void;
+  readonly retainOnly: (stepKeys: ReadonlySet<string>) => void;
 }
 
 /** Workers named in one call: enough for most steps, and takes the service about a second. */
-const WORKERS_A_CALL = 30;
+const MAX_WORKERS_PER_CALL = 30;
 
 /** A ticket must still be valid when the start order arrives, after a store write and the order itself. */
 const TICKET_SLACK_MS = 700;
@@ -61,14 +61,14 @@
 const FIRST_TIMEOUT_MS = 3000;
 const MAX_TIMEOUT_MS = 15_000;
 
-interface KnownStep {
+interface StepState {
   /** Workers that were named in an answered call. */
   readonly asked: Set<string>;
   readonly allowed: Set<string>;
   tickets: Map<string, string>;
   validUntilMs: number;
-  isWaiting: boolean;
-  notBeforeMs: number;
+  isCallInFlight: boolean;
+  retryAtMs: number;
   timeoutMs: number;
 }
 
@@ -78,26 +78,26 @@
  */
 export const createAdviceDesk = (options: AdviceDeskOptions): AdviceDesk => {
   const { clock: time, log, metrics } = options;
-  const steps = new Map<string, KnownStep>();
-  let last: Promise<unknown> = Promise.resolve();
+  const steps = new Map<string, StepState>();
+  let lastCall: Promise<unknown> = Promise.resolve();
 
-  const stepOf = (stepKey: string): KnownStep => {
+  const getStep = (stepKey: string): StepState => {
     const known = steps.get(stepKey);
     if (known !== undefined) return known;
-    const created: KnownStep = {
+    const created: StepState = {
       asked: new Set(),
       allowed: new Set(),
       tickets: new Map(),
       validUntilMs: 0,
-      isWaiting: false,
-      notBeforeMs: 0,
+      isCallInFlight: false,
+      retryAtMs: 0,
       timeoutMs: FIRST_TIMEOUT_MS,
     };
     steps.set(stepKey, created);
     return created;
   };
 
-  const take = (step: KnownStep, workerIds: readonly string[], advice: Advice): void => {
+  const storeAdvice = (step: StepState, workerIds: readonly string[], advice: Advice): void => {
     workerIds.forEach((it) => step.asked.add(it));
     if (time.monotonicMs() >= step.validUntilMs) step.tickets = new Map();
     for (const [workerId, ticket] of advice.ticketsByWorker) {
@@ -109,13 +109,13 @@
 
   const ask = async (
     stepKey: string,
-    step: KnownStep,
+    step: StepState,
     workerIds: readonly string[],
   ): Promise<void> => {
     const startedAtMs = time.monotonicMs();
     try {
       const advice = await options.ask(stepKey, workerIds, step.timeoutMs);
-      take(step, workerIds, advice);
+      storeAdvice(step, workerIds, advice);
       log('info', 'advised', {
         step: stepKey,
         asked: workerIds.length,
@@ -124,34 +124,34 @@
       });
     } catch (thrown) {
       step.timeoutMs = Math.min(2 * step.timeoutMs, MAX_TIMEOUT_MS);
-      step.notBeforeMs = time.monotonicMs() + RETRY_MS;
+      step.retryAtMs = time.monotonicMs() + RETRY_MS;
       log('warn', 'adviceFailed', { step: stepKey, reason: errors.normalize(thrown).message });
     }
     metrics.time('auburnlift_advice_ms', time.monotonicMs() - startedAtMs);
-    step.isWaiting = false;
+    step.isCallInFlight = false;
     options.onDidAdvise();
   };
 
-  const workersToAsk = (step: KnownStep, workerIds: readonly string[]): readonly string[] => {
+  const workersToAsk = (step: StepState, workerIds: readonly string[]): readonly string[] => {
     const allowed = workerIds.filter((it) => step.allowed.has(it));
-    const open = workerIds.filter((it) => !step.asked.has(it));
-    return [...allowed, ...open].slice(0, WORKERS_A_CALL);
+    const unasked = workerIds.filter((it) => !step.asked.has(it));
+    return [...allowed, ...unasked].slice(0, MAX_WORKERS_PER_CALL);
   };
 
   return {
     ticketsFor: (stepKey, workerIds) => {
-      const step = stepOf(stepKey);
+      const step = getStep(stepKey);
       const nowMs = time.monotonicMs();
       if (nowMs < step.validUntilMs && step.tickets.size > 0) return step.tickets;
-      if (step.isWaiting || nowMs < step.notBeforeMs) return undefined;
-      const named = workersToAsk(step, workerIds);
-      if (named.length === 0) return undefined;
-      step.isWaiting = true;
+      if (step.isCallInFlight || nowMs < step.retryAtMs) return undefined;
+      const toAsk = workersToAsk(step, workerIds);
+      if (toAsk.length === 0) return undefined;
+      step.isCallInFlight = true;
       // The service handles one call per machine at a time; concurrent calls would only queue there.
-      last = last.then(() => ask(stepKey, step, named));
+      lastCall = lastCall.then(() => ask(stepKey, step, toAsk));
       return undefined;
     },
-    keepOnly: (stepKeys) => {
+    retainOnly: (stepKeys) => {
       for (const key of [...steps.keys()]) if (!stepKeys.has(key)) steps.delete(key);
     },
   };
--- a/src/coordination/node/pool/agentSession.ts
+++ b/src/coordination/node/pool/agentSession.ts
@@ -19,12 +19,12 @@
   /** Duration of the leases granted; 0 while the leadership is not certain. */
   readonly grantMs: () => number;
   /** @returns settled once the run ends in the update may be acknowledged */
-  readonly onNews: (news: agentContract.WorkerNews, receivedAtMs: number) => Promise<unknown>;
-  readonly onDidLose: () => void;
+  readonly onUpdate: (news: agentContract.WorkerNews, receivedAtMs: number) => Promise<unknown>;
+  readonly onDidLoseAgent: () => void;
 }
 
 /** How long a sync request waits for updates; leases of ten seconds are renewed ten times as often. */
-const WAIT_MS = 900;
+const SYNC_WAIT_MS = 900;
 
 /** Delay after a failed sync request: bounds the time until a restarted agent is reached again. */
 const RETRY_MS = 200;
@@ -33,7 +33,7 @@
  * Longest wait for run ends to be stored before the next sync request, which acknowledges them. Without the
  * wait the acknowledgement would be sent with the request after it, most of a second later.
  */
-const MAX_STORING_MS = 150;
+const STORE_WAIT_MS = 150;
 
 /** No lease is granted from an older sample of the worker's clock: the worker does not respond. */
 const MAX_SAMPLE_AGE_MS = 2500;
@@ -75,21 +75,21 @@
     leaseUntilMs: grantLease(worker, time.monotonicMs(), options.grantMs()),
     seenUpTo: worker.seenUpTo,
     knownVersion,
-    waitMs: WAIT_MS,
+    waitMs: SYNC_WAIT_MS,
   });
-  const note = (news: agentContract.WorkerNews): Promise<unknown> => {
+  const apply = (news: agentContract.WorkerNews): Promise<unknown> => {
     knownVersion = news.version;
     if (news.bootId !== bootId) {
       options.log('info', 'agentFound', { agent: worker.agentId, boot: news.bootId });
     }
     bootId = news.bootId;
-    return options.onNews(news, time.monotonicMs());
+    return options.onUpdate(news, time.monotonicMs());
   };
   const run = async (): Promise<void> => {
     while (!isDisposed) {
       try {
         const news = await options.link.sync(worker.url, requestOf());
-        if (!isDisposed) await Promise.race([note(news), clock.sleep(time, MAX_STORING_MS)]);
+        if (!isDisposed) await Promise.race([apply(news), clock.sleep(time, STORE_WAIT_MS)]);
       } catch (thrown) {
         if (isDisposed) return;
         const { message } = errors.normalize(thrown);
@@ -97,7 +97,7 @@
           options.log('warn', 'agentLost', { agent: worker.agentId, reason: message });
         }
         knownVersion = 0;
-        options.onDidLose();
+        options.onDidLoseAgent();
         await clock.sleep(time, RETRY_MS);
       }
     }
--- a/src/coordination/node/pool/callPace.ts
+++ b/src/coordination/node/pool/callInterval.ts
@@ -4,40 +4,40 @@
 import type * as clock from '../../../base/common/clock.js';
 
 /** Estimated interval between answered calls. */
-export interface CallPace {
-  readonly noteAnswer: () => void;
+export interface CallInterval {
+  readonly recordAnswer: () => void;
   /** The next interval is not counted, since it includes the time of the failure. */
-  readonly noteFailure: () => void;
+  readonly recordFailure: () => void;
   /** Mean time from one answered call to the next. */
-  readonly gapMs: () => number;
+  readonly meanMs: () => number;
 }
 
 /** Initial estimate. */
-const FIRST_GAP_MS = 300;
+const INITIAL_INTERVAL_MS = 300;
 
 /** Number of recent calls that the moving average covers, including bursts. */
-const MOST_CALLS = 32;
+const MAX_CALLS_AVERAGED = 32;
 
 /**
  * @param time - the clock
  * @returns the estimate, which does not change while calls fail
  */
-export const createCallPace = (time: Pick<clock.Clock, 'monotonicMs'>): CallPace => {
-  let gapMs = FIRST_GAP_MS;
+export const createCallInterval = (time: Pick<clock.Clock, 'monotonicMs'>): CallInterval => {
+  let gapMs = INITIAL_INTERVAL_MS;
   let calls = 1;
   let answeredAtMs: number | undefined;
   return {
-    noteAnswer: () => {
+    recordAnswer: () => {
       const nowMs = time.monotonicMs();
       if (answeredAtMs !== undefined) {
-        calls = Math.min(MOST_CALLS, calls + 1);
+        calls = Math.min(MAX_CALLS_AVERAGED, calls + 1);
         gapMs += (nowMs - answeredAtMs - gapMs) / calls;
       }
       answeredAtMs = nowMs;
     },
-    noteFailure: () => {
+    recordFailure: () => {
       answeredAtMs = undefined;
     },
-    gapMs: () => gapMs,
+    meanMs: () => gapMs,
   };
 };
--- a/src/coordination/node/pool/configurationFeed.ts
+++ b/src/coordination/node/pool/configurationFeed.ts
@@ -79,7 +79,7 @@
   /** All changes up to this revision have been seen; undefined requires a new read. */
   let seenRevision: number | undefined;
 
-  const take = (record: store.StoreEntry): void => {
+  const applyRecord = (record: store.StoreEntry): void => {
     if (record.key !== options.key) return;
     let configuration: poolConfiguration.PoolConfiguration;
     try {
@@ -105,7 +105,7 @@
     changes.fire(held);
   };
 
-  const noteAnswer = (): void => {
+  const recordAnswer = (): void => {
     if (!isConnected) {
       log('info', 'configurationStoreAnswers', { failures, ageMs: Math.round(age.ageMs()) });
     }
@@ -115,7 +115,7 @@
     attemptedAtMs = time.monotonicMs();
   };
 
-  const noteFailure = (thrown: unknown): void => {
+  const recordFailure = (thrown: unknown): void => {
     failures += 1;
     if (time.monotonicMs() - attemptedAtMs > REFUSED_MS) failedWatches += 1;
     if (isConnected) {
@@ -135,9 +135,9 @@
       revision,
       tookMs: Math.round(time.monotonicMs() - sentAt.monotonicMs),
     });
-    entries.forEach(take);
+    entries.forEach(applyRecord);
     age.prove(sentAt);
-    noteAnswer();
+    recordAnswer();
   };
 
   /** Follows changes until a watch fails or the store no longer retains them. */
@@ -151,9 +151,9 @@
         signal: aborter.signal,
         age,
         onDidSee: (seen) => {
-          seen.entries.forEach(take);
+          seen.entries.forEach(applyRecord);
           seenRevision = seen.revision;
-          noteAnswer();
+          recordAnswer();
         },
       },
       afterRevision,
@@ -169,7 +169,7 @@
         if (seenRevision !== undefined) await follow(seenRevision);
       } catch (thrown) {
         if (isDisposed) return;
-        noteFailure(thrown);
+        recordFailure(thrown);
         await clock.sleep(time, RETRY_MS);
       }
     }
--- a/src/coordination/node/pool/configurationShare.ts
+++ b/src/coordination/node/pool/configurationShare.ts
@@ -39,7 +39,7 @@
 const MAX_SILENCE_MS = 3000;
 
 /** Polling interval of a waiting request. */
-const LOOK_MS = 50;
+const POLL_MS = 50;
 
 /**
  * @param options - its dependencies
@@ -47,7 +47,7 @@
  */
 export const shareConfiguration = (options: ShareOptions): AskConfiguration => {
   const { feed, clock: time } = options;
-  const checkHeard = (): void => {
+  const checkStoreAnswers = (): void => {
     if (options.storeAgeMs() <= MAX_SILENCE_MS) return;
     throw errors.fail('storeUnavailable', 'this entry receives no answers from the store');
   };
@@ -56,15 +56,15 @@
     for (;;) {
       const record = feed.record();
       if (record !== undefined && record.revision > afterRevision) {
-        checkHeard();
+        checkStoreAnswers();
         const { value, revision } = record;
         const seenRevision = Math.max(revision, feed.seenRevision());
         return { seenRevision, record: { value, revision } };
       }
       if (time.monotonicMs() >= untilMs) break;
-      await clock.sleep(time, LOOK_MS);
+      await clock.sleep(time, POLL_MS);
     }
-    checkHeard();
+    checkStoreAnswers();
     return { seenRevision: Math.max(afterRevision, feed.seenRevision()) };
   };
 };
@@ -80,7 +80,7 @@
 }
 
 /** How long a request waits while the entry is still reading its first configuration. */
-const FIRST_WAIT_MS = 1000;
+const INITIAL_READ_WAIT_MS = 1000;
 
 /**
  * @param options - its dependencies
@@ -92,22 +92,22 @@
   const { ask, key, log } = options;
   let isShared: boolean | undefined;
 
-  const note = (isAnswered: boolean, reason: string): void => {
+  const recordAvailability = (isAnswered: boolean, reason: string): void => {
     if (isAnswered === isShared) return;
     isShared = isAnswered;
     log('info', isAnswered ? 'configurationShared' : 'configurationNotShared', { reason });
   };
 
-  const attempt = async (
+  const requestFromEntry = async (
     afterRevision: number,
     waitMs: number,
   ): Promise<SharedConfiguration | undefined> => {
     try {
       const told = await ask(afterRevision, waitMs);
-      note(true, 'the entry on this machine answers');
+      recordAvailability(true, 'the entry on this machine answers');
       return told;
     } catch (thrown) {
-      note(false, errors.normalize(thrown).message);
+      recordAvailability(false, errors.normalize(thrown).message);
       return undefined;
     }
   };
@@ -118,7 +118,7 @@
   return {
     list: async (prefix) => {
       for (;;) {
-        const told = await attempt(0, FIRST_WAIT_MS);
+        const told = await requestFromEntry(0, INITIAL_READ_WAIT_MS);
         if (told === undefined) return options.store.list(prefix);
         if (told.record !== undefined) {
           return { entries: entriesOf(told), revision: told.seenRevision };
@@ -126,7 +126,7 @@
       }
     },
     watch: async (prefix, afterRevision, waitMs, signal) => {
-      const told = await attempt(afterRevision, waitMs);
+      const told = await requestFromEntry(afterRevision, waitMs);
       if (told === undefined) return options.store.watch(prefix, afterRevision, waitMs, signal);
       const revision = Math.max(afterRevision, told.seenRevision);
       return { entries: entriesOf(told), deletedKeys: [], revision, isGap: false };
--- a/src/coordination/node/pool/endNotes.ts
+++ b/src/coordination/node/pool/endRecorder.ts
@@ -16,7 +16,7 @@
 import * as workerTable from '../../common/pool/workerTable.js';
 
 /** Dependencies of the recorder. */
-export interface EndNotesOptions {
+export interface EndRecorderOptions {
   readonly clock: clock.Clock;
   readonly log: logging.Log;
   readonly metrics: metrics.Metrics;
@@ -27,21 +27,21 @@
 }
 
 /** Records ends. */
-export interface EndNotes {
-  readonly noteJobEnd: (entry: jobBook.JobEntry) => void;
+export interface EndRecorder {
+  readonly recordJobEnd: (entry: jobBook.JobEntry) => void;
   /** Called if the end of a run, or of the gang it belongs to, has changed the job's state. */
-  readonly noteRunEnd: (
+  readonly recordRunEnd: (
     entry: jobBook.JobEntry,
     task: jobBook.TaskEntry,
     outcome: jobEnds.RunOutcome,
   ) => void;
-  readonly noteBlame: (
+  readonly updateSuspicion: (
     worker: workerTable.WorkerEntry,
     end: poolWorker.EndedRun,
     jobId: string,
   ) => void;
   /** @param done - runs that the worker reported as done */
-  readonly learn: (
+  readonly recordRuntimes: (
     worker: workerTable.WorkerEntry,
     done: readonly workerTable.RunHolding[],
   ) => void;
@@ -51,11 +51,11 @@
  * @param options - its dependencies
  * @returns the recorder
  */
-export const createEndNotes = (options: EndNotesOptions): EndNotes => {
+export const createEndRecorder = (options: EndRecorderOptions): EndRecorder => {
   const { clock: time, log, metrics } = options;
   const nowMs = (): number => time.monotonicMs();
   return {
-    noteJobEnd: (entry) => {
+    recordJobEnd: (entry) => {
       const outcome = jobOutcome.outcomeOf(
         entry,
         workerTable.createSlotCount(options.workers.values()),
@@ -74,7 +74,7 @@
         ...outcome,
       });
     },
-    noteRunEnd: (entry, task, { run, how }) => {
+    recordRunEnd: (entry, task, { run, how }) => {
       metrics.count('auburnlift_run_ends_total', { how });
       const { jobId, steps } = entry.job;
       const { resources, isCheckpointing } = steps[task.step] as poolJob.Step;
@@ -94,7 +94,7 @@
         state: entry.state,
       });
     },
-    noteBlame: (worker, end, jobId) => {
+    updateSuspicion: (worker, end, jobId) => {
       if (end.how === poolWorker.EndKind.done) workerBlame.noteSuccess(worker.blame);
       if (end.how !== poolWorker.EndKind.failed) return;
       if (!workerBlame.noteFailure(worker.blame, jobId, nowMs())) return;
@@ -106,7 +106,7 @@
         suspicions: worker.blame.suspicions,
       });
     },
-    learn: (worker, done) => {
+    recordRuntimes: (worker, done) => {
       for (const run of done) run.task.workMs = workerTable.observedWorkMs(run, nowMs());
       // The runtime on a suspected worker says more about the worker than about the declared work.
       if (workerBlame.isSuspect(worker.blame, nowMs())) return;
--- a/src/coordination/node/pool/endedJobs.ts
+++ b/src/coordination/node/pool/endedJobsRemoval.ts
@@ -10,7 +10,7 @@
 import type * as jobRegistry from '../../common/pool/jobRegistry.js';
 
 /** Dependencies of the removal. */
-export interface EndedJobsOptions {
+export interface EndedJobsRemovalOptions {
   readonly store: Pick<recordStore.RecordStore, 'transact'>;
   readonly clock: clock.Clock;
   readonly log: logging.Log;
@@ -25,7 +25,7 @@
 const SLACK_MS = 60_000;
 
 /** Jobs removed in one transaction: three records each. */
-const JOBS_AT_ONCE = 8;
+const JOBS_PER_TRANSACTION = 8;
 
 /** Interval between scans for ended jobs; their removal is not urgent. */
 const PERIOD_MS = 10_000;
@@ -34,11 +34,11 @@
  * @param options - its dependencies
  * @returns scans for ended jobs if the interval has passed, and removes some of them
  */
-export const createEndedJobsRemoval = (options: EndedJobsOptions): (() => Promise<void>) => {
+export const createEndedJobsRemoval = (options: EndedJobsRemovalOptions): (() => Promise<void>) => {
   const { clock: time, log, registry } = options;
-  let lookedAtMs = time.monotonicMs();
+  let scannedAtMs = time.monotonicMs();
 
-  const remove = async (jobIds: readonly string[]): Promise<void> => {
+  const removeJobs = async (jobIds: readonly string[]): Promise<void> => {
     const { isCommitted } = await options.store.transact({
       conditions: [options.leadership],
       puts: [],
@@ -53,16 +53,16 @@
   };
 
   return async () => {
-    if (time.monotonicMs() - lookedAtMs < PERIOD_MS) return;
-    lookedAtMs = time.monotonicMs();
+    if (time.monotonicMs() - scannedAtMs < PERIOD_MS) return;
+    scannedAtMs = time.monotonicMs();
     const beforeMs = time.wallMs() - options.statusMs - SLACK_MS;
     const due = [...registry.all()]
       .filter((it) => jobBook.isEnded(it) && it.endedAtMs < beforeMs)
-      .slice(0, JOBS_AT_ONCE)
+      .slice(0, JOBS_PER_TRANSACTION)
       .map((it) => it.job.jobId);
     if (due.length === 0) return;
     try {
-      await remove(due);
+      await removeJobs(due);
     } catch (thrown) {
       log('warn', 'removalFailed', { reason: errors.normalize(thrown).message });
     }
--- a/src/coordination/node/pool/jobDesk.ts
+++ b/src/coordination/node/pool/jobDesk.ts
@@ -89,13 +89,13 @@
 const DENY_MS = 2000;
 
 /** Part of the caller's deadline reserved for returning the answer. */
-const ANSWER_MS = 250;
+const ANSWER_RESERVE_MS = 250;
 
 /**
  * Longest time that a call waits while the store does not answer, enough for two attempts. A caller refused then
  * can retry at another entry, which may reach the store, with most of its time left.
  */
-const MAX_HELD_MS = 900;
+const MAX_WAIT_MS = 900;
 
 /** Delay before a failed store call is retried. */
 const RETRY_MS = 60;
@@ -110,7 +110,7 @@
 const RETRY_AFTER_MS = 1000;
 
 /** How often a call is admitted again because the configuration changed meanwhile. */
-const MAX_REJUDGED = 4;
+const MAX_READMISSIONS = 4;
 
 const unavailable = (message: string): errors.AuburnliftError =>
   errors.fail('storeUnavailable', `${message}; nothing ran`, { retryAfterMs: RETRY_AFTER_MS });
@@ -129,49 +129,49 @@
 
   const canCheckCredentials = (): boolean => feed.ageMs() <= options.revokeMs * FRESH_SHARE;
   const agoText = (ageMs: number): string => `${Math.round(ageMs)} ms ago`;
-  const unproved = (what: string): errors.AuburnliftError =>
+  const unconfirmed = (what: string): errors.AuburnliftError =>
     unavailable(
       `${what} can not be checked: the configuration was confirmed ${agoText(feed.ageMs())}, ` +
         `the store last answered ${agoText(options.storeAgeMs())}`,
     );
-  const checkLatest = (what: string): void => {
-    if (feed.ageMs() > DENY_MS) throw unproved(what);
+  const checkRecentlyConfirmed = (what: string): void => {
+    if (feed.ageMs() > DENY_MS) throw unconfirmed(what);
   };
 
   const admit = (call: Call): AdmittedCall => {
-    const held = feed.current();
-    if (held === undefined) throw unavailable('no configuration is known yet');
-    const queue = poolConfiguration.findQueue(held.configuration, call.host, call.path);
+    const active = feed.current();
+    if (active === undefined) throw unavailable('no configuration is known yet');
+    const queue = poolConfiguration.findQueue(active.configuration, call.host, call.path);
     if (queue === undefined) {
-      checkLatest('queues');
+      checkRecentlyConfirmed('queues');
       throw errors.fail('notFound', `no queue at ${call.host}${call.path}; nothing ran`, {
         field: 'path',
       });
     }
     const jobId = call.path.slice(queue.pathPrefix.length);
-    const base = { queue, jobId, configurationRevision: held.revision };
+    const base = { queue, jobId, configurationRevision: active.revision };
     if (queue.isPublic) return { ...base, customerId: '' };
     if (!canCheckCredentials()) {
-      throw unproved('credentials');
+      throw unconfirmed('credentials');
     }
     const customer =
       call.apiKey === undefined
         ? undefined
-        : poolConfiguration.findCustomer(held.configuration, call.apiKey);
+        : poolConfiguration.findCustomer(active.configuration, call.apiKey);
     if (customer === undefined) {
-      if (call.apiKey !== undefined) checkLatest('credentials');
+      if (call.apiKey !== undefined) checkRecentlyConfirmed('credentials');
       throw errors.fail('unauthenticated', 'the API key is missing or unknown; nothing ran');
     }
     return { ...base, customerId: customer.customerId };
   };
 
   const endOf = (call: Call): number =>
-    time.monotonicMs() + Math.min(MAX_HELD_MS, Math.max(0, call.deadlineMs - ANSWER_MS));
+    time.monotonicMs() + Math.min(MAX_WAIT_MS, Math.max(0, call.deadlineMs - ANSWER_RESERVE_MS));
 
-  const isOver = (endMs: number): boolean => time.monotonicMs() + MIN_ATTEMPT_MS >= endMs;
+  const isDeadlineNear = (endMs: number): boolean => time.monotonicMs() + MIN_ATTEMPT_MS >= endMs;
 
   /** Stops waiting at the deadline; the store call itself goes on until its own time-out. */
-  const within = async <T>(endMs: number, attempt: Promise<T>): Promise<T> => {
+  const withDeadline = async <T>(endMs: number, attempt: Promise<T>): Promise<T> => {
     let timer: disposable.Disposable | undefined;
     const late = new Promise<never>((_, reject) => {
       timer = time.after(Math.max(0, endMs - time.monotonicMs()), () => {
@@ -185,7 +185,7 @@
     }
   };
 
-  const noteFailure = (call: Call, thrown: unknown, isOpen: boolean): void => {
+  const logFailure = (call: Call, thrown: unknown, isOpen: boolean): void => {
     const { message } = errors.normalize(thrown);
     log('warn', 'storeCallFailed', { request: call.requestId, isOpen, reason: message });
   };
@@ -200,11 +200,11 @@
     let isOpen = false;
     for (;;) {
       try {
-        return await within(endMs, options.store.transact(transaction));
+        return await withDeadline(endMs, options.store.transact(transaction));
       } catch (thrown) {
         isOpen ||= thrown instanceof store.StoreOutcomeUnknown;
-        noteFailure(call, thrown, isOpen);
-        if (isOver(endMs)) throw isOpen ? stillOpen() : unavailable('the store did not accept the write');
+        logFailure(call, thrown, isOpen);
+        if (isDeadlineNear(endMs)) throw isOpen ? stillOpen() : unavailable('the write failed');
       }
       await clock.sleep(time, RETRY_MS);
     }
@@ -218,17 +218,17 @@
   ): Promise<T> => {
     for (;;) {
       try {
-        return await within(endMs, attempt());
+        return await withDeadline(endMs, attempt());
       } catch (thrown) {
-        noteFailure(call, thrown, false);
-        if (isOver(endMs)) throw onFailure();
+        logFailure(call, thrown, false);
+        if (isDeadlineNear(endMs)) throw onFailure();
       }
       await clock.sleep(time, RETRY_MS);
     }
   };
 
   /** Waits for the feed to receive the change; a read for each call would saturate a low-bandwidth link. */
-  const waitForLater = async (revision: number, endMs: number): Promise<void> => {
+  const waitForLaterConfiguration = async (revision: number, endMs: number): Promise<void> => {
     while ((feed.current()?.revision ?? 0) <= revision) {
       if (time.monotonicMs() >= endMs) {
         throw unavailable('a new configuration has not been received yet');
@@ -246,7 +246,7 @@
     valueOf: (admitted: AdmittedCall) => string,
   ): Promise<'written' | 'exists'> => {
     let judged = admitted;
-    for (let tries = 0; tries < MAX_REJUDGED; tries += 1) {
+    for (let tries = 0; tries < MAX_READMISSIONS; tries += 1) {
       const result = await transact(call, endMs, {
         conditions: [
           { key, revision: store.ABSENT_REVISION },
@@ -260,7 +260,7 @@
       // The record may exist because an earlier attempt of this call took effect and its answer was lost.
       const existing = await read(call, endMs, () => options.store.get(key), stillOpen);
       if (existing !== undefined) return 'exists';
-      await waitForLater(judged.configurationRevision, endMs);
+      await waitForLaterConfiguration(judged.configurationRevision, endMs);
       judged = admit(call);
       log('info', 'judgedAnew', {
         request: call.requestId,
--- a/src/coordination/node/pool/leasedRecord.ts
+++ b/src/coordination/node/pool/leasedRecord.ts
@@ -28,7 +28,7 @@
 const RENEWALS_PER_LEASE = 3;
 
 /** Thrown if another copy of a write took effect first; the next attempt overwrites it. */
-const unsettled = (key: string): errors.AuburnliftError =>
+const concurrentChange = (key: string): errors.AuburnliftError =>
   errors.fail('storeUnavailable', `the record ${key} was changed concurrently`);
 
 /** Delay after a failed call: short, so that the record is restored soon after an outage. */
@@ -51,11 +51,11 @@
       puts: [{ key, value: options.value, leaseId: granted }],
       removes: [],
     });
-    if (!result.isCommitted) throw unsettled(key);
+    if (!result.isCommitted) throw concurrentChange(key);
     leaseId = granted;
     log('info', 'presenceWritten', { key, revision: result.revision });
   };
-  const keep = async (): Promise<void> => {
+  const renewOrPublish = async (): Promise<void> => {
     if (leaseId === undefined) await publish();
     else if (!(await options.store.renewLease(leaseId))) {
       log('warn', 'presenceLapsed', { key });
@@ -68,7 +68,7 @@
     while (!isDisposed) {
       let waitMs = options.leaseMs / RENEWALS_PER_LEASE;
       try {
-        await keep();
+        await renewOrPublish();
         if (isFailing) log('info', 'presenceStoreAnswers', { key });
         isFailing = false;
       } catch (thrown) {
--- a/src/coordination/node/pool/lostRuns.ts
+++ b/src/coordination/node/pool/lostRuns.ts
@@ -21,15 +21,15 @@
   /** Leader's clock by which every lease granted by a previous leader has expired. */
   readonly formerLapseAtMs: number;
   /** Ends a run that has certainly ended or can no longer start. */
-  readonly noteLost: (run: workerTable.RunHolding, cause: string) => void;
+  readonly markLost: (run: workerTable.RunHolding, cause: string) => void;
 }
 
 /** Declares runs lost. */
 export interface LostRuns {
   /** Declares all runs of a worker lost that has announced its shutdown. */
-  readonly giveUpWorker: (worker: workerTable.WorkerEntry) => void;
+  readonly markWorkerLost: (worker: workerTable.WorkerEntry) => void;
   /** Checks workers that are unreachable, and those not seen since this leader took over. */
-  readonly giveUp: () => void;
+  readonly declareLost: () => void;
 }
 
 /**
@@ -38,10 +38,10 @@
  */
 export const createLostRuns = (options: LostRunsOptions): LostRuns => {
   const { clock: time, log } = options;
-  const awaited = new WeakSet<workerTable.RunHolding>();
+  const loggedWaits = new WeakSet<workerTable.RunHolding>();
   const nowMs = (): number => time.monotonicMs();
 
-  const giveUpRuns = (
+  const markRunsLost = (
     worker: workerTable.WorkerEntry,
     runs: readonly workerTable.RunHolding[],
     cause: string,
@@ -49,14 +49,14 @@
     if (runs.length === 0) return;
     workerTable.raiseFence(worker);
     for (const run of runs) worker.runs.delete(workerTable.runKey(run.name, run.run));
-    runs.forEach((run) => options.noteLost(run, cause));
+    runs.forEach((run) => options.markLost(run, cause));
   };
 
   /** @returns whether a delayed duplicate of its start order may still take effect */
-  const isAwaited = (worker: workerTable.WorkerEntry, run: workerTable.RunHolding): boolean => {
+  const mayStillStart = (worker: workerTable.WorkerEntry, run: workerTable.RunHolding): boolean => {
     const leftMs = run.lateUntilMs - nowMs();
-    if (leftMs > 0 && !awaited.has(run)) {
-      awaited.add(run);
+    if (leftMs > 0 && !loggedWaits.has(run)) {
+      loggedWaits.add(run);
       log('warn', 'runAwaited', {
         task: run.name,
         run: run.run,
@@ -67,44 +67,44 @@
     return leftMs > 0;
   };
 
-  const giveUpSilent = (): void => {
+  const declareUnreachableLost = (): void => {
     for (const worker of options.workers.values()) {
       if (workerTable.isLapsed(worker, nowMs())) {
-        const over = [...worker.runs.values()].filter((run) => !isAwaited(worker, run));
-        giveUpRuns(worker, over, 'leasesLapsed');
+        const lostRuns = [...worker.runs.values()].filter((run) => !mayStillStart(worker, run));
+        markRunsLost(worker, lostRuns, 'leasesLapsed');
       }
     }
   };
 
-  const giveUpUnseenOf = (entry: jobBook.JobEntry, seenAgents: ReadonlySet<string>): void => {
+  const declareUnseenLostOf = (entry: jobBook.JobEntry, seenAgents: ReadonlySet<string>): void => {
     const now = { monotonicMs: nowMs(), wallMs: time.wallMs() };
     for (const task of jobBook.tasksOf(entry)) {
-      const isOver =
+      const isLost =
         task.phase === 'assigned' &&
         !seenAgents.has(task.agentId) &&
         lateOrders.toOwnClock(task.lateUntilWallMs, now) <= now.monotonicMs;
-      if (isOver) {
+      if (isLost) {
         const { closing } = workerTable.RunPhase;
-        options.noteLost(workerTable.createRun(entry, task, closing, nowMs()), 'workerNeverSeen');
+        options.markLost(workerTable.createRun(entry, task, closing, nowMs()), 'workerNeverSeen');
       }
     }
   };
 
-  const giveUpUnseen = (): void => {
+  const declareUnseenLost = (): void => {
     if (nowMs() < options.formerLapseAtMs) return;
     const seenAgents = new Set(
       [...options.workers.values()].filter((it) => it.info !== undefined).map((it) => it.agentId),
     );
     for (const entry of options.registry.all()) {
-      if (!jobBook.isEnded(entry)) giveUpUnseenOf(entry, seenAgents);
+      if (!jobBook.isEnded(entry)) declareUnseenLostOf(entry, seenAgents);
     }
   };
 
   return {
-    giveUpWorker: (worker) => giveUpRuns(worker, [...worker.runs.values()], 'workerLeft'),
-    giveUp: () => {
-      giveUpSilent();
-      giveUpUnseen();
+    markWorkerLost: (worker) => markRunsLost(worker, [...worker.runs.values()], 'workerLeft'),
+    declareLost: () => {
+      declareUnreachableLost();
+      declareUnseenLost();
     },
   };
 };
--- a/src/coordination/node/pool/orderDesk.ts
+++ b/src/coordination/node/pool/orderDesk.ts
@@ -52,13 +52,13 @@
   readonly dispose: () => void;
 }
 
-interface Outgoing {
+interface PendingOrders {
   readonly worker: workerTable.WorkerEntry;
   readonly starts: StartOrder[];
   readonly stops: workerTable.RunHolding[];
 }
 
-const toStart = (order: StartOrder, leaseUntilMs: number): agentContract.StartCommand => ({
+const toStartCommand = (order: StartOrder, leaseUntilMs: number): agentContract.StartCommand => ({
   task: order.run.name,
   run: order.run.run,
   jobId: order.run.entry.job.jobId,
@@ -67,7 +67,7 @@
   ...(order.ticket === undefined ? {} : { ticket: order.ticket }),
 });
 
-const settle = (
+const toResults = (
   runs: readonly workerTable.RunHolding[],
   results: readonly agentContract.OrderResult[],
 ): SettledOrder[] =>
@@ -83,10 +83,10 @@
  * @returns a sender without pending orders
  */
 export const createOrderDesk = (options: OrderDeskOptions): OrderDesk => {
-  const outgoing = new Map<string, Outgoing>();
+  const pending = new Map<string, PendingOrders>();
   let isDisposed = false;
 
-  const requestOf = (its: Outgoing, info: { workerId: string; incarnationMs: number }) => {
+  const requestOf = (its: PendingOrders, info: { workerId: string; incarnationMs: number }) => {
     const nowMs = options.clock.monotonicMs();
     const leaseUntilMs = agentSession.grantLease(its.worker, nowMs, options.grantMs());
     const payloads: Record<string, string> = {};
@@ -99,27 +99,27 @@
       incarnationMs: info.incarnationMs,
       payloads,
       // Nothing may run without a lease: if none was granted, `leaseUntilMs` is 0 and the agent refuses the start.
-      starts: its.starts.map((order) => toStart(order, leaseUntilMs)),
+      starts: its.starts.map((order) => toStartCommand(order, leaseUntilMs)),
       stops: its.stops.map(({ name, run }) => ({ task: name, run })),
       paces: [],
     };
   };
 
-  const settled = (its: Outgoing, reply: agentContract.OrderReply | undefined): void => {
+  const reportResults = (its: PendingOrders, reply: agentContract.OrderReply | undefined): void => {
     options.onSettled({
       worker: its.worker,
-      starts: settle(
+      starts: toResults(
         its.starts.map(({ run }) => run),
         reply?.starts ?? [],
       ),
-      stops: settle(its.stops, reply?.stops ?? []),
+      stops: toResults(its.stops, reply?.stops ?? []),
       news: reply?.news,
       isNewsLater: reply?.isNewsLater ?? false,
       receivedAtMs: options.clock.monotonicMs(),
     });
   };
 
-  const send = async (its: Outgoing): Promise<void> => {
+  const send = async (its: PendingOrders): Promise<void> => {
     const { info, url, agentId } = its.worker;
     let reply: agentContract.OrderReply | undefined;
     try {
@@ -133,35 +133,35 @@
         reason: message,
       });
     }
-    if (!isDisposed) settled(its, reply);
+    if (!isDisposed) reportResults(its, reply);
   };
 
   const flush = async (): Promise<void> => {
     await Promise.resolve();
-    const all = [...outgoing.values()];
-    outgoing.clear();
+    const all = [...pending.values()];
+    pending.clear();
     for (const its of all) void send(its);
   };
 
-  const outgoingOf = (worker: workerTable.WorkerEntry): Outgoing => {
-    const known = outgoing.get(worker.agentId);
+  const pendingFor = (worker: workerTable.WorkerEntry): PendingOrders => {
+    const known = pending.get(worker.agentId);
     if (known !== undefined) return known;
-    const created: Outgoing = { worker, starts: [], stops: [] };
-    outgoing.set(worker.agentId, created);
-    if (outgoing.size === 1) void flush();
+    const created: PendingOrders = { worker, starts: [], stops: [] };
+    pending.set(worker.agentId, created);
+    if (pending.size === 1) void flush();
     return created;
   };
 
   return {
     start: (worker, order) => {
-      outgoingOf(worker).starts.push(order);
+      pendingFor(worker).starts.push(order);
     },
     stop: (worker, run) => {
-      outgoingOf(worker).stops.push(run);
+      pendingFor(worker).stops.push(run);
     },
     dispose: () => {
       isDisposed = true;
-      outgoing.clear();
+      pending.clear();
     },
   };
 };
--- a/src/coordination/node/pool/orderIntake.ts
+++ b/src/coordination/node/pool/orderIntake.ts
@@ -26,13 +26,13 @@
   /** Marks the run as closing: it counts as gone once the worker has answered under a higher fence. */
   readonly close: (worker: workerTable.WorkerEntry, run: workerTable.RunHolding) => void;
   /** Ends a run that has certainly ended or can no longer start. */
-  readonly noteLost: (run: workerTable.RunHolding, cause: string) => void;
+  readonly markLost: (run: workerTable.RunHolding, cause: string) => void;
 }
 
 /** Handles the results of start and stop orders. */
 export interface OrderIntake {
-  readonly takeStart: (worker: workerTable.WorkerEntry, order: orderDesk.SettledOrder) => void;
-  readonly takeStop: (settled: orderDesk.SettledOrders, order: orderDesk.SettledOrder) => void;
+  readonly handleStart: (worker: workerTable.WorkerEntry, order: orderDesk.SettledOrder) => void;
+  readonly handleStop: (settled: orderDesk.SettledOrders, order: orderDesk.SettledOrder) => void;
 }
 
 /**
@@ -40,22 +40,22 @@
  * @returns the handler
  */
 export const createOrderIntake = (options: OrderIntakeOptions): OrderIntake => {
-  const { clock: time, log, metrics, stopRun, close, noteLost } = options;
+  const { clock: time, log, metrics, stopRun, close, markLost } = options;
   const nowMs = (): number => time.monotonicMs();
 
   /** Stores with the job how long a duplicate may arrive, since the next leader has to wait for it as well. */
-  const noteOpenCopy = (run: workerTable.RunHolding): void => {
+  const recordDuplicateWindow = (run: workerTable.RunHolding): void => {
     run.lateUntilMs = nowMs() + lateOrders.MAX_LATE_MS;
     if (run.task.run !== run.run) return;
     run.task.lateUntilWallMs = time.wallMs() + lateOrders.MAX_LATE_MS;
     void options.save(run.entry.job.jobId);
   };
 
-  const takeStart = (worker: workerTable.WorkerEntry, it: orderDesk.SettledOrder): void => {
+  const handleStart = (worker: workerTable.WorkerEntry, it: orderDesk.SettledOrder): void => {
     const { run, outcome, reason, hasOpenCopy } = it;
     const isOpen = worker.runs.get(workerTable.runKey(run.name, run.run)) === run;
     if (!isOpen) return;
-    if (hasOpenCopy) noteOpenCopy(run);
+    if (hasOpenCopy) recordDuplicateWindow(run);
     if (outcome === agentContract.OrderOutcome.accepted) {
       if (run.phase === workerTable.RunPhase.ordering) run.phase = workerTable.RunPhase.present;
       run.task.refusals = 0;
@@ -74,7 +74,7 @@
     if (run.phase === workerTable.RunPhase.ordering) close(worker, run);
   };
 
-  const takeStop = (settled: orderDesk.SettledOrders, it: orderDesk.SettledOrder): void => {
+  const handleStop = (settled: orderDesk.SettledOrders, it: orderDesk.SettledOrder): void => {
     const { worker, isNewsLater, news } = settled;
     const key = workerTable.runKey(it.run.name, it.run.run);
     const isOpen = worker.runs.get(key) === it.run;
@@ -85,8 +85,8 @@
     if (isListed !== false) return;
     // Stopped before it started: the worker permanently refuses this run.
     worker.runs.delete(key);
-    noteLost(it.run, 'stoppedBeforeStart');
+    markLost(it.run, 'stoppedBeforeStart');
   };
 
-  return { takeStart, takeStop };
+  return { handleStart, handleStop };
 };
--- a/src/coordination/node/pool/peerDirectory.ts
+++ b/src/coordination/node/pool/peerDirectory.ts
@@ -28,10 +28,10 @@
 const PERIOD_MS = 5000;
 
 /** Shorter interval after start-up, until all processes that start together have written their records. */
-const FIRST_PERIOD_MS = 1000;
+const INITIAL_PERIOD_MS = 1000;
 
 /** Number of reads at the shorter interval. */
-const FIRST_LOOKS = 5;
+const INITIAL_READS = 5;
 
 const RETRY_MS = 1000;
 
@@ -41,26 +41,26 @@
  */
 export const startPeerDirectory = (options: PeerDirectoryOptions): PeerDirectory => {
   let isDisposed = false;
-  let known = new Map<string, string>();
-  let looks = 0;
+  let urlsByKey = new Map<string, string>();
+  let reads = 0;
 
-  const look = async (): Promise<void> => {
+  const refresh = async (): Promise<void> => {
     const { entries } = await options.store.list(poolKeys.PEERS);
     const next = new Map<string, string>();
     for (const { key, value } of entries) {
       const url = addressRecord.parseAddressRecord(value);
       if (url !== undefined && url !== options.ownUrl) next.set(key, url);
     }
-    known = next;
-    looks += 1;
+    urlsByKey = next;
+    reads += 1;
   };
 
   const run = async (): Promise<void> => {
     let isFailing = false;
     while (!isDisposed) {
-      let waitMs = looks < FIRST_LOOKS ? FIRST_PERIOD_MS : PERIOD_MS;
+      let waitMs = reads < INITIAL_READS ? INITIAL_PERIOD_MS : PERIOD_MS;
       try {
-        await look();
+        await refresh();
         isFailing = false;
       } catch (thrown) {
         if (!isFailing) {
@@ -75,7 +75,7 @@
   void run();
   return {
     urls: (role) =>
-      [...known]
+      [...urlsByKey]
         .filter(([key]) => key.startsWith(poolKeys.peerKey(role, '')))
         .map(([, url]) => url),
     dispose: () => {
--- a/src/coordination/node/pool/pendingCounts.ts
+++ b/src/coordination/node/pool/pendingCounts.ts
@@ -31,26 +31,26 @@
 }
 
 /** Cache lifetime: a count may be two seconds old when the caller receives it; the leader's is up to 1.5 s old. */
-const KEEP_MS = 500;
+const CACHE_MS = 500;
 
 /** A count that was started longer ago is too old to be returned. */
 const MAX_AGE_MS = 2000;
 
 /** Longest time that a caller waits for a count. */
-const MAX_HELD_MS = 900;
+const MAX_WAIT_MS = 900;
 
 type Counts = Readonly<Record<string, number>>;
 
 /** One count, shared by all callers that request it meanwhile. */
 interface Count {
   readonly counts: Promise<Counts>;
-  readonly beganAtMs: number;
+  readonly startedAtMs: number;
   isOpen: boolean;
 }
 
 const tooLate = (): errors.AuburnliftError =>
   errors.fail('storeUnavailable', 'counting the pending jobs takes too long', {
-    retryAfterMs: MAX_HELD_MS,
+    retryAfterMs: MAX_WAIT_MS,
   });
 
 /**
@@ -79,7 +79,7 @@
   const fromStore = async (): Promise<Counts> => {
     const jobs = await store.list(poolKeys.JOBS);
     const progress = await store.list(poolKeys.PROGRESS);
-    const begun = new Set(
+    const started = new Set(
       progress.entries
         .filter((it) => progressRecord.decodeProgress(it.value).state !== 'queued')
         .map((it) => it.key.slice(poolKeys.PROGRESS.length)),
@@ -87,7 +87,7 @@
     const counts: Record<string, number> = {};
     for (const { key, value } of jobs.entries) {
       const parsed = poolKeys.parseJobKey(key);
-      const isWaiting = parsed?.part === poolKeys.JobPart.spec && !begun.has(parsed.jobId);
+      const isWaiting = parsed?.part === poolKeys.JobPart.spec && !started.has(parsed.jobId);
       if (isWaiting) {
         const { queue } = (JSON.parse(value) as poolJob.PoolJob).policy;
         counts[queue] = (counts[queue] ?? 0) + 1;
@@ -98,8 +98,8 @@
 
   const load = async (): Promise<Counts> => (await fromLeader()) ?? (await fromStore());
 
-  const begin = (): Count => {
-    const count: Count = { counts: load(), beganAtMs: time.monotonicMs(), isOpen: true };
+  const startCount = (): Count => {
+    const count: Count = { counts: load(), startedAtMs: time.monotonicMs(), isOpen: true };
     const settle = (): void => {
       count.isOpen = false;
     };
@@ -107,22 +107,22 @@
     return count;
   };
 
-  const ageMs = ({ beganAtMs }: Count): number => time.monotonicMs() - beganAtMs;
+  const ageMs = ({ startedAtMs }: Count): number => time.monotonicMs() - startedAtMs;
 
-  const forget = (count: Count): void => {
+  const evict = (count: Count): void => {
     if (kept === count) kept = undefined;
   };
 
   return {
     ofQueue: async (queue) => {
-      if (kept === undefined || (!kept.isOpen && ageMs(kept) > KEEP_MS)) kept = begin();
+      if (kept === undefined || (!kept.isOpen && ageMs(kept) > CACHE_MS)) kept = startCount();
       const count = kept;
       try {
-        const counts = await Promise.race([count.counts, clock.sleep(time, MAX_HELD_MS)]);
+        const counts = await Promise.race([count.counts, clock.sleep(time, MAX_WAIT_MS)]);
         if (counts === undefined || ageMs(count) > MAX_AGE_MS) throw tooLate();
         return counts[queue] ?? 0;
       } catch (thrown) {
-        if (!count.isOpen) forget(count);
+        if (!count.isOpen) evict(count);
         throw thrown;
       }
     },
--- a/src/coordination/node/pool/planDriver.ts
+++ b/src/coordination/node/pool/planDriver.ts
@@ -34,7 +34,7 @@
   /** Factor by which a task takes longer away from its data or its rack. */
   readonly farFactor: number;
   readonly control: () => runControl.RunControl;
-  readonly desk: () => orderDesk.OrderDesk;
+  readonly orderSender: () => orderDesk.OrderDesk;
   /** Stores a job's progress; settled once it is stored. */
   readonly save: (jobId: string) => Promise<void>;
   readonly configuration: () => poolConfiguration.PoolConfiguration | undefined;
@@ -52,7 +52,7 @@
 }
 
 /** Changes within this time are planned in the same round. */
-const GATHER_MS = 1;
+const BATCH_MS = 1;
 
 /** Polling interval of a start that waits until the leadership is certain. */
 const RECHECK_MS = 50;
@@ -72,7 +72,7 @@
   const schedule = (): void => {
     if (isDue) return;
     isDue = true;
-    time.after(GATHER_MS, plan);
+    time.after(BATCH_MS, plan);
   };
 
   const advice = adviceDesk.createAdviceDesk({
@@ -104,24 +104,24 @@
     if (!options.isReady() || run.phase !== workerTable.RunPhase.ordering) return;
     if (!options.control().isWanted(run)) {
       worker.runs.delete(workerTable.runKey(run.name, run.run));
-      options.control().noteLost(run, 'notSent');
+      options.control().markLost(run, 'notSent');
       schedule();
       return;
     }
     // Storing the start may have taken long: counted from its placement, a healthy run would count as stalled.
     run.sinceMs = nowMs();
     run.movedAtMs = nowMs();
-    options.desk().start(worker, { run, ticket });
+    options.orderSender().start(worker, { run, ticket });
   };
 
-  const begin = (placement: planTypes.Placement): void => {
+  const startUnit = (placement: planTypes.Placement): void => {
     const { unit } = placement;
     const { entry, tasks } = unit.unit;
     const racks = placement.workers.map((it) => it.rack);
     const away = gangPlacement.tasksAway(unit.unit.step, racks);
     const distanceFactor = away > 0 ? options.farFactor : 1;
-    const beginning = { wallMs: time.wallMs(), distanceFactor };
-    jobBook.assign(entry, gangPlacement.assignmentsOf(placement), beginning);
+    const assignment = { wallMs: time.wallMs(), distanceFactor };
+    jobBook.assign(entry, gangPlacement.assignmentsOf(placement), assignment);
     const runs = tasks.flatMap((task) => {
       const worker = workers.get(task.agentId);
       if (worker === undefined) return [];
@@ -151,18 +151,18 @@
     );
   };
 
-  const evict = (groupKey: string, beneficiary: planTypes.PlanUnit): void => {
+  const preempt = (groupKey: string, beneficiary: planTypes.PlanUnit): void => {
     const victim = registry.get(groupKey.split('.')[0] ?? '');
     if (victim !== undefined) victim.preemptions += 1;
     options.control().stopGroup(groupKey, `reclaimedFor ${beneficiary.groupKey}`);
   };
 
-  const move = ({ unit, groupKey }: planTypes.PlanUnit): void => {
+  const relocate = ({ unit, groupKey }: planTypes.PlanUnit): void => {
     jobBook.noteMove(unit.tasks);
     options.control().stopGroup(groupKey, 'heldUp');
   };
 
-  const noteWait = ({ unit, reason }: planTypes.Wait): void => {
+  const logWait = ({ unit, reason }: planTypes.Wait): void => {
     if (waitReasons.get(unit.groupKey) === reason) return;
     waitReasons.set(unit.groupKey, reason);
     log('info', 'waits', { job: unit.unit.entry.job.jobId, group: unit.groupKey, reason });
@@ -181,14 +181,14 @@
     units: readonly planTypes.PlanUnit[],
     planWorkers: readonly planTypes.PlanWorker[],
   ): planTypes.PlanUnit[] => {
-    advice.keepOnly(new Set(units.map((it) => it.stepKey)));
+    advice.retainOnly(new Set(units.map((it) => it.stepKey)));
     return units.flatMap((unit) => {
       if (!unit.unit.entry.job.policy.needsAdvice) return [unit];
       const suitable = planWorkers.filter((it) => gangPlacement.isSuitable(it, unit));
       const ids = suitable.map((it) => it.workerId);
       const ticketsByWorker = advice.ticketsFor(unit.stepKey, ids);
       if (ticketsByWorker !== undefined) return [{ ...unit, ticketsByWorker }];
-      noteWait({ unit, reason: 'waiting for the policy service' });
+      logWait({ unit, reason: 'waiting for the policy service' });
       return [];
     });
   };
@@ -213,8 +213,8 @@
       wallMs,
       workerTable.createSlotCount(workers.values()),
     );
-    const heldUp = heldUpRuns.findHeldUp([...workers.values()], options.estimates, wallMs);
-    if (units.length === 0 && heldUp.length === 0) return;
+    const stragglers = heldUpRuns.findHeldUp([...workers.values()], options.estimates, wallMs);
+    if (units.length === 0 && stragglers.length === 0) return;
     const planWorkers = [...workers.values()]
       .map((it) => workerTable.toPlanWorker(it, startedAtMs))
       .filter((it) => it !== undefined);
@@ -222,15 +222,15 @@
       nowMs: startedAtMs,
       workers: planWorkers,
       units: withTickets(units, planWorkers),
-      heldUp: queue.heldUpUnits(heldUp, startedAtMs, wallMs),
+      heldUp: queue.heldUpUnits(stragglers, startedAtMs, wallMs),
       guarantees: guarantees(),
       farFactor: options.farFactor,
     });
     metrics.time('auburnlift_plan_round_ms', nowMs() - startedAtMs);
-    round.starts.forEach(begin);
-    round.evictions.forEach((unit, groupKey) => evict(groupKey, unit));
-    round.moves.forEach(move);
-    round.waits.forEach(noteWait);
+    round.starts.forEach(startUnit);
+    round.evictions.forEach((unit, groupKey) => preempt(groupKey, unit));
+    round.moves.forEach(relocate);
+    round.waits.forEach(logWait);
   };
 
   return { schedule };
--- a/src/coordination/node/pool/poolAgent.ts
+++ b/src/coordination/node/pool/poolAgent.ts
@@ -39,7 +39,7 @@
 }
 
 /** How long the worker may hold a request open until a run ends; each request also renews the leases. */
-const VIEW_WAIT_MS = 900;
+const REPORT_WAIT_MS = 900;
 
 /** Delay after the worker did not answer. */
 const RETRY_MS = 150;
@@ -51,12 +51,12 @@
 const UNACKNOWLEDGED_MS = 250;
 
 /** How long a sync request waits for updates while the worker does not answer. */
-const SILENT_WAIT_MS = 300;
+const UNREACHABLE_WAIT_MS = 300;
 
 /** Attempts to deliver one order; the worker is on the same machine and answers in a millisecond. */
 const ORDER_ATTEMPTS = 3;
 
-interface HeldView {
+interface ReceivedReport {
   readonly view: poolWorker.WorkerView;
   readonly fence: number;
   readonly receivedAtMs: number;
@@ -84,27 +84,27 @@
   let isDisposed = false;
   let info: poolWorker.WorkerInfo | undefined;
   let heartbeatSequence = -1;
-  let held: HeldView | undefined;
+  let latest: ReceivedReport | undefined;
   let fence = 0;
-  let newestLifeMs = 0;
+  let newestIncarnationMs = 0;
   /** New incarnations of the worker since the leader last raised its fence. */
   let unfencedLives = 0;
   let lease = { incarnationMs: 0, untilMs: 0 };
-  let seen = { incarnationMs: 0, upTo: 0 };
+  let acknowledged = { incarnationMs: 0, upTo: 0 };
   /** Run ends of the worker's current incarnation that have been logged. */
-  let told = { incarnationMs: 0, upTo: 0 };
+  let logged = { incarnationMs: 0, upTo: 0 };
   let version = 1;
-  let isHolding = false;
+  let isPolling = false;
   /** The worker answered the last request for its report. */
   let isAnswering = false;
   let onDidAcknowledge: () => void = () => undefined;
   const waiters = new Set<() => void>();
 
-  const noteChange = (): void => {
+  const notifyChange = (): void => {
     version += 1;
-    const woken = [...waiters];
+    const toWake = [...waiters];
     waiters.clear();
-    woken.forEach((wake) => wake());
+    toWake.forEach((wake) => wake());
   };
   const waitForChange = (waitMs: number): Promise<void> =>
     new Promise((resolve) => {
@@ -118,10 +118,10 @@
     });
 
   /** A new incarnation has seen no fence and would accept orders meant for the previous one. */
-  const noteLife = (incarnationMs: number): void => {
-    if (incarnationMs <= newestLifeMs) return;
-    if (newestLifeMs !== 0) unfencedLives += 1;
-    newestLifeMs = incarnationMs;
+  const recordIncarnation = (incarnationMs: number): void => {
+    if (incarnationMs <= newestIncarnationMs) return;
+    if (newestIncarnationMs !== 0) unfencedLives += 1;
+    newestIncarnationMs = incarnationMs;
   };
 
   /** @returns the fence to send to the worker */
@@ -130,50 +130,50 @@
       ? fence + Math.min(unfencedLives, agentContract.FENCE_STEP - 1)
       : leaderFence;
 
-  const isPresentLife = (incarnationMs: number): boolean =>
-    incarnationMs !== 0 && incarnationMs === (held?.view.incarnationMs ?? info?.incarnationMs);
+  const isCurrentIncarnation = (incarnationMs: number): boolean =>
+    incarnationMs !== 0 && incarnationMs === (latest?.view.incarnationMs ?? info?.incarnationMs);
 
   /** Logs each run end, so that the delay until the job's end can be measured. */
-  const tellEnds = ({ incarnationMs, ended }: poolWorker.WorkerView): void => {
-    const upTo = told.incarnationMs === incarnationMs ? told.upTo : 0;
+  const logEnds = ({ incarnationMs, ended }: poolWorker.WorkerView): void => {
+    const upTo = logged.incarnationMs === incarnationMs ? logged.upTo : 0;
     for (const { sequence, task, run, how } of ended) {
       if (sequence > upTo) log('info', 'endListed', { task, run, how });
     }
-    told = { incarnationMs, upTo: Math.max(upTo, ended.at(-1)?.sequence ?? 0) };
+    logged = { incarnationMs, upTo: Math.max(upTo, ended.at(-1)?.sequence ?? 0) };
   };
 
-  const takeView = (view: poolWorker.WorkerView, viewFence: number): void => {
+  const applyReport = (view: poolWorker.WorkerView, viewFence: number): void => {
     const isOlder =
-      held !== undefined &&
-      (view.incarnationMs < held.view.incarnationMs ||
-        (view.incarnationMs === held.view.incarnationMs && view.clockMs < held.view.clockMs));
+      latest !== undefined &&
+      (view.incarnationMs < latest.view.incarnationMs ||
+        (view.incarnationMs === latest.view.incarnationMs && view.clockMs < latest.view.clockMs));
     if (isOlder) return;
-    noteLife(view.incarnationMs);
-    const before = describeRuns(held?.view);
-    held = {
+    recordIncarnation(view.incarnationMs);
+    const before = describeRuns(latest?.view);
+    latest = {
       view,
-      fence: Math.max(viewFence, held?.fence ?? 0),
+      fence: Math.max(viewFence, latest?.fence ?? 0),
       receivedAtMs: time.monotonicMs(),
     };
     if (before === describeRuns(view)) return;
-    tellEnds(view);
-    noteChange();
+    logEnds(view);
+    notifyChange();
   };
 
   /** @returns whether the worker sent its report */
-  const look = async (waitMs: number): Promise<boolean> => {
+  const fetchReport = async (waitMs: number): Promise<boolean> => {
     const viewFence = fence;
     // After an outage a new incarnation may answer; the previous one's acknowledgement would drop its run ends.
-    const isSeenUpToMeant = isAnswering && isPresentLife(seen.incarnationMs);
+    const isSeenUpToMeant = isAnswering && isCurrentIncarnation(acknowledged.incarnationMs);
     const answer = await options.worker.view(info?.workerId, {
       fence: workerFence(viewFence),
-      leaseUntilMs: isPresentLife(lease.incarnationMs) ? lease.untilMs : 0,
-      seenUpTo: isSeenUpToMeant ? seen.upTo : 0,
+      leaseUntilMs: isCurrentIncarnation(lease.incarnationMs) ? lease.untilMs : 0,
+      seenUpTo: isSeenUpToMeant ? acknowledged.upTo : 0,
       waitMs,
     });
     isAnswering = answer.outcome === 'view';
     if (answer.outcome === 'view') {
-      takeView(answer.view, viewFence);
+      applyReport(answer.view, viewFence);
       return true;
     }
     metrics.count('auburnlift_worker_unanswered_total', { outcome: answer.outcome });
@@ -181,8 +181,8 @@
   };
 
   const hasUnacknowledged = (): boolean => {
-    const last = held?.view.ended.at(-1)?.sequence ?? 0;
-    const upTo = isPresentLife(seen.incarnationMs) ? seen.upTo : 0;
+    const last = latest?.view.ended.at(-1)?.sequence ?? 0;
+    const upTo = isCurrentIncarnation(acknowledged.incarnationMs) ? acknowledged.upTo : 0;
     return last > upTo;
   };
   const waitForAcknowledgement = (): Promise<void> =>
@@ -195,20 +195,20 @@
     });
 
   /** Renews the leases and waits for run ends, from the first call of a leader on. */
-  const hold = async (): Promise<void> => {
-    if (isHolding) return;
-    isHolding = true;
+  const poll = async (): Promise<void> => {
+    if (isPolling) return;
+    isPolling = true;
     let wasAnswering = true;
     while (!isDisposed) {
-      const isSeen = await look(isAnswering ? VIEW_WAIT_MS : 0);
-      if (isSeen !== wasAnswering) {
-        log(isSeen ? 'info' : 'warn', isSeen ? 'workerAnswers' : 'workerSilent', {
+      const hasAnswered = await fetchReport(isAnswering ? REPORT_WAIT_MS : 0);
+      if (hasAnswered !== wasAnswering) {
+        log(hasAnswered ? 'info' : 'warn', hasAnswered ? 'workerAnswers' : 'workerSilent', {
           worker: info?.workerId,
           fence,
         });
       }
-      wasAnswering = isSeen;
-      if (!isSeen) await clock.sleep(time, RETRY_MS);
+      wasAnswering = hasAnswered;
+      if (!hasAnswered) await clock.sleep(time, RETRY_MS);
       else if (hasUnacknowledged()) await waitForAcknowledgement();
     }
   };
@@ -223,13 +223,13 @@
     unfencedLives = 0;
   };
 
-  const news = (): agentContract.WorkerNews => ({
+  const buildUpdate = (): agentContract.WorkerNews => ({
     bootId: options.bootId,
     version,
     ...(info === undefined ? {} : { worker: info }),
-    ...(held === undefined ? {} : { view: held.view }),
-    viewFence: held?.fence ?? 0,
-    viewAgeMs: held === undefined ? 0 : Math.ceil(time.monotonicMs() - held.receivedAtMs),
+    ...(latest === undefined ? {} : { view: latest.view }),
+    viewFence: latest?.fence ?? 0,
+    viewAgeMs: latest === undefined ? 0 : Math.ceil(time.monotonicMs() - latest.receivedAtMs),
   });
 
   const refusalOf = (request: agentContract.OrderRequest): string | undefined => {
@@ -242,14 +242,14 @@
 
   const attempt = async (
     request: agentContract.OrderRequest,
-    give: () => Promise<agentContract.WorkerAnswer>,
+    send: () => Promise<agentContract.WorkerAnswer>,
   ): Promise<agentContract.AttemptedOrder> => {
-    let answer = await give();
+    let answer = await send();
     const hasOpenCopy = answer.outcome === 'unknown';
     for (let tries = 1; tries < ORDER_ATTEMPTS && answer.outcome === 'unknown'; tries += 1) {
       // A new incarnation would execute again what the previous one may already have executed.
       if (refusalOf(request) !== undefined) break;
-      answer = await give();
+      answer = await send();
     }
     // After an unanswered attempt a refusal is not conclusive: the delayed duplicate may still take effect.
     return hasOpenCopy && answer.outcome === 'refused'
@@ -311,17 +311,17 @@
       const before = info;
       if (before !== undefined) {
         if (next.incarnationMs < before.incarnationMs) return;
-        const isSameLife = next.incarnationMs === before.incarnationMs;
-        if (isSameLife && heartbeat.sequence <= heartbeatSequence) return;
+        const isSameIncarnation = next.incarnationMs === before.incarnationMs;
+        if (isSameIncarnation && heartbeat.sequence <= heartbeatSequence) return;
       }
       heartbeatSequence = heartbeat.sequence;
       info = next;
-      noteLife(next.incarnationMs);
-      const isNews =
+      recordIncarnation(next.incarnationMs);
+      const isChanged =
         before?.workerId !== next.workerId ||
         before.incarnationMs !== next.incarnationMs ||
         before.state !== next.state;
-      if (!isNews) return;
+      if (!isChanged) return;
       log('info', 'workerChanged', {
         worker: next.workerId,
         incarnation: next.incarnationMs,
@@ -329,13 +329,13 @@
         state: next.state,
         remainingMs: next.remainingMs,
       });
-      noteChange();
+      notifyChange();
     },
     noteDeparture: (workerId) => {
       if (info?.workerId !== workerId) return;
       log('info', 'workerLeft', { worker: workerId, incarnation: info.incarnationMs });
       info = { ...info, state: poolWorker.WorkerState.gone };
-      noteChange();
+      notifyChange();
     },
     sync: async (request) => {
       raiseFence(request.fence);
@@ -346,20 +346,21 @@
         lease = { incarnationMs, untilMs };
       }
       if (incarnationMs !== 0) {
-        const isLater = request.seenUpTo > seen.upTo || incarnationMs !== seen.incarnationMs;
-        seen = { incarnationMs, upTo: request.seenUpTo };
+        const isLater =
+          request.seenUpTo > acknowledged.upTo || incarnationMs !== acknowledged.incarnationMs;
+        acknowledged = { incarnationMs, upTo: request.seenUpTo };
         if (isLater) onDidAcknowledge();
       }
-      if (held === undefined || held.fence < fence) {
-        const isSeen = await look(0);
-        void hold();
+      if (latest === undefined || latest.fence < fence) {
+        const hasAnswered = await fetchReport(0);
+        void poll();
         // If the worker refuses immediately, the leader would otherwise send requests in a busy loop.
-        if (!isSeen) await waitForChange(Math.min(request.waitMs, SILENT_WAIT_MS));
-        return news();
+        if (!hasAnswered) await waitForChange(Math.min(request.waitMs, UNREACHABLE_WAIT_MS));
+        return buildUpdate();
       }
-      void hold();
+      void poll();
       if (request.knownVersion === version) await waitForChange(request.waitMs);
-      return news();
+      return buildUpdate();
     },
     order: async (request) => {
       raiseFence(request.fence);
@@ -368,12 +369,12 @@
         Promise.all(request.stops.map((it) => stopOne(request, it))),
         Promise.all(request.paces.map((it) => paceOne(request, it))),
       ]);
-      const isNewsLater = await look(0);
-      return { starts, stops, paces, news: news(), isNewsLater };
+      const isNewsLater = await fetchReport(0);
+      return { starts, stops, paces, news: buildUpdate(), isNewsLater };
     },
     dispose: () => {
       isDisposed = true;
-      noteChange();
+      notifyChange();
     },
   };
 };
--- a/src/coordination/node/pool/poolLeader.ts
+++ b/src/coordination/node/pool/poolLeader.ts
@@ -23,14 +23,14 @@
 
 import type * as adviceDesk from './adviceDesk.js';
 import * as agentSession from './agentSession.js';
-import * as endedJobs from './endedJobs.js';
+import * as endedJobsRemoval from './endedJobsRemoval.js';
 import * as orderDesk from './orderDesk.js';
 import * as planDriver from './planDriver.js';
 import type * as poolLeadership from './poolLeadership.js';
 import * as progressWriter from './progressWriter.js';
 import * as recordFeed from './recordFeed.js';
 import * as runControl from './runControl.js';
-import * as storedNews from './storedNews.js';
+import * as storedRecordReader from './storedRecordReader.js';
 
 /** Limits of the deployment that apply to the leader. */
 export interface PoolLimits {
@@ -78,7 +78,7 @@
 const TICK_MS = 200;
 
 /** An agent without a record that has not responded for this long is removed. */
-const FORGET_AGENT_MS = 60_000;
+const REMOVE_AGENT_MS = 60_000;
 
 /**
  * Interval of storing new checkpoints in batches. A power loss of all machines costs at most this much saved work;
@@ -103,7 +103,7 @@
   const workers = new Map<string, workerTable.WorkerEntry>();
   const sessions = new Map<string, disposable.Disposable>();
   const listedAgents = new Set<string>();
-  const savedJobs = new Set<string>();
+  const checkpointedJobs = new Set<string>();
   const estimates = estimateBook.createEstimateBook();
   const startedAtMs = time.monotonicMs();
   const formerLapseAtMs = startedAtMs + leaseClock.formerLeasesLapseMs(options.limits.maxLeaseMs);
@@ -134,7 +134,7 @@
       const entry = registry.get(jobId);
       if (entry !== undefined) entry.progressRevision = revision;
     },
-    onDidFindCancel: (record) => takeJobRecord(record, 'write'),
+    onDidFindCancel: (record) => handleJobRecord(record, 'write'),
     onDidConflict: options.onDidConflict,
   });
   const control: runControl.RunControl = runControl.createRunControl({
@@ -143,22 +143,22 @@
     metrics,
     registry,
     workers,
-    desk: () => desk,
+    orderSender: () => orderSender,
     grantMs: fullGrantMs,
     formerLapseAtMs,
     doneRuns: options.doneRuns,
     estimates,
     save: writer.save,
     whenStored: writer.whenStored,
-    onDidSave: (jobId) => savedJobs.add(jobId),
+    onDidCheckpoint: (jobId) => checkpointedJobs.add(jobId),
     onDidChange: () => driver.schedule(),
   });
-  const desk = orderDesk.createOrderDesk({
+  const orderSender = orderDesk.createOrderDesk({
     link: options.link,
     clock: time,
     log,
     grantMs,
-    onSettled: control.takeSettled,
+    onSettled: control.applyOrderResults,
   });
   const driver = planDriver.createPlanDriver({
     clock: time,
@@ -170,7 +170,7 @@
     estimates,
     farFactor: options.limits.farFactor,
     control: () => control,
-    desk: () => desk,
+    orderSender: () => orderSender,
     save: writer.save,
     configuration: options.configuration,
     askAdvice: options.askAdvice,
@@ -191,7 +191,7 @@
   };
 
   /** The first update about a worker triggers the adoption of runs that a previous leader assigned to it. */
-  const takeNews = (
+  const applyUpdate = (
     worker: workerTable.WorkerEntry,
     news: agentContract.WorkerNews,
     receivedAtMs: number,
@@ -202,7 +202,7 @@
       adoptRuns(worker);
       driver.schedule();
     }
-    return control.takeNews(worker, news, receivedAtMs);
+    return control.applyUpdate(worker, news, receivedAtMs);
   };
 
   const openSession = (worker: workerTable.WorkerEntry): void => {
@@ -212,15 +212,15 @@
       log,
       worker,
       grantMs,
-      onNews: (news, receivedAtMs) => takeNews(worker, news, receivedAtMs),
-      onDidLose: () => {
+      onUpdate: (news, receivedAtMs) => applyUpdate(worker, news, receivedAtMs),
+      onDidLoseAgent: () => {
         worker.isReachable = false;
       },
     });
     sessions.set(worker.agentId, session);
   };
 
-  const takeAgent = (record: store.StoreEntry): void => {
+  const handleAgentRecord = (record: store.StoreEntry): void => {
     const agentId = record.key.slice(poolKeys.AGENTS.length);
     const url = addressRecord.parseAddressRecord(record.value);
     if (url === undefined) {
@@ -240,7 +240,7 @@
     openSession(worker);
   };
 
-  const settleCancel = (entry: jobBook.JobEntry | undefined): void => {
+  const applyCancellation = (entry: jobBook.JobEntry | undefined): void => {
     if (entry?.isCancelled !== true) return;
     if (!jobEnds.cancel(entry, time.wallMs())) return;
     control.stopUnwanted(entry, 'cancelled');
@@ -248,7 +248,7 @@
   };
 
   /** @param source - how the leader received the record */
-  const takeJobRecord = (record: store.StoreEntry, source: 'watch' | 'write' | 'entry'): void => {
+  const handleJobRecord = (record: store.StoreEntry, source: 'watch' | 'write' | 'entry'): void => {
     const effect = registry.takeRecord(record, nowMs());
     if (effect === jobRegistry.RecordEffect.none || !isLoaded) return;
     const jobId = poolKeys.parseJobKey(record.key)?.jobId ?? '';
@@ -258,30 +258,30 @@
       recordsAgeMs: Math.round(feed.ageMs()),
       source,
     });
-    settleCancel(registry.get(jobId));
+    applyCancellation(registry.get(jobId));
     driver.schedule();
   };
 
-  const takeRecord = (record: store.StoreEntry): void => {
+  const handleRecord = (record: store.StoreEntry): void => {
     if (record.key === poolKeys.LEADER) {
       // The term ends as soon as another one is observed.
       if (record.revision !== term.condition.revision) options.onDidConflict('another term began');
     } else if (record.key.startsWith(poolKeys.AGENTS)) {
-      takeAgent(record);
+      handleAgentRecord(record);
     } else {
-      takeJobRecord(record, 'watch');
+      handleJobRecord(record, 'watch');
     }
   };
 
-  const takeRemoval = (key: string): void => {
+  const handleRemoval = (key: string): void => {
     if (key === poolKeys.LEADER) options.onDidConflict('the leadership record is gone');
     if (key.startsWith(poolKeys.AGENTS)) listedAgents.delete(key.slice(poolKeys.AGENTS.length));
   };
 
-  const noteLoaded = (revision: number): void => {
+  const handleLoaded = (revision: number): void => {
     isLoaded = true;
     for (const entry of registry.all()) {
-      settleCancel(entry);
+      applyCancellation(entry);
       estimateBook.noteJob(estimates, entry.job, jobBook.tasksOf(entry));
     }
     control.recallDone();
@@ -296,10 +296,10 @@
     driver.schedule();
   };
 
-  const forgetAgents = (): void => {
+  const removeAgents = (): void => {
     for (const worker of workers.values()) {
-      const isSilent = nowMs() - worker.contactedAtMs > FORGET_AGENT_MS;
-      if (isSilent && !listedAgents.has(worker.agentId) && worker.runs.size === 0) {
+      const isUnreachable = nowMs() - worker.contactedAtMs > REMOVE_AGENT_MS;
+      if (isUnreachable && !listedAgents.has(worker.agentId) && worker.runs.size === 0) {
         void sessions.get(worker.agentId)?.dispose();
         sessions.delete(worker.agentId);
         workers.delete(worker.agentId);
@@ -310,11 +310,11 @@
   const storeCheckpoints = (): void => {
     if (nowMs() - checkpointedAtMs < CHECKPOINT_PERIOD_MS) return;
     checkpointedAtMs = nowMs();
-    for (const jobId of savedJobs) void writer.save(jobId);
-    savedJobs.clear();
+    for (const jobId of checkpointedJobs) void writer.save(jobId);
+    checkpointedJobs.clear();
   };
 
-  const removeEnded = endedJobs.createEndedJobsRemoval({
+  const removeEndedJobs = endedJobsRemoval.createEndedJobsRemoval({
     store: options.store,
     clock: time,
     log,
@@ -328,17 +328,17 @@
     control.repeatStops();
     control.inspect();
     storeCheckpoints();
-    control.giveUpLost();
-    forgetAgents();
+    control.declareLost();
+    removeAgents();
     driver.schedule();
-    void removeEnded();
+    void removeEndedJobs();
     time.after(TICK_MS, tick);
   };
 
   owned.add({
     dispose: () => {
       writer.dispose();
-      desk.dispose();
+      orderSender.dispose();
       sessions.forEach((it) => {
         void it.dispose();
       });
@@ -349,21 +349,21 @@
       store: options.store,
       clock: time,
       log,
-      onRecord: takeRecord,
-      onRemoved: takeRemoval,
+      onRecord: handleRecord,
+      onRemoved: handleRemoval,
       onProgress: registry.takeProgress,
-      onDidLoad: noteLoaded,
+      onDidLoad: handleLoaded,
     }),
   );
   time.after(TICK_MS, tick);
   return {
-    noteStored: storedNews.createStoredNews({
+    noteStored: storedRecordReader.createStoredRecordReader({
       store: options.store,
       clock: time,
       log,
       registry,
       isReady,
-      onRecord: (record) => takeJobRecord(record, 'entry'),
+      onRecord: (record) => handleJobRecord(record, 'entry'),
     }),
     pendingByQueue: () =>
       isLoaded && feed.ageMs() <= MAX_TOLD_AGE_MS ? registry.pendingByQueue() : undefined,
--- a/src/coordination/node/pool/poolLeadership.ts
+++ b/src/coordination/node/pool/poolLeadership.ts
@@ -81,7 +81,7 @@
 /** Delay after a failed call. */
 const RETRY_MS = 250;
 
-interface Held {
+interface HeldLeadership {
   readonly term: Term;
   readonly leaseId: string;
 }
@@ -98,20 +98,20 @@
 export const createLeadership = (options: LeadershipOptions): Leadership => {
   const { store, clock: time, log } = options;
   let isDisposed = false;
-  let held: Held | undefined;
+  let held: HeldLeadership | undefined;
   let known: LeaderRecord | undefined;
-  let certainUntilMs = 0;
-  let certainUntilWallMs = 0;
+  let validUntilMs = 0;
+  let validUntilWallMs = 0;
   /** The last takeover attempt, whose answer may have been lost. */
   let attempt: { readonly record: LeaderRecord; readonly leaseId: string } | undefined;
   const aborter = new AbortController();
 
-  const noteRenewed = (sentAtMs: number, sentAtWallMs: number): void => {
-    certainUntilMs = sentAtMs + options.leaseMs;
-    certainUntilWallMs = sentAtWallMs + options.leaseMs;
+  const recordRenewal = (sentAtMs: number, sentAtWallMs: number): void => {
+    validUntilMs = sentAtMs + options.leaseMs;
+    validUntilWallMs = sentAtWallMs + options.leaseMs;
   };
   const isCertain = (): boolean =>
-    held !== undefined && time.monotonicMs() < certainUntilMs && time.wallMs() < certainUntilWallMs;
+    held !== undefined && time.monotonicMs() < validUntilMs && time.wallMs() < validUntilWallMs;
   const lose = (reason: string): void => {
     if (held === undefined) return;
     held = undefined;
@@ -136,7 +136,7 @@
     options.onDidGain(held.term);
   };
 
-  const takeOver = async (epochRevision: number, lastEpoch: number): Promise<void> => {
+  const tryTakeover = async (epochRevision: number, lastEpoch: number): Promise<void> => {
     const sentAtMs = time.monotonicMs();
     const sentAtWallMs = time.wallMs();
     const leaseId = await store.grantLease(options.leaseMs);
@@ -156,20 +156,23 @@
       removes: [],
     });
     if (!result.isCommitted || isDisposed) return;
-    noteRenewed(sentAtMs, sentAtWallMs);
+    recordRenewal(sentAtMs, sentAtWallMs);
     gain(record, leaseId, result.revision);
   };
 
-  const renew = async (current: Held): Promise<void> => {
+  const renew = async (current: HeldLeadership): Promise<void> => {
     const sentAtMs = time.monotonicMs();
     const sentAtWallMs = time.wallMs();
-    const stands = await store.renewLease(current.leaseId, options.leaseMs * RENEW_TIMEOUT_SHARE);
+    const isRenewed = await store.renewLease(
+      current.leaseId,
+      options.leaseMs * RENEW_TIMEOUT_SHARE,
+    );
     if (held !== current) return;
-    if (stands) noteRenewed(sentAtMs, sentAtWallMs);
+    if (isRenewed) recordRenewal(sentAtMs, sentAtWallMs);
     else lose('the lease has expired');
   };
 
-  const lead = async (current: Held): Promise<void> => {
+  const lead = async (current: HeldLeadership): Promise<void> => {
     while (held === current && !isDisposed) {
       if (isCertain()) await clock.sleep(time, options.leaseMs / RENEWALS_PER_LEASE);
       try {
@@ -205,7 +208,7 @@
       return undefined;
     }
     const epoch = entries.find((it) => it.key === poolKeys.EPOCH);
-    await takeOver(epoch?.revision ?? 0, Number(epoch?.value ?? 0));
+    await tryTakeover(epoch?.revision ?? 0, Number(epoch?.value ?? 0));
     return undefined;
   };
 
--- a/src/coordination/node/pool/recordFeed.ts
+++ b/src/coordination/node/pool/recordFeed.ts
@@ -57,7 +57,7 @@
 export const startRecordFeed = (options: RecordFeedOptions): RecordFeed => {
   const { clock: time, log } = options;
   const aborter = new AbortController();
-  const present = new Set<string>();
+  const knownKeys = new Set<string>();
   const age = viewAge.createViewAge(time);
   let isDisposed = false;
   let isAnswered = true;
@@ -65,12 +65,12 @@
   let watchSentAtMs = 0;
   let failedWatches = 0;
 
-  const take = (record: store.StoreEntry): void => {
-    present.add(record.key);
+  const deliver = (record: store.StoreEntry): void => {
+    knownKeys.add(record.key);
     options.onRecord(record);
   };
-  const remove = (key: string): void => {
-    if (present.delete(key)) options.onRemoved(key);
+  const deliverRemoval = (key: string): void => {
+    if (knownKeys.delete(key)) options.onRemoved(key);
   };
 
   const load = async (): Promise<void> => {
@@ -78,7 +78,7 @@
     const live = await options.store.list(poolKeys.LIVE);
     const progress = await options.store.list(poolKeys.PROGRESS);
     if (isDisposed) return;
-    live.entries.forEach(take);
+    live.entries.forEach(deliver);
     progress.entries.forEach(options.onProgress);
     age.prove(sentAt);
     revision = live.revision;
@@ -90,22 +90,22 @@
     const live = await options.store.list(poolKeys.LIVE);
     if (isDisposed) return;
     const listed = new Set(live.entries.map((it) => it.key));
-    for (const key of [...present]) if (!listed.has(key)) remove(key);
-    live.entries.forEach(take);
+    for (const key of [...knownKeys]) if (!listed.has(key)) deliverRemoval(key);
+    live.entries.forEach(deliver);
     age.prove(sentAt);
     revision = live.revision;
     log('info', 'relisted', { revision, records: live.entries.length });
-    noteAnswer();
+    recordAnswer();
   };
 
-  const noteAnswer = (): void => {
+  const recordAnswer = (): void => {
     if (!isAnswered) log('info', 'watchAnswers', { revision, ageMs: Math.round(age.ageMs()) });
     isAnswered = true;
     failedWatches = 0;
     watchSentAtMs = time.monotonicMs();
   };
 
-  const noteFailure = (thrown: unknown): void => {
+  const recordFailure = (thrown: unknown): void => {
     const waitedMs = time.monotonicMs() - watchSentAtMs;
     isAnswered = false;
     if (waitedMs > REFUSED_MS) failedWatches += 1;
@@ -117,11 +117,11 @@
     });
   };
 
-  const takeChanges = (seen: store.WatchResult): void => {
-    seen.entries.forEach(take);
-    seen.deletedKeys.forEach(remove);
+  const deliverChanges = (seen: store.WatchResult): void => {
+    seen.entries.forEach(deliver);
+    seen.deletedKeys.forEach(deliverRemoval);
     revision = seen.revision;
-    noteAnswer();
+    recordAnswer();
   };
 
   /** Follows changes until a watch fails; lists all records if the store no longer retains the changes. */
@@ -134,7 +134,7 @@
         waitMs: WATCH_MS,
         signal: aborter.signal,
         age,
-        onDidSee: takeChanges,
+        onDidSee: deliverChanges,
       },
       revision,
     );
@@ -148,7 +148,7 @@
         await followOnce();
       } catch (thrown) {
         if (isDisposed) return;
-        noteFailure(thrown);
+        recordFailure(thrown);
         await clock.sleep(time, RETRY_MS);
       }
     }
--- a/src/coordination/node/pool/runControl.ts
+++ b/src/coordination/node/pool/runControl.ts
@@ -25,7 +25,7 @@
 import * as workerBlame from '../../common/pool/workerBlame.js';
 import * as workerTable from '../../common/pool/workerTable.js';
 
-import * as endNotes from './endNotes.js';
+import * as endRecorder from './endRecorder.js';
 import * as lostRuns from './lostRuns.js';
 import type * as orderDesk from './orderDesk.js';
 import * as orderIntake from './orderIntake.js';
@@ -38,7 +38,7 @@
   readonly metrics: metrics.Metrics;
   readonly registry: jobRegistry.JobRegistry;
   readonly workers: ReadonlyMap<string, workerTable.WorkerEntry>;
-  readonly desk: () => orderDesk.OrderDesk;
+  readonly orderSender: () => orderDesk.OrderDesk;
   /** Duration of leases: on a worker whose incarnation is younger, no lease can have expired. */
   readonly grantMs: number;
   /** Leader's clock by which every lease granted by a previous leader has expired. */
@@ -51,7 +51,7 @@
   /** Settled once no change of a job is waiting to be stored. */
   readonly whenStored: (jobId: string) => Promise<void>;
   /** A job has a new checkpoint, which can be stored later in a batch. */
-  readonly onDidSave: (jobId: string) => void;
+  readonly onDidCheckpoint: (jobId: string) => void;
   /** Something changed that requires a planning round. */
   readonly onDidChange: () => void;
 }
@@ -59,12 +59,12 @@
 /** The leader's control of the runs. */
 export interface RunControl {
   /** @returns settled once the run ends in the update are stored and may be acknowledged */
-  readonly takeNews: (
+  readonly applyUpdate: (
     worker: workerTable.WorkerEntry,
     news: agentContract.WorkerNews,
     receivedAtMs: number,
   ) => Promise<unknown>;
-  readonly takeSettled: (settled: orderDesk.SettledOrders) => void;
+  readonly applyOrderResults: (settled: orderDesk.SettledOrders) => void;
   /** Applies completed runs that this process received in an earlier term and could not store. */
   readonly recallDone: () => void;
   /** Registers a run that a previous leader ordered; the worker's next report shows whether it exists. */
@@ -83,9 +83,9 @@
   /** Stops the remaining runs of an ended job, and of gangs that lost a member. */
   readonly stopUnwanted: (entry: jobBook.JobEntry, cause: string) => void;
   /** Ends a run that has certainly ended or can no longer start. */
-  readonly noteLost: (run: workerTable.RunHolding, cause: string) => void;
+  readonly markLost: (run: workerTable.RunHolding, cause: string) => void;
   /** Declares the runs of unreachable workers lost once all their leases have expired. */
-  readonly giveUpLost: () => void;
+  readonly declareLost: () => void;
   /** Repeats stop orders that have had no effect yet. */
   readonly repeatStops: () => void;
   readonly isWanted: (run: workerTable.RunHolding) => boolean;
@@ -109,7 +109,7 @@
 export const createRunControl = (options: RunControlOptions): RunControl => {
   const { clock: time, log, metrics } = options;
   const nowMs = (): number => time.monotonicMs();
-  const notes = endNotes.createEndNotes(options);
+  const recorder = endRecorder.createEndRecorder(options);
 
   const stopRun = (
     worker: workerTable.WorkerEntry,
@@ -120,7 +120,7 @@
     run.stopSentAtMs = nowMs();
     log('info', 'runStopped', { task: run.name, run: run.run, agent: worker.agentId, cause });
     metrics.count('auburnlift_stops_total', { cause });
-    options.desk().stop(worker, run);
+    options.orderSender().stop(worker, run);
   };
 
   const stopGroup = (groupKey: string, cause: string): void => {
@@ -135,14 +135,14 @@
   const stopUnwanted = (entry: jobBook.JobEntry, cause: string): void => {
     for (const worker of options.workers.values()) {
       for (const run of worker.runs.values()) {
-        const isOurs = run.entry === entry && run.phase === workerTable.RunPhase.present;
-        if (isOurs && !runNeed.isWanted(run) && !runNeed.isDone(run)) stopRun(worker, run, cause);
+        const isOwn = run.entry === entry && run.phase === workerTable.RunPhase.present;
+        if (isOwn && !runNeed.isWanted(run) && !runNeed.isDone(run)) stopRun(worker, run, cause);
       }
     }
   };
 
   /** Marks a run as closing: it counts as gone once the worker has answered under a higher fence. */
-  const close = (worker: workerTable.WorkerEntry, run: workerTable.RunHolding): void => {
+  const markClosing = (worker: workerTable.WorkerEntry, run: workerTable.RunHolding): void => {
     workerTable.raiseFence(worker);
     run.phase = workerTable.RunPhase.closing;
     run.closeFence = worker.fence;
@@ -152,31 +152,31 @@
     entry: jobBook.JobEntry,
     task: jobBook.TaskEntry,
     outcome: jobEnds.RunOutcome,
-    mayBeEarlier = false,
+    mayBeOfLostRun = false,
   ): Promise<void> => {
     const { jobId } = entry.job;
     const hadEnded = jobBook.isEnded(entry);
     // The end of another gang member may already have changed the job, and that change may not be stored yet.
     const hasChanged =
       jobEnds.noteEnd(entry, task, outcome, time.wallMs()) ||
-      (mayBeEarlier && jobEnds.noteEarlierDone(entry, task, outcome, time.wallMs()));
+      (mayBeOfLostRun && jobEnds.noteEarlierDone(entry, task, outcome, time.wallMs()));
     if (!hasChanged) return options.whenStored(jobId);
-    notes.noteRunEnd(entry, task, outcome);
+    recorder.recordRunEnd(entry, task, outcome);
     const hasEnded = jobBook.isEnded(entry);
-    if (hasEnded && !hadEnded) notes.noteJobEnd(entry);
+    if (hasEnded && !hadEnded) recorder.recordJobEnd(entry);
     stopUnwanted(entry, hasEnded ? 'jobEnded' : 'gangBroken');
     options.onDidChange();
     return options.save(jobId);
   };
 
-  const noteLost = (run: workerTable.RunHolding, cause: string): void => {
+  const markLost = (run: workerTable.RunHolding, cause: string): void => {
     log('warn', 'runLost', { task: run.name, run: run.run, cause });
     const outcome = { run: run.run, how: 'lost', saved: run.saved } as const;
     void endRun(run.entry, run.task, outcome);
   };
 
   /** The job and task for a task name, if the leader knows them. */
-  const lookUp = (
+  const findTask = (
     text: string,
   ): { entry: jobBook.JobEntry; task: jobBook.TaskEntry } | undefined => {
     const name = poolWorker.parseTaskName(text);
@@ -186,7 +186,7 @@
     return task === undefined ? undefined : { entry, task };
   };
 
-  const keepUntilStored = async (
+  const trackUntilStored = async (
     { task, run }: poolWorker.EndedRun,
     stored: Promise<void>,
   ): Promise<void> => {
@@ -198,7 +198,7 @@
 
   const recallDone = (): void => {
     for (const done of options.doneRuns.all()) {
-      const known = lookUp(done.task);
+      const known = findTask(done.task);
       const stored =
         known === undefined
           ? Promise.resolve()
@@ -207,23 +207,26 @@
     }
   };
 
-  const takeEnd = (
+  const applyEnd = (
     worker: workerTable.WorkerEntry,
     end: poolWorker.EndedRun,
   ): Promise<void> | undefined => {
-    const known = lookUp(end.task);
-    notes.noteBlame(worker, end, known?.entry.job.jobId ?? '');
+    const known = findTask(end.task);
+    recorder.updateSuspicion(worker, end, known?.entry.job.jobId ?? '');
     if (known === undefined) {
       log('warn', 'endOfUnknownRun', { task: end.task, run: end.run, agent: worker.agentId });
       return undefined;
     }
     // The end of a run already declared lost counts only while no lease of this incarnation can have expired.
     const stored = endRun(known.entry, known.task, end, worker.viewClockMs < options.grantMs);
-    return end.how === 'done' ? keepUntilStored(end, stored) : stored;
+    return end.how === 'done' ? trackUntilStored(end, stored) : stored;
   };
 
-  const takeStray = (worker: workerTable.WorkerEntry, listed: poolWorker.RunningTask): void => {
-    const known = lookUp(listed.task);
+  const adoptUnknownRun = (
+    worker: workerTable.WorkerEntry,
+    listed: poolWorker.RunningTask,
+  ): void => {
+    const known = findTask(listed.task);
     if (known === undefined) {
       log('error', 'unknownTaskRuns', { task: listed.task, agent: worker.agentId });
       return;
@@ -238,13 +241,13 @@
     if (!runNeed.isWanted(run)) stopRun(worker, run, 'notWanted');
   };
 
-  const noteSaved = (run: workerTable.RunHolding): void => {
+  const recordCheckpoint = (run: workerTable.RunHolding): void => {
     if (!runNeed.isWanted(run)) return;
     for (const member of jobBook.groupOf(run.entry, run.task)) member.saved = run.saved;
-    options.onDidSave(run.entry.job.jobId);
+    options.onDidCheckpoint(run.entry.job.jobId);
   };
 
-  const startNewLife = (worker: workerTable.WorkerEntry, info: poolWorker.WorkerInfo): void => {
+  const startIncarnation = (worker: workerTable.WorkerEntry, info: poolWorker.WorkerInfo): void => {
     worker.info = info;
     worker.seenUpTo = 0;
     worker.appliedUpTo = 0;
@@ -263,20 +266,20 @@
     }
   };
 
-  const takeInfo = (
+  const applyInfo = (
     worker: workerTable.WorkerEntry,
     info: poolWorker.WorkerInfo | undefined,
   ): void => {
     if (info === undefined) return;
     const before = worker.info;
-    const isNewLife =
+    const isNewIncarnation =
       before?.workerId !== info.workerId || before.incarnationMs !== info.incarnationMs;
-    if (isNewLife) startNewLife(worker, info);
+    if (isNewIncarnation) startIncarnation(worker, info);
     worker.info = info;
     if (info.state === poolWorker.WorkerState.draining && worker.leavesAtMs === Infinity) {
       worker.leavesAtMs = nowMs() + (info.remainingMs ?? DEFAULT_REMAINING_MS);
     }
-    if (isNewLife || before.state !== info.state) {
+    if (isNewIncarnation || before.state !== info.state) {
       log('info', 'workerChanged', {
         agent: worker.agentId,
         worker: info.workerId,
@@ -296,22 +299,22 @@
     listed.forEach((end) => ends.add(end.sequence));
     return Promise.all(
       listed.map(async (end) => {
-        await takeEnd(worker, end);
+        await applyEnd(worker, end);
         const upTo = ends.note(end.sequence);
         if (worker.ends === ends) worker.seenUpTo = upTo;
       }),
     );
   };
 
-  const takeView = (
+  const applyReport = (
     worker: workerTable.WorkerEntry,
     news: agentContract.WorkerNews,
     receivedAtMs: number,
   ): Promise<unknown> => {
     const { view, viewFence, viewAgeMs } = news;
     const { info } = worker;
-    const isPresent = view !== undefined && view.incarnationMs === info?.incarnationMs;
-    if (!isPresent || view.clockMs < worker.viewClockMs) return Promise.resolve();
+    const isCurrent = view !== undefined && view.incarnationMs === info?.incarnationMs;
+    if (!isCurrent || view.clockMs < worker.viewClockMs) return Promise.resolve();
     worker.viewClockMs = view.clockMs;
     worker.sample = {
       incarnationMs: view.incarnationMs,
@@ -319,12 +322,12 @@
       atMs: receivedAtMs - viewAgeMs,
     };
     const facts = viewIntake.takeView(worker, { view, viewFence }, nowMs());
-    facts.saved.forEach(noteSaved);
-    notes.learn(worker, facts.done);
+    facts.saved.forEach(recordCheckpoint);
+    recorder.recordRuntimes(worker, facts.done);
     const stored = acknowledge(worker, facts.ends);
-    facts.gone.forEach((run) => noteLost(run, 'notOnWorker'));
-    facts.vanished.forEach((run) => close(worker, run));
-    facts.strays.forEach((listed) => takeStray(worker, listed));
+    facts.gone.forEach((run) => markLost(run, 'notOnWorker'));
+    facts.vanished.forEach((run) => markClosing(worker, run));
+    facts.strays.forEach((listed) => adoptUnknownRun(worker, listed));
     for (const run of worker.runs.values()) {
       const isStale =
         run.phase === workerTable.RunPhase.present &&
@@ -336,23 +339,28 @@
     return stored;
   };
 
-  const lost = lostRuns.createLostRuns({ ...options, noteLost });
+  const lostRunDetection = lostRuns.createLostRuns({ ...options, markLost });
 
-  const takeNews: RunControl['takeNews'] = (worker, news, receivedAtMs) => {
+  const applyUpdate: RunControl['applyUpdate'] = (worker, news, receivedAtMs) => {
     const wasReachable = worker.isReachable;
     worker.contactedAtMs = receivedAtMs;
     worker.bootId = news.bootId;
-    takeInfo(worker, news.worker);
-    const stored = takeView(worker, news, receivedAtMs);
+    applyInfo(worker, news.worker);
+    const stored = applyReport(worker, news, receivedAtMs);
     worker.isReachable = worker.sample !== undefined && news.viewAgeMs <= MAX_VIEW_AGE_MS;
     const hasDeparted =
       worker.info?.state === poolWorker.WorkerState.gone && news.viewAgeMs > DEPARTED_MS;
-    if (hasDeparted && worker.runs.size > 0) lost.giveUpWorker(worker);
+    if (hasDeparted && worker.runs.size > 0) lostRunDetection.markWorkerLost(worker);
     if (worker.isReachable !== wasReachable) options.onDidChange();
     return stored;
   };
 
-  const orders = orderIntake.createOrderIntake({ ...options, stopRun, close, noteLost });
+  const orderResults = orderIntake.createOrderIntake({
+    ...options,
+    stopRun,
+    close: markClosing,
+    markLost,
+  });
 
   const { inspect, repeatStops } = runInspection.createRunInspection({
     clock: time,
@@ -368,14 +376,14 @@
     stopRun,
     stopGroup,
     stopUnwanted,
-    noteLost,
-    takeNews,
+    markLost,
+    applyUpdate,
     recallDone,
-    takeSettled: (settled) => {
+    applyOrderResults: (settled) => {
       const { worker, news, receivedAtMs } = settled;
-      settled.starts.forEach((it) => orders.takeStart(worker, it));
-      if (news !== undefined) void takeNews(worker, news, receivedAtMs);
-      settled.stops.forEach((it) => orders.takeStop(settled, it));
+      settled.starts.forEach((it) => orderResults.handleStart(worker, it));
+      if (news !== undefined) void applyUpdate(worker, news, receivedAtMs);
+      settled.stops.forEach((it) => orderResults.handleStop(settled, it));
     },
     adoptAssigned: (worker, entry, task) => {
       const run = workerTable.createRun(entry, task, workerTable.RunPhase.closing, nowMs());
@@ -387,7 +395,7 @@
       });
       worker.runs.set(workerTable.runKey(run.name, run.run), run);
     },
-    giveUpLost: lost.giveUp,
+    declareLost: lostRunDetection.declareLost,
     repeatStops,
   };
 };
--- a/src/coordination/node/pool/runInspection.ts
+++ b/src/coordination/node/pool/runInspection.ts
@@ -31,14 +31,19 @@
 const REPEAT_STOP_MS = 700;
 
 /** Part of a draining worker's remaining time reserved for the stop and its round trip. */
-const EVACUATION_MS = 800;
+const STOP_RESERVE_MS = 800;
 
 /**
  * A run counts as stalled after this time plus this share of its declared work without any progress: its worker
  * receives no more tasks, and after the longer time the run is relocated. Most stalled workers continue within
  * six seconds, and a relocated run loses all unsaved work.
  */
-const STALL = { suspectMs: 1500, suspectShare: 0.05, moveMs: 6500, moveShare: 0.15 } as const;
+const STALL = {
+  suspectMs: 1500,
+  suspectShare: 0.05,
+  relocateMs: 6500,
+  relocateShare: 0.15,
+} as const;
 
 /**
  * @param options - its dependencies
@@ -50,17 +55,17 @@
   const inspectRun = (worker: workerTable.WorkerEntry, run: workerTable.RunHolding): void => {
     if (run.phase !== workerTable.RunPhase.present || !options.isWanted(run)) return;
     const { estimatedMs, isLongRunning } = run.step;
-    if (nowMs() + workerTable.remainingMsOf(run, nowMs()) > worker.leavesAtMs - EVACUATION_MS) {
+    if (nowMs() + workerTable.remainingMsOf(run, nowMs()) > worker.leavesAtMs - STOP_RESERVE_MS) {
       // It would be killed with its worker; if stopped now it can resume elsewhere from a checkpoint.
       options.stopGroup(run.groupKey, 'workerLeaves');
       return;
     }
     if (isLongRunning) return;
-    const stillMs = nowMs() - run.movedAtMs;
-    if (stillMs > STALL.suspectMs + STALL.suspectShare * estimatedMs) {
+    const stalledMs = nowMs() - run.movedAtMs;
+    if (stalledMs > STALL.suspectMs + STALL.suspectShare * estimatedMs) {
       workerBlame.noteStall(worker.blame, nowMs());
     }
-    if (stillMs > STALL.moveMs + STALL.moveShare * estimatedMs) {
+    if (stalledMs > STALL.relocateMs + STALL.relocateShare * estimatedMs) {
       run.task.avoid.push(worker.info?.workerId ?? '');
       options.stopGroup(run.groupKey, 'standsStill');
     }
--- a/src/coordination/node/pool/storeRelay.ts
+++ b/src/coordination/node/pool/storeRelay.ts
@@ -15,7 +15,7 @@
 import type * as clock from '../../../base/common/clock.js';
 import * as http from '../../../base/common/http.js';
 import type * as logging from '../../../base/common/logging.js';
-import * as callPace from './callPace.js';
+import * as callInterval from './callInterval.js';
 
 /** Dependencies of the relay. */
 export interface StoreRelayOptions {
@@ -40,13 +40,13 @@
 }
 
 /** A request with its deadline over all attempts, direct and relayed. */
-interface Timed {
+interface TimedRequest {
   readonly request: http.HttpRequest;
   readonly endMs: number;
 }
 
 /** The reply or the error of a call that was not served. */
-interface Failed {
+interface FailedCall {
   readonly reply?: http.HttpReply;
   readonly thrown?: unknown;
 }
@@ -61,8 +61,8 @@
  * While no process reaches the store, direct attempts are made at half the normal call rate and offers at a quarter
  * of it: in total less than the normal load, even with offers counted at both ends.
  */
-const GAPS_A_TRY = 2;
-const GAPS_AN_OFFER = 4;
+const INTERVALS_PER_DIRECT_ATTEMPT = 2;
+const INTERVALS_PER_OFFER = 4;
 
 /** Time-out of an offer: a relaying process and the store answer within two inter-region delays or not at all. */
 const OFFER_MS = 700;
@@ -71,24 +71,24 @@
 const WATCH_OFFER_MS = 2500;
 
 /** Calls with a longer time-out are treated as watches. */
-const MAX_BRIEF_MS = 1000;
+const MAX_SHORT_CALL_MS = 1000;
 
 /** With less time left, no offer is made: the store is two inter-region delays away. */
 const MIN_OFFER_MS = 200;
 
 /** Statuses with which the store refuses this machine, or all machines. */
-const TURNED_AWAY: ReadonlySet<number> = new Set([429, 503]);
+const REFUSED_STATUSES: ReadonlySet<number> = new Set([429, 503]);
 
 const isRead = ({ method }: http.HttpRequest): boolean => method === 'GET';
 
-const isWatch = ({ timeoutMs }: http.HttpRequest): boolean => timeoutMs > MAX_BRIEF_MS;
+const isWatch = ({ timeoutMs }: http.HttpRequest): boolean => timeoutMs > MAX_SHORT_CALL_MS;
 
 const isFailure = (thrown: unknown, failure: http.HttpFailure): boolean =>
   thrown instanceof http.HttpCallError && thrown.failure === failure;
 
-const isServed = ({ status }: http.HttpReply): boolean => !TURNED_AWAY.has(status);
+const isServed = ({ status }: http.HttpReply): boolean => !REFUSED_STATUSES.has(status);
 
-const giveFailed = ({ reply, thrown }: Failed): http.HttpReply => {
+const returnFailed = ({ reply, thrown }: FailedCall): http.HttpReply => {
   if (reply === undefined) throw thrown;
   return reply;
 };
@@ -99,158 +99,162 @@
  */
 export const createStoreRelay = (options: StoreRelayOptions): StoreRelay => {
   const { clock: time, log } = options;
-  const pace = callPace.createCallPace(time);
+  const interval = callInterval.createCallInterval(time);
   let isDown = false;
   let lastReply: http.HttpReply | undefined;
   let directAgainAtMs = Number.NEGATIVE_INFINITY;
   let relayAgainAtMs = Number.NEGATIVE_INFINITY;
-  let heardAtMs = Number.NEGATIVE_INFINITY;
-  let isTrying = false;
+  let receivedAtMs = Number.NEGATIVE_INFINITY;
+  let isDirectAttemptInFlight = false;
   /** The process that currently relays for this one. */
-  let preferred: string | undefined;
+  let relayUrl: string | undefined;
   /** The last search for a relay failed, and no call has been served since. */
-  let haveAllFailed = false;
+  let hasSearchFailed = false;
   /** The search for a relay in flight, whose result is used for all calls. */
-  let finding: Promise<http.HttpReply | undefined> | undefined;
+  let searching: Promise<http.HttpReply | undefined> | undefined;
   /** Number of offers made in searches, which determines the next process to ask. */
-  let passed = 0;
+  let offersMade = 0;
 
   const nowMs = (): number => time.monotonicMs();
 
-  const noteDirect = (isAnswered: boolean, reason: string): void => {
+  const recordDirect = (isAnswered: boolean, reason: string): void => {
     if (isAnswered && isDown) log('info', 'storeAnswersDirectly', {});
     if (!isAnswered && !isDown && options.urls().length > 0) {
       log('warn', 'storeRelayed', { reason });
     }
     isDown = !isAnswered;
     if (isAnswered) {
-      preferred = undefined;
-      haveAllFailed = false;
+      relayUrl = undefined;
+      hasSearchFailed = false;
       return;
     }
-    pace.noteFailure();
-    const pauseMs = preferred === undefined ? pace.gapMs() * GAPS_A_TRY : DIRECT_PAUSE_MS;
+    interval.recordFailure();
+    const pauseMs =
+      relayUrl === undefined ? interval.meanMs() * INTERVALS_PER_DIRECT_ATTEMPT : DIRECT_PAUSE_MS;
     directAgainAtMs = nowMs() + pauseMs;
   };
 
-  const hearing = (request: http.HttpRequest): http.HttpRequest => ({
+  const trackArrival = (request: http.HttpRequest): http.HttpRequest => ({
     ...request,
     onArrival: (status, piece) => {
-      heardAtMs = nowMs();
+      receivedAtMs = nowMs();
       request.onArrival?.(status, piece);
     },
   });
 
   /** A call that times out while other answers arrive indicates a saturated link, not a lost connection. */
-  const isLineFull = (thrown: unknown, request: http.HttpRequest): boolean =>
-    isFailure(thrown, http.HttpFailure.timeout) && heardAtMs > nowMs() - request.timeoutMs / 2;
+  const isLinkSaturated = (thrown: unknown, request: http.HttpRequest): boolean =>
+    isFailure(thrown, http.HttpFailure.timeout) && receivedAtMs > nowMs() - request.timeoutMs / 2;
 
   const offer = async (
     url: string,
-    { request, endMs }: Timed,
+    { request, endMs }: TimedRequest,
   ): Promise<http.HttpReply | undefined> => {
-    const wayMs = isWatch(request) ? Math.min(WATCH_OFFER_MS, request.timeoutMs) : OFFER_MS;
-    const timeoutMs = Math.min(wayMs, endMs - nowMs());
+    const limitMs = isWatch(request) ? Math.min(WATCH_OFFER_MS, request.timeoutMs) : OFFER_MS;
+    const timeoutMs = Math.min(limitMs, endMs - nowMs());
     if (timeoutMs < MIN_OFFER_MS) return undefined;
     try {
       const reply = await options.ask(url, { ...request, timeoutMs });
       if (isServed(reply)) {
-        preferred = url;
+        relayUrl = url;
         return reply;
       }
     } catch (thrown) {
       // The process asked may have executed the write although its answer is missing.
       if (!isRead(request) && !isFailure(thrown, http.HttpFailure.notSent)) {
-        if (preferred === url) preferred = undefined;
+        if (relayUrl === url) relayUrl = undefined;
         throw thrown;
       }
     }
-    if (preferred === url) preferred = undefined;
+    if (relayUrl === url) relayUrl = undefined;
     return undefined;
   };
 
   const nextUrl = (): string | undefined => {
     const urls = options.urls();
     const first = Math.floor((options.startAt ?? 0) * urls.length);
-    return urls[(first + passed) % urls.length];
+    return urls[(first + offersMade) % urls.length];
   };
 
   /** Offers a call to one process after the other until one serves it. */
-  const find = async (timed: Timed, offers: number): Promise<http.HttpReply | undefined> => {
+  const search = async (
+    timed: TimedRequest,
+    offers: number,
+  ): Promise<http.HttpReply | undefined> => {
     const count = Math.min(offers, options.urls().length);
     for (let made = 0; made < count; made += 1) {
       const url = nextUrl();
       if (url === undefined) break;
-      passed += 1;
-      relayAgainAtMs = nowMs() + pace.gapMs() * GAPS_AN_OFFER;
+      offersMade += 1;
+      relayAgainAtMs = nowMs() + interval.meanMs() * INTERVALS_PER_OFFER;
       const reply = await offer(url, timed);
       if (reply !== undefined) {
         relayAgainAtMs = Number.NEGATIVE_INFINITY;
-        haveAllFailed = false;
+        hasSearchFailed = false;
         return reply;
       }
     }
-    haveAllFailed = true;
+    hasSearchFailed = true;
     return undefined;
   };
 
-  const findAlone = async (timed: Timed): Promise<http.HttpReply | undefined> => {
-    finding = find(timed, haveAllFailed ? 1 : MAX_OFFERS);
+  const startSearch = async (timed: TimedRequest): Promise<http.HttpReply | undefined> => {
+    searching = search(timed, hasSearchFailed ? 1 : MAX_OFFERS);
     try {
-      return await finding;
+      return await searching;
     } finally {
-      finding = undefined;
+      searching = undefined;
     }
   };
 
   /** @returns the store's answer, or undefined if no process could relay the call */
-  const relay = async (timed: Timed): Promise<http.HttpReply | undefined> => {
-    if (preferred !== undefined) {
-      const reply = await offer(preferred, timed);
+  const relay = async (timed: TimedRequest): Promise<http.HttpReply | undefined> => {
+    if (relayUrl !== undefined) {
+      const reply = await offer(relayUrl, timed);
       if (reply !== undefined) return reply;
     }
     if (isWatch(timed.request)) return undefined;
-    if (finding !== undefined) {
-      await finding.catch(() => undefined);
-      return preferred === undefined ? undefined : offer(preferred, timed);
+    if (searching !== undefined) {
+      await searching.catch(() => undefined);
+      return relayUrl === undefined ? undefined : offer(relayUrl, timed);
     }
-    return nowMs() >= relayAgainAtMs ? findAlone(timed) : undefined;
+    return nowMs() >= relayAgainAtMs ? startSearch(timed) : undefined;
   };
 
-  const callDirectly = async (timed: Timed): Promise<http.HttpReply> => {
+  const callDirectly = async (timed: TimedRequest): Promise<http.HttpReply> => {
     const timeoutMs = Math.min(timed.request.timeoutMs, Math.max(1, timed.endMs - nowMs()));
     const request = { ...timed.request, timeoutMs };
-    let failed: Failed;
+    let failed: FailedCall;
     try {
-      const reply = await options.direct(hearing(request));
-      noteDirect(isServed(reply), `status ${reply.status}`);
+      const reply = await options.direct(trackArrival(request));
+      recordDirect(isServed(reply), `status ${reply.status}`);
       if (isServed(reply)) {
-        pace.noteAnswer();
+        interval.recordAnswer();
         return reply;
       }
       lastReply = reply;
       failed = { reply };
     } catch (thrown) {
       if (isFailure(thrown, http.HttpFailure.aborted)) throw thrown;
-      const isFull = isLineFull(thrown, request);
-      if (!isFull) {
+      const isSaturated = isLinkSaturated(thrown, request);
+      if (!isSaturated) {
         lastReply = undefined;
-        noteDirect(false, String(thrown));
+        recordDirect(false, String(thrown));
       }
       const isSafe = isRead(request) || isFailure(thrown, http.HttpFailure.notSent);
-      if (!isSafe || (isFull && preferred === undefined)) throw thrown;
+      if (!isSafe || (isSaturated && relayUrl === undefined)) throw thrown;
       failed = { thrown };
     }
-    return (await relay(timed)) ?? giveFailed(failed);
+    return (await relay(timed)) ?? returnFailed(failed);
   };
 
   /** Makes a direct attempt; one call at a time tests whether the store is reachable again. */
-  const tryDirectly = async (timed: Timed): Promise<http.HttpReply> => {
-    isTrying = true;
+  const tryDirectly = async (timed: TimedRequest): Promise<http.HttpReply> => {
+    isDirectAttemptInFlight = true;
     try {
       return await callDirectly(timed);
     } finally {
-      isTrying = false;
+      isDirectAttemptInFlight = false;
     }
   };
 
@@ -266,16 +270,16 @@
   const call: http.HttpCall = async (request) => {
     const timed = { request, endMs: nowMs() + (request.totalMs ?? Number.POSITIVE_INFINITY) };
     if (!isDown || options.urls().length === 0) return callDirectly(timed);
-    const isServedByOthers = preferred !== undefined || finding !== undefined;
-    const mayTry = !isTrying && !isWatch(request) && nowMs() >= directAgainAtMs;
+    const isServedByOthers = relayUrl !== undefined || searching !== undefined;
+    const mayTry = !isDirectAttemptInFlight && !isWatch(request) && nowMs() >= directAgainAtMs;
     if (mayTry && (isRead(request) || !isServedByOthers)) return tryDirectly(timed);
     return (await relay(timed)) ?? refuse();
   };
 
   const serve: http.HttpCall = async (request) => {
     if (isDown) throw new http.HttpCallError(http.HttpFailure.notSent, 'the store is unreachable');
-    const reply = await options.direct(hearing(request));
-    if (!isServed(reply)) noteDirect(false, `status ${reply.status}`);
+    const reply = await options.direct(trackArrival(request));
+    if (!isServed(reply)) recordDirect(false, `status ${reply.status}`);
     return reply;
   };
 
--- a/src/coordination/node/pool/storedNews.ts
+++ b/src/coordination/node/pool/storedRecordReader.ts
@@ -13,7 +13,7 @@
 import type * as jobRegistry from '../../common/pool/jobRegistry.js';
 
 /** Dependencies of the reader. */
-export interface StoredNewsOptions {
+export interface StoredRecordReaderOptions {
   readonly store: Pick<recordStore.RecordStore, 'list'>;
   readonly clock: clock.Clock;
   readonly log: logging.Log;
@@ -31,18 +31,18 @@
  * @param options - its dependencies
  * @returns to be called when an entry reports that it has stored a record of a job
  */
-export const createStoredNews = (
-  options: StoredNewsOptions,
+export const createStoredRecordReader = (
+  options: StoredRecordReaderOptions,
 ): ((jobId: string, part: poolKeys.JobPart) => Promise<void>) => {
-  const isHeardOf = (jobId: string, part: poolKeys.JobPart): boolean => {
+  const isKnown = (jobId: string, part: poolKeys.JobPart): boolean => {
     const entry = options.registry.get(jobId);
     return part === poolKeys.JobPart.spec ? entry !== undefined : entry?.isCancelled === true;
   };
 
   return async (jobId, part) => {
-    if (isHeardOf(jobId, part)) return;
+    if (isKnown(jobId, part)) return;
     await clock.sleep(options.clock, WATCH_LAG_MS);
-    if (!options.isReady() || isHeardOf(jobId, part)) return;
+    if (!options.isReady() || isKnown(jobId, part)) return;
     try {
       const { entries } = await options.store.list(poolKeys.jobPrefix(jobId));
       if (options.isReady()) entries.forEach(options.onRecord);
