--- a/src/coordination/node/pool/configurationShare.ts
+++ b/src/coordination/node/pool/configurationShare.ts
@@ -103,9 +103,9 @@
     waitMs: number,
   ): Promise<SharedConfiguration | undefined> => {
     try {
-      const told = await ask(afterRevision, waitMs);
+      const shared = await ask(afterRevision, waitMs);
       recordAvailability(true, 'the entry on this machine answers');
-      return told;
+      return shared;
     } catch (thrown) {
       recordAvailability(false, errors.normalize(thrown).message);
       return undefined;
@@ -118,18 +118,18 @@
   return {
     list: async (prefix) => {
       for (;;) {
-        const told = await requestFromEntry(0, INITIAL_READ_WAIT_MS);
-        if (told === undefined) return options.store.list(prefix);
-        if (told.record !== undefined) {
-          return { entries: entriesOf(told), revision: told.seenRevision };
+        const shared = await requestFromEntry(0, INITIAL_READ_WAIT_MS);
+        if (shared === undefined) return options.store.list(prefix);
+        if (shared.record !== undefined) {
+          return { entries: entriesOf(shared), revision: shared.seenRevision };
         }
       }
     },
     watch: async (prefix, afterRevision, waitMs, signal) => {
-      const told = await requestFromEntry(afterRevision, waitMs);
-      if (told === undefined) return options.store.watch(prefix, afterRevision, waitMs, signal);
-      const revision = Math.max(afterRevision, told.seenRevision);
-      return { entries: entriesOf(told), deletedKeys: [], revision, isGap: false };
+      const shared = await requestFromEntry(afterRevision, waitMs);
+      if (shared === undefined) return options.store.watch(prefix, afterRevision, waitMs, signal);
+      const revision = Math.max(afterRevision, shared.seenRevision);
+      return { entries: entriesOf(shared), deletedKeys: [], revision, isGap: false };
     },
   };
 };
--- a/src/coordination/node/pool/jobDesk.ts
+++ b/src/coordination/node/pool/jobDesk.ts
@@ -185,9 +185,13 @@
     }
   };
 
-  const logFailure = (call: Call, thrown: unknown, isOpen: boolean): void => {
+  const logFailure = (call: Call, thrown: unknown, isOutcomeUnknown: boolean): void => {
     const { message } = errors.normalize(thrown);
-    log('warn', 'storeCallFailed', { request: call.requestId, isOpen, reason: message });
+    log('warn', 'storeCallFailed', {
+      request: call.requestId,
+      isOpen: isOutcomeUnknown,
+      reason: message,
+    });
   };
 
   /** Retries a transaction until it is answered or the deadline has passed. */
--- a/src/coordination/node/pool/poolLeader.ts
+++ b/src/coordination/node/pool/poolLeader.ts
@@ -143,7 +143,7 @@
     metrics,
     registry,
     workers,
-    orderSender: () => orderSender,
+    orderSender: () => sender,
     grantMs: fullGrantMs,
     formerLapseAtMs,
     doneRuns: options.doneRuns,
@@ -153,7 +153,7 @@
     onDidCheckpoint: (jobId) => checkpointedJobs.add(jobId),
     onDidChange: () => driver.schedule(),
   });
-  const orderSender = orderDesk.createOrderDesk({
+  const sender = orderDesk.createOrderDesk({
     link: options.link,
     clock: time,
     log,
@@ -170,7 +170,7 @@
     estimates,
     farFactor: options.limits.farFactor,
     control: () => control,
-    orderSender: () => orderSender,
+    orderSender: () => sender,
     save: writer.save,
     configuration: options.configuration,
     askAdvice: options.askAdvice,
@@ -338,7 +338,7 @@
   owned.add({
     dispose: () => {
       writer.dispose();
-      orderSender.dispose();
+      sender.dispose();
       sessions.forEach((it) => {
         void it.dispose();
       });
--- a/src/coordination/node/pool/prefixWatch.ts
+++ b/src/coordination/node/pool/prefixWatch.ts
@@ -40,8 +40,8 @@
 ): Promise<void> => {
   const { age, signal } = options;
   let revision = afterRevision;
-  const proofWaitMs = options.proofWaitMs ?? options.waitMs;
-  let waitMs = proofWaitMs;
+  const confirmWaitMs = options.proofWaitMs ?? options.waitMs;
+  let waitMs = confirmWaitMs;
   for (;;) {
     const sentAt = age.now();
     const seen = await options.store.watch(options.prefix, revision, waitMs, signal);
@@ -52,6 +52,6 @@
     age.proveByWatch(sentAt, waitMs, seen);
     revision = seen.revision;
     const hasChanges = seen.entries.length + seen.deletedKeys.length > 0;
-    waitMs = hasChanges ? proofWaitMs : options.waitMs;
+    waitMs = hasChanges ? confirmWaitMs : options.waitMs;
   }
 };
