--- a/src/coordination/node/pool/viewAge.ts
+++ b/src/coordination/node/pool/viewAge.ts
@@ -23,7 +23,7 @@
 }
 
 /**
- * @param time - the clocks
+ * @param time - both clocks
  * @returns the age of a copy that has not been confirmed yet
  */
 export const createViewAge = (time: clock.Clock): ViewAge => {
