--- a/src/coordination/node/pool/endNotes.ts
+++ b/src/coordination/node/pool/endRecorder.ts
@@ -1,6 +1,6 @@
 /**
- * What the leader tells and learns from the ends of runs and jobs: lines and counters for operators, whose
- * fault a failure is, and whose declared work can be believed.
+ * Records the ends of runs and jobs: logs and metrics, attribution of failures to workers, and updates of the
+ * runtime estimates.
  */
 import type * as clock from '../../../base/common/clock.js';
 import type * as logging from '../../../base/common/logging.js';
@@ -15,47 +15,47 @@
 import * as workerBlame from '../../common/pool/workerBlame.js';
 import * as workerTable from '../../common/pool/workerTable.js';
 
-/** What the notes need. */
-export interface EndNotesOptions {
+/** Dependencies of the recorder. */
+export interface EndRecorderOptions {
   readonly clock: clock.Clock;
   readonly log: logging.Log;
   readonly metrics: metrics.Metrics;
   /** The pool's workers by agent. */
   readonly workers: ReadonlyMap<string, workerTable.WorkerEntry>;
-  /** Whose declared work can be believed; learns from what is done. */
+  /** Runtime estimates, updated from completed runs. */
   readonly estimates: estimateBook.EstimateBook;
 }
 
-/** Takes note of ends. */
-export interface EndNotes {
-  readonly noteJobEnd: (entry: jobBook.JobEntry) => void;
-  /** The end of a run, or of the gang that it stands for, has changed its job. */
-  readonly noteRunEnd: (
+/** Records ends. */
+export interface EndRecorder {
+  readonly recordJobEnd: (entry: jobBook.JobEntry) => void;
+  /** Called if the end of a run, or of the gang it belongs to, has changed the job's state. */
+  readonly recordRunEnd: (
     entry: jobBook.JobEntry,
     task: jobBook.TaskEntry,
     outcome: jobEnds.RunOutcome,
   ) => void;
-  readonly noteBlame: (
+  readonly updateSuspicion: (
     worker: workerTable.WorkerEntry,
     end: poolWorker.EndedRun,
     jobId: string,
   ) => void;
-  /** @param done - runs that the worker has ended as done */
-  readonly learn: (
+  /** @param done - runs that the worker reported as done */
+  readonly recordRuntimes: (
     worker: workerTable.WorkerEntry,
     done: readonly workerTable.RunHolding[],
   ) => void;
 }
 
 /**
- * @param options - what the notes need
- * @returns the notes
+ * @param options - its dependencies
+ * @returns the recorder
  */
-export const createEndNotes = (options: EndNotesOptions): EndNotes => {
+export const createEndRecorder = (options: EndRecorderOptions): EndRecorder => {
   const { clock: time, log, metrics } = options;
   const nowMs = (): number => time.monotonicMs();
   return {
-    noteJobEnd: (entry) => {
+    recordJobEnd: (entry) => {
       const outcome = jobOutcome.outcomeOf(
         entry,
         workerTable.createSlotCount(options.workers.values()),
@@ -74,7 +74,7 @@
         ...outcome,
       });
     },
-    noteRunEnd: (entry, task, { run, how }) => {
+    recordRunEnd: (entry, task, { run, how }) => {
       metrics.count('auburnlift_run_ends_total', { how });
       const { jobId, steps } = entry.job;
       const { resources, isCheckpointing } = steps[task.step] as poolJob.Step;
@@ -94,7 +94,7 @@
         state: entry.state,
       });
     },
-    noteBlame: (worker, end, jobId) => {
+    updateSuspicion: (worker, end, jobId) => {
       if (end.how === poolWorker.EndKind.done) workerBlame.noteSuccess(worker.blame);
       if (end.how !== poolWorker.EndKind.failed) return;
       if (!workerBlame.noteFailure(worker.blame, jobId, nowMs())) return;
@@ -106,9 +106,9 @@
         suspicions: worker.blame.suspicions,
       });
     },
-    learn: (worker, done) => {
+    recordRuntimes: (worker, done) => {
       for (const run of done) run.task.workMs = workerTable.observedWorkMs(run, nowMs());
-      // What a suspected worker took says more of the worker than of the declaration.
+      // The runtime on a suspected worker says more about the worker than about the declared work.
       if (workerBlame.isSuspect(worker.blame, nowMs())) return;
       for (const { entry, step, task } of done) {
         estimateBook.noteDone(options.estimates, entry.job, step, task.workMs);
--- a/src/coordination/node/pool/endedJobs.ts
+++ b/src/coordination/node/pool/endedJobsRemoval.ts
@@ -1,5 +1,5 @@
 /**
- * Removes the records of jobs that ended so long ago that nobody is owed their state.
+ * Removes the records of ended jobs once their status no longer has to be available.
  */
 import type * as clock from '../../../base/common/clock.js';
 import * as errors from '../../../base/common/errors.js';
@@ -9,36 +9,36 @@
 import * as jobBook from '../../common/pool/jobBook.js';
 import type * as jobRegistry from '../../common/pool/jobRegistry.js';
 
-/** What the removal needs. */
-export interface EndedJobsOptions {
+/** Dependencies of the removal. */
+export interface EndedJobsRemovalOptions {
   readonly store: Pick<recordStore.RecordStore, 'transact'>;
   readonly clock: clock.Clock;
   readonly log: logging.Log;
   readonly registry: jobRegistry.JobRegistry;
-  /** The record of leadership that must still stand. */
+  /** The leadership record, which must be unchanged for a removal to take effect. */
   readonly leadership: recordStore.Condition;
-  /** A job's state is told at least this long after its end. */
+  /** A job's status is available at least this long after its end. */
   readonly statusMs: number;
 }
 
-/** Ended jobs are removed this long after their state has to be told: clocks differ, callers are late. */
+/** Extra time before ended jobs are removed, since clocks differ and requests may arrive late. */
 const SLACK_MS = 60_000;
 
 /** Jobs removed in one transaction: three records each. */
-const JOBS_AT_ONCE = 8;
+const JOBS_PER_TRANSACTION = 8;
 
-/** How often ended jobs are looked for; their removal is not urgent. */
+/** Interval between scans for ended jobs; their removal is not urgent. */
 const PERIOD_MS = 10_000;
 
 /**
- * @param options - what the removal needs
- * @returns looks for ended jobs where it is time, and removes some of them
+ * @param options - its dependencies
+ * @returns scans for ended jobs if the interval has passed, and removes some of them
  */
-export const createEndedJobsRemoval = (options: EndedJobsOptions): (() => Promise<void>) => {
+export const createEndedJobsRemoval = (options: EndedJobsRemovalOptions): (() => Promise<void>) => {
   const { clock: time, log, registry } = options;
-  let lookedAtMs = time.monotonicMs();
+  let scannedAtMs = time.monotonicMs();
 
-  const remove = async (jobIds: readonly string[]): Promise<void> => {
+  const removeJobs = async (jobIds: readonly string[]): Promise<void> => {
     const { isCommitted } = await options.store.transact({
       conditions: [options.leadership],
       puts: [],
@@ -53,16 +53,16 @@
   };
 
   return async () => {
-    if (time.monotonicMs() - lookedAtMs < PERIOD_MS) return;
-    lookedAtMs = time.monotonicMs();
+    if (time.monotonicMs() - scannedAtMs < PERIOD_MS) return;
+    scannedAtMs = time.monotonicMs();
     const beforeMs = time.wallMs() - options.statusMs - SLACK_MS;
     const due = [...registry.all()]
       .filter((it) => jobBook.isEnded(it) && it.endedAtMs < beforeMs)
-      .slice(0, JOBS_AT_ONCE)
+      .slice(0, JOBS_PER_TRANSACTION)
       .map((it) => it.job.jobId);
     if (due.length === 0) return;
     try {
-      await remove(due);
+      await removeJobs(due);
     } catch (thrown) {
       log('warn', 'removalFailed', { reason: errors.normalize(thrown).message });
     }
--- a/src/coordination/node/pool/lostRuns.ts
+++ b/src/coordination/node/pool/lostRuns.ts
@@ -1,9 +1,9 @@
 /**
- * Gives up the runs of workers that nobody can reach.
+ * Declares runs of unreachable workers lost.
  *
- * Guards against a task that runs twice: a silent worker runs on until its leases have lapsed; and a next life of
- * it, which no fence holds back, may begin what its former one was ordered, as long as a copy of that order may
- * still come.
+ * Guards against a task that runs twice: an unreachable worker continues until its leases have expired. A new
+ * incarnation of it has seen no fence, and may execute a start ordered from the previous one as long as a delayed
+ * duplicate of that order can arrive.
  */
 import type * as clock from '../../../base/common/clock.js';
 import type * as logging from '../../../base/common/logging.js';
@@ -12,36 +12,36 @@
 import * as lateOrders from '../../common/pool/lateOrders.js';
 import * as workerTable from '../../common/pool/workerTable.js';
 
-/** What giving up needs. */
+/** Dependencies of the detection of lost runs. */
 export interface LostRunsOptions {
   readonly clock: clock.Clock;
   readonly log: logging.Log;
   readonly registry: jobRegistry.JobRegistry;
   readonly workers: ReadonlyMap<string, workerTable.WorkerEntry>;
-  /** Leader's clock by which every lease that a former leader granted has run out. */
+  /** Leader's clock by which every lease granted by a previous leader has expired. */
   readonly formerLapseAtMs: number;
-  /** Ends a run of which nothing is left to wait for. */
-  readonly noteLost: (run: workerTable.RunHolding, cause: string) => void;
+  /** Ends a run that has certainly ended or can no longer start. */
+  readonly markLost: (run: workerTable.RunHolding, cause: string) => void;
 }
 
-/** Gives runs up. */
+/** Declares runs lost. */
 export interface LostRuns {
-  /** Nothing of a worker is left: it said that it ends. */
-  readonly giveUpWorker: (worker: workerTable.WorkerEntry) => void;
-  /** Looks at workers that are silent, and at those that nobody has seen since the former leader. */
-  readonly giveUp: () => void;
+  /** Declares all runs of a worker lost that has announced its shutdown. */
+  readonly markWorkerLost: (worker: workerTable.WorkerEntry) => void;
+  /** Checks workers that are unreachable, and those not seen since this leader took over. */
+  readonly declareLost: () => void;
 }
 
 /**
- * @param options - what giving up needs
- * @returns gives runs up when it is asked
+ * @param options - its dependencies
+ * @returns declares runs lost when called
  */
 export const createLostRuns = (options: LostRunsOptions): LostRuns => {
   const { clock: time, log } = options;
-  const awaited = new WeakSet<workerTable.RunHolding>();
+  const loggedWaits = new WeakSet<workerTable.RunHolding>();
   const nowMs = (): number => time.monotonicMs();
 
-  const giveUpRuns = (
+  const markRunsLost = (
     worker: workerTable.WorkerEntry,
     runs: readonly workerTable.RunHolding[],
     cause: string,
@@ -49,14 +49,14 @@
     if (runs.length === 0) return;
     workerTable.raiseFence(worker);
     for (const run of runs) worker.runs.delete(workerTable.runKey(run.name, run.run));
-    runs.forEach((run) => options.noteLost(run, cause));
+    runs.forEach((run) => options.markLost(run, cause));
   };
 
-  /** @returns whether a copy of its order may still be carried out */
-  const isAwaited = (worker: workerTable.WorkerEntry, run: workerTable.RunHolding): boolean => {
+  /** @returns whether a delayed duplicate of its start order may still take effect */
+  const mayStillStart = (worker: workerTable.WorkerEntry, run: workerTable.RunHolding): boolean => {
     const leftMs = run.lateUntilMs - nowMs();
-    if (leftMs > 0 && !awaited.has(run)) {
-      awaited.add(run);
+    if (leftMs > 0 && !loggedWaits.has(run)) {
+      loggedWaits.add(run);
       log('warn', 'runAwaited', {
         task: run.name,
         run: run.run,
@@ -67,44 +67,44 @@
     return leftMs > 0;
   };
 
-  const giveUpSilent = (): void => {
+  const declareUnreachableLost = (): void => {
     for (const worker of options.workers.values()) {
       if (workerTable.isLapsed(worker, nowMs())) {
-        const over = [...worker.runs.values()].filter((run) => !isAwaited(worker, run));
-        giveUpRuns(worker, over, 'leasesLapsed');
+        const lostRuns = [...worker.runs.values()].filter((run) => !mayStillStart(worker, run));
+        markRunsLost(worker, lostRuns, 'leasesLapsed');
       }
     }
   };
 
-  const giveUpUnseenOf = (entry: jobBook.JobEntry, seenAgents: ReadonlySet<string>): void => {
+  const declareUnseenLostOf = (entry: jobBook.JobEntry, seenAgents: ReadonlySet<string>): void => {
     const now = { monotonicMs: nowMs(), wallMs: time.wallMs() };
     for (const task of jobBook.tasksOf(entry)) {
-      const isOver =
+      const isLost =
         task.phase === 'assigned' &&
         !seenAgents.has(task.agentId) &&
         lateOrders.toOwnClock(task.lateUntilWallMs, now) <= now.monotonicMs;
-      if (isOver) {
+      if (isLost) {
         const { closing } = workerTable.RunPhase;
-        options.noteLost(workerTable.createRun(entry, task, closing, nowMs()), 'workerNeverSeen');
+        options.markLost(workerTable.createRun(entry, task, closing, nowMs()), 'workerNeverSeen');
       }
     }
   };
 
-  const giveUpUnseen = (): void => {
+  const declareUnseenLost = (): void => {
     if (nowMs() < options.formerLapseAtMs) return;
     const seenAgents = new Set(
       [...options.workers.values()].filter((it) => it.info !== undefined).map((it) => it.agentId),
     );
     for (const entry of options.registry.all()) {
-      if (!jobBook.isEnded(entry)) giveUpUnseenOf(entry, seenAgents);
+      if (!jobBook.isEnded(entry)) declareUnseenLostOf(entry, seenAgents);
     }
   };
 
   return {
-    giveUpWorker: (worker) => giveUpRuns(worker, [...worker.runs.values()], 'workerLeft'),
-    giveUp: () => {
-      giveUpSilent();
-      giveUpUnseen();
+    markWorkerLost: (worker) => markRunsLost(worker, [...worker.runs.values()], 'workerLeft'),
+    declareLost: () => {
+      declareUnreachableLost();
+      declareUnseenLost();
     },
   };
 };
--- a/src/coordination/node/pool/peerDirectory.ts
+++ b/src/coordination/node/pool/peerDirectory.ts
@@ -1,6 +1,6 @@
 /**
- * Where the entries and schedulers of other machines answer, read from the store every few seconds and kept
- * while the store is away: that is when a process needs its peers.
+ * Addresses of the entries and schedulers on other machines, read from the store every few seconds and retained
+ * while the store is unavailable, which is when a process needs its peers.
  */
 import * as clock from '../../../base/common/clock.js';
 import type * as disposable from '../../../base/common/disposable.js';
@@ -10,12 +10,12 @@
 import type * as recordStore from '../../../state/common/pool/recordStore.js';
 import * as addressRecord from '../../common/pool/addressRecord.js';
 
-/** What the directory needs. */
+/** Dependencies of the directory. */
 export interface PeerDirectoryOptions {
   readonly store: Pick<recordStore.RecordStore, 'list'>;
   readonly clock: clock.Clock;
   readonly log: logging.Log;
-  /** This process's own address, which is left out. */
+  /** This process's own address, which is excluded. */
   readonly ownUrl: string;
 }
 
@@ -24,43 +24,43 @@
   readonly urls: (role: poolKeys.PeerRole) => readonly string[];
 }
 
-/** A machine that is added or replaced is known within it. */
+/** Polling interval: bounds the time until an added or replaced machine is known. */
 const PERIOD_MS = 5000;
 
-/** Until all processes of a start have written their entries. */
-const FIRST_PERIOD_MS = 1000;
+/** Shorter interval after start-up, until all processes that start together have written their records. */
+const INITIAL_PERIOD_MS = 1000;
 
-/** Looks at the shorter distance after a start. */
-const FIRST_LOOKS = 5;
+/** Number of reads at the shorter interval. */
+const INITIAL_READS = 5;
 
 const RETRY_MS = 1000;
 
 /**
- * @param options - what the directory needs
- * @returns the directory, which looks until it is disposed
+ * @param options - its dependencies
+ * @returns the directory, which polls the store until it is disposed
  */
 export const startPeerDirectory = (options: PeerDirectoryOptions): PeerDirectory => {
   let isDisposed = false;
-  let known = new Map<string, string>();
-  let looks = 0;
+  let urlsByKey = new Map<string, string>();
+  let reads = 0;
 
-  const look = async (): Promise<void> => {
+  const refresh = async (): Promise<void> => {
     const { entries } = await options.store.list(poolKeys.PEERS);
     const next = new Map<string, string>();
     for (const { key, value } of entries) {
       const url = addressRecord.parseAddressRecord(value);
       if (url !== undefined && url !== options.ownUrl) next.set(key, url);
     }
-    known = next;
-    looks += 1;
+    urlsByKey = next;
+    reads += 1;
   };
 
   const run = async (): Promise<void> => {
     let isFailing = false;
     while (!isDisposed) {
-      let waitMs = looks < FIRST_LOOKS ? FIRST_PERIOD_MS : PERIOD_MS;
+      let waitMs = reads < INITIAL_READS ? INITIAL_PERIOD_MS : PERIOD_MS;
       try {
-        await look();
+        await refresh();
         isFailing = false;
       } catch (thrown) {
         if (!isFailing) {
@@ -75,7 +75,7 @@
   void run();
   return {
     urls: (role) =>
-      [...known]
+      [...urlsByKey]
         .filter(([key]) => key.startsWith(poolKeys.peerKey(role, '')))
         .map(([, url]) => url),
     dispose: () => {
--- a/src/coordination/node/pool/pendingCounts.ts
+++ b/src/coordination/node/pool/pendingCounts.ts
@@ -1,9 +1,9 @@
 /**
- * How many accepted jobs of a queue have not begun: asked of the leader, counted from the store where
- * no leader answers. A figure is used again for half a second.
+ * Number of accepted jobs of a queue that have not started: requested from the leader, or counted from the store
+ * if no leader answers. A result is cached for half a second.
  *
- * Guards against counts that pile up: while one takes long, as on a narrow line, callers share it and are told
- * in time that there is none.
+ * Guards against an accumulation of concurrent counts: while one is slow, as over a low-bandwidth link, callers
+ * share it and get an error before their deadline.
  */
 import * as clock from '../../../base/common/clock.js';
 import * as errors from '../../../base/common/errors.js';
@@ -15,42 +15,42 @@
 
 import type * as poolLeadership from './poolLeadership.js';
 
-/** What the counts need. */
+/** Dependencies of the counts. */
 export interface PendingCountsOptions {
   readonly store: recordStore.RecordStore;
   readonly clock: clock.Clock;
   readonly log: logging.Log;
-  /** Asks a scheduler; throws where it does not lead or does not answer. */
+  /** Requests the counts from a scheduler; throws if it is not the leader or does not answer. */
   readonly askLeader: (url: string) => Promise<Readonly<Record<string, number>>>;
 }
 
-/** Counts jobs that have not begun. */
+/** Counts jobs that have not started. */
 export interface PendingCounts {
-  /** @throws AuburnliftError `storeUnavailable` where neither leader nor store answers */
+  /** @throws AuburnliftError `storeUnavailable` if neither leader nor store answers in time */
   readonly ofQueue: (queue: string) => Promise<number>;
 }
 
-/** A figure may be two seconds old when the caller has it; the leader's is up to one and a half. */
-const KEEP_MS = 500;
+/** Cache lifetime: a count may be two seconds old when the caller receives it; the leader's is up to 1.5 s old. */
+const CACHE_MS = 500;
 
-/** A count that was begun longer ago is of no use to anybody. */
+/** A count that was started longer ago is too old to be returned. */
 const MAX_AGE_MS = 2000;
 
-/** Longest time that a caller is held for a count. */
-const MAX_HELD_MS = 900;
+/** Longest time that a caller waits for a count. */
+const MAX_WAIT_MS = 900;
 
 type Counts = Readonly<Record<string, number>>;
 
-/** One count, shared by all who ask meanwhile. */
+/** One count, shared by all callers that request it meanwhile. */
 interface Count {
   readonly counts: Promise<Counts>;
-  readonly beganAtMs: number;
+  readonly startedAtMs: number;
   isOpen: boolean;
 }
 
 const tooLate = (): errors.AuburnliftError =>
-  errors.fail('storeUnavailable', 'counting the jobs that wait takes too long', {
-    retryAfterMs: MAX_HELD_MS,
+  errors.fail('storeUnavailable', 'counting the pending jobs takes too long', {
+    retryAfterMs: MAX_WAIT_MS,
   });
 
 /**
@@ -79,7 +79,7 @@
   const fromStore = async (): Promise<Counts> => {
     const jobs = await store.list(poolKeys.JOBS);
     const progress = await store.list(poolKeys.PROGRESS);
-    const begun = new Set(
+    const started = new Set(
       progress.entries
         .filter((it) => progressRecord.decodeProgress(it.value).state !== 'queued')
         .map((it) => it.key.slice(poolKeys.PROGRESS.length)),
@@ -87,7 +87,7 @@
     const counts: Record<string, number> = {};
     for (const { key, value } of jobs.entries) {
       const parsed = poolKeys.parseJobKey(key);
-      const isWaiting = parsed?.part === poolKeys.JobPart.spec && !begun.has(parsed.jobId);
+      const isWaiting = parsed?.part === poolKeys.JobPart.spec && !started.has(parsed.jobId);
       if (isWaiting) {
         const { queue } = (JSON.parse(value) as poolJob.PoolJob).policy;
         counts[queue] = (counts[queue] ?? 0) + 1;
@@ -98,8 +98,8 @@
 
   const load = async (): Promise<Counts> => (await fromLeader()) ?? (await fromStore());
 
-  const begin = (): Count => {
-    const count: Count = { counts: load(), beganAtMs: time.monotonicMs(), isOpen: true };
+  const startCount = (): Count => {
+    const count: Count = { counts: load(), startedAtMs: time.monotonicMs(), isOpen: true };
     const settle = (): void => {
       count.isOpen = false;
     };
@@ -107,22 +107,22 @@
     return count;
   };
 
-  const ageMs = ({ beganAtMs }: Count): number => time.monotonicMs() - beganAtMs;
+  const ageMs = ({ startedAtMs }: Count): number => time.monotonicMs() - startedAtMs;
 
-  const forget = (count: Count): void => {
+  const evict = (count: Count): void => {
     if (kept === count) kept = undefined;
   };
 
   return {
     ofQueue: async (queue) => {
-      if (kept === undefined || (!kept.isOpen && ageMs(kept) > KEEP_MS)) kept = begin();
+      if (kept === undefined || (!kept.isOpen && ageMs(kept) > CACHE_MS)) kept = startCount();
       const count = kept;
       try {
-        const counts = await Promise.race([count.counts, clock.sleep(time, MAX_HELD_MS)]);
+        const counts = await Promise.race([count.counts, clock.sleep(time, MAX_WAIT_MS)]);
         if (counts === undefined || ageMs(count) > MAX_AGE_MS) throw tooLate();
         return counts[queue] ?? 0;
       } catch (thrown) {
-        if (!count.isOpen) forget(count);
+        if (!count.isOpen) evict(count);
         throw thrown;
       }
     },
--- a/src/coordination/node/pool/poolLeader.ts
+++ b/src/coordination/node/pool/poolLeader.ts
@@ -1,6 +1,6 @@
 /**
- * The leader of the pools for one term: wires what it learns, plans, stores and orders, and gives up what
- * nobody can reach any more.
+ * The leader of the pools for one term: connects the record feed, planning, the progress writer and the agents,
+ * and declares unreachable runs lost.
  */
 import type * as clock from '../../../base/common/clock.js';
 import * as disposable from '../../../base/common/disposable.js';
@@ -23,26 +23,26 @@
 
 import type * as adviceDesk from './adviceDesk.js';
 import * as agentSession from './agentSession.js';
-import * as endedJobs from './endedJobs.js';
+import * as endedJobsRemoval from './endedJobsRemoval.js';
 import * as orderDesk from './orderDesk.js';
 import * as planDriver from './planDriver.js';
 import type * as poolLeadership from './poolLeadership.js';
 import * as progressWriter from './progressWriter.js';
 import * as recordFeed from './recordFeed.js';
 import * as runControl from './runControl.js';
-import * as storedNews from './storedNews.js';
+import * as storedRecordReader from './storedRecordReader.js';
 
-/** Figures of the deployment that the leader works by. */
+/** Limits of the deployment that apply to the leader. */
 export interface PoolLimits {
   /** Longest lease that a worker grants. */
   readonly maxLeaseMs: number;
-  /** A job's state is told at least this long after its end. */
+  /** A job's status is available at least this long after its end. */
   readonly statusMs: number;
-  /** How much longer a task takes away from its data or its rack. */
+  /** Factor by which a task takes longer away from its data or its rack. */
   readonly farFactor: number;
 }
 
-/** What a leader needs. */
+/** Dependencies of a leader. */
 export interface PoolLeaderOptions {
   readonly store: recordStore.RecordStore;
   readonly clock: clock.Clock;
@@ -52,49 +52,49 @@
   readonly term: poolLeadership.Term;
   readonly limits: PoolLimits;
   readonly configuration: () => poolConfiguration.PoolConfiguration | undefined;
-  /** What this process has seen done in any of its terms. */
+  /** Completed runs that are not stored yet, of any term of this process. */
   readonly doneRuns: doneRuns.DoneRuns;
-  /** Somebody else leads or changed a record: the term is over. */
+  /** Another process leads or changed a record: the term is over. */
   readonly onDidConflict: (reason: string) => void;
-  /** Asks the policy service which workers may run a step. */
+  /** Requests from the policy service which workers may run a step. */
   readonly askAdvice: adviceDesk.AdviceDeskOptions['ask'];
 }
 
 /** The leader of the pools. */
 export interface PoolLeader extends disposable.Disposable {
   /**
-   * Accepted jobs by queue of which no task has started; undefined before all jobs are loaded, and while what
-   * is known of them is too old to be told.
+   * Number of accepted jobs by queue of which no task has started; undefined before all jobs are loaded, and
+   * while the leader's state is too old to be reported.
    */
   readonly pendingByQueue: () => Readonly<Record<string, number>> | undefined;
-  /** An entry has stored a record of a job; it is read where the watch has not told of it in a moment. */
+  /** An entry has stored a record of a job; it is read if the watch does not deliver it shortly after. */
   readonly noteStored: (jobId: string, part: poolKeys.JobPart) => Promise<void>;
 }
 
-/** Below the longest lease, so that the worker shortens none. */
+/** Leases are this much shorter than the longest one a worker grants, so that it does not shorten them. */
 const LEASE_SLACK_MS = 300;
 
-/** How often stops are repeated, lapsed leases looked for and due occurrences started. */
+/** Interval of repeating stops, checking for expired leases and starting due occurrences. */
 const TICK_MS = 200;
 
-/** An agent whose entry is gone and that is silent this long is forgotten. */
-const FORGET_AGENT_MS = 60_000;
+/** An agent without a record that has not responded for this long is removed. */
+const REMOVE_AGENT_MS = 60_000;
 
 /**
- * Checkpoints are stored together this often, so that a loss of all power costs no more than this much
- * of saved work; stored one by one they would be most of the leader's writes.
+ * Interval of storing new checkpoints in batches. A power loss of all machines costs at most this much saved work;
+ * stored one by one, checkpoints would be most of the leader's writes.
  */
 const CHECKPOINT_PERIOD_MS = 2000;
 
 /**
- * Callers are told figures of the last two seconds, and entries keep one for half a second. A watch of a slow
- * store, which answers in a quarter of a second, proves its knowledge within this.
+ * Callers may receive counts up to two seconds old, and entries cache a count for half a second. A watch of a slow
+ * store, which answers in a quarter of a second, confirms the leader's state within this time.
  */
 const MAX_TOLD_AGE_MS = 1500;
 
 /**
- * @param options - what the leader needs
- * @returns the leader; it loads what lasts and goes on until it is disposed
+ * @param options - its dependencies
+ * @returns the leader, which loads the stored state and runs until it is disposed
  */
 export const startPoolLeader = (options: PoolLeaderOptions): PoolLeader => {
   const { clock: time, log, metrics, term } = options;
@@ -103,7 +103,7 @@
   const workers = new Map<string, workerTable.WorkerEntry>();
   const sessions = new Map<string, disposable.Disposable>();
   const listedAgents = new Set<string>();
-  const savedJobs = new Set<string>();
+  const checkpointedJobs = new Set<string>();
   const estimates = estimateBook.createEstimateBook();
   const startedAtMs = time.monotonicMs();
   const formerLapseAtMs = startedAtMs + leaseClock.formerLeasesLapseMs(options.limits.maxLeaseMs);
@@ -134,7 +134,7 @@
       const entry = registry.get(jobId);
       if (entry !== undefined) entry.progressRevision = revision;
     },
-    onDidFindCancel: (record) => takeJobRecord(record, 'write'),
+    onDidFindCancel: (record) => handleJobRecord(record, 'write'),
     onDidConflict: options.onDidConflict,
   });
   const control: runControl.RunControl = runControl.createRunControl({
@@ -143,22 +143,22 @@
     metrics,
     registry,
     workers,
-    desk: () => desk,
+    orderSender: () => sender,
     grantMs: fullGrantMs,
     formerLapseAtMs,
     doneRuns: options.doneRuns,
     estimates,
     save: writer.save,
     whenStored: writer.whenStored,
-    onDidSave: (jobId) => savedJobs.add(jobId),
+    onDidCheckpoint: (jobId) => checkpointedJobs.add(jobId),
     onDidChange: () => driver.schedule(),
   });
-  const desk = orderDesk.createOrderDesk({
+  const sender = orderDesk.createOrderDesk({
     link: options.link,
     clock: time,
     log,
     grantMs,
-    onSettled: control.takeSettled,
+    onSettled: control.applyOrderResults,
   });
   const driver = planDriver.createPlanDriver({
     clock: time,
@@ -170,7 +170,7 @@
     estimates,
     farFactor: options.limits.farFactor,
     control: () => control,
-    desk: () => desk,
+    orderSender: () => sender,
     save: writer.save,
     configuration: options.configuration,
     askAdvice: options.askAdvice,
@@ -190,8 +190,8 @@
     }
   };
 
-  /** The first news of a worker tells which of the former leader's runs are its own. */
-  const takeNews = (
+  /** The first update about a worker triggers the adoption of runs that a previous leader assigned to it. */
+  const applyUpdate = (
     worker: workerTable.WorkerEntry,
     news: agentContract.WorkerNews,
     receivedAtMs: number,
@@ -202,7 +202,7 @@
       adoptRuns(worker);
       driver.schedule();
     }
-    return control.takeNews(worker, news, receivedAtMs);
+    return control.applyUpdate(worker, news, receivedAtMs);
   };
 
   const openSession = (worker: workerTable.WorkerEntry): void => {
@@ -212,19 +212,19 @@
       log,
       worker,
       grantMs,
-      onNews: (news, receivedAtMs) => takeNews(worker, news, receivedAtMs),
-      onDidLose: () => {
+      onUpdate: (news, receivedAtMs) => applyUpdate(worker, news, receivedAtMs),
+      onDidLoseAgent: () => {
         worker.isReachable = false;
       },
     });
     sessions.set(worker.agentId, session);
   };
 
-  const takeAgent = (record: store.StoreEntry): void => {
+  const handleAgentRecord = (record: store.StoreEntry): void => {
     const agentId = record.key.slice(poolKeys.AGENTS.length);
     const url = addressRecord.parseAddressRecord(record.value);
     if (url === undefined) {
-      // Thrown out of the watch's answer, it would keep everything behind it from being heard, for good.
+      // If it threw, the watch would fail at this record again and again, and later records would never arrive.
       log('error', 'recordUnreadable', { key: record.key, revision: record.revision });
       return;
     }
@@ -240,15 +240,15 @@
     openSession(worker);
   };
 
-  const settleCancel = (entry: jobBook.JobEntry | undefined): void => {
+  const applyCancellation = (entry: jobBook.JobEntry | undefined): void => {
     if (entry?.isCancelled !== true) return;
     if (!jobEnds.cancel(entry, time.wallMs())) return;
     control.stopUnwanted(entry, 'cancelled');
     void writer.save(entry.job.jobId);
   };
 
-  /** @param source - what showed the record to the leader */
-  const takeJobRecord = (record: store.StoreEntry, source: 'watch' | 'write' | 'entry'): void => {
+  /** @param source - how the leader received the record */
+  const handleJobRecord = (record: store.StoreEntry, source: 'watch' | 'write' | 'entry'): void => {
     const effect = registry.takeRecord(record, nowMs());
     if (effect === jobRegistry.RecordEffect.none || !isLoaded) return;
     const jobId = poolKeys.parseJobKey(record.key)?.jobId ?? '';
@@ -258,30 +258,30 @@
       recordsAgeMs: Math.round(feed.ageMs()),
       source,
     });
-    settleCancel(registry.get(jobId));
+    applyCancellation(registry.get(jobId));
     driver.schedule();
   };
 
-  const takeRecord = (record: store.StoreEntry): void => {
+  const handleRecord = (record: store.StoreEntry): void => {
     if (record.key === poolKeys.LEADER) {
-      // A term ends the moment another one is seen.
-      if (record.revision !== term.condition.revision) options.onDidConflict('another leads');
+      // The term ends as soon as another one is observed.
+      if (record.revision !== term.condition.revision) options.onDidConflict('another term began');
     } else if (record.key.startsWith(poolKeys.AGENTS)) {
-      takeAgent(record);
+      handleAgentRecord(record);
     } else {
-      takeJobRecord(record, 'watch');
+      handleJobRecord(record, 'watch');
     }
   };
 
-  const takeRemoval = (key: string): void => {
+  const handleRemoval = (key: string): void => {
     if (key === poolKeys.LEADER) options.onDidConflict('the leadership record is gone');
     if (key.startsWith(poolKeys.AGENTS)) listedAgents.delete(key.slice(poolKeys.AGENTS.length));
   };
 
-  const noteLoaded = (revision: number): void => {
+  const handleLoaded = (revision: number): void => {
     isLoaded = true;
     for (const entry of registry.all()) {
-      settleCancel(entry);
+      applyCancellation(entry);
       estimateBook.noteJob(estimates, entry.job, jobBook.tasksOf(entry));
     }
     control.recallDone();
@@ -296,10 +296,10 @@
     driver.schedule();
   };
 
-  const forgetAgents = (): void => {
+  const removeAgents = (): void => {
     for (const worker of workers.values()) {
-      const isSilent = nowMs() - worker.contactedAtMs > FORGET_AGENT_MS;
-      if (isSilent && !listedAgents.has(worker.agentId) && worker.runs.size === 0) {
+      const isUnreachable = nowMs() - worker.contactedAtMs > REMOVE_AGENT_MS;
+      if (isUnreachable && !listedAgents.has(worker.agentId) && worker.runs.size === 0) {
         void sessions.get(worker.agentId)?.dispose();
         sessions.delete(worker.agentId);
         workers.delete(worker.agentId);
@@ -310,11 +310,11 @@
   const storeCheckpoints = (): void => {
     if (nowMs() - checkpointedAtMs < CHECKPOINT_PERIOD_MS) return;
     checkpointedAtMs = nowMs();
-    for (const jobId of savedJobs) void writer.save(jobId);
-    savedJobs.clear();
+    for (const jobId of checkpointedJobs) void writer.save(jobId);
+    checkpointedJobs.clear();
   };
 
-  const removeEnded = endedJobs.createEndedJobsRemoval({
+  const removeEndedJobs = endedJobsRemoval.createEndedJobsRemoval({
     store: options.store,
     clock: time,
     log,
@@ -328,17 +328,17 @@
     control.repeatStops();
     control.inspect();
     storeCheckpoints();
-    control.giveUpLost();
-    forgetAgents();
+    control.declareLost();
+    removeAgents();
     driver.schedule();
-    void removeEnded();
+    void removeEndedJobs();
     time.after(TICK_MS, tick);
   };
 
   owned.add({
     dispose: () => {
       writer.dispose();
-      desk.dispose();
+      sender.dispose();
       sessions.forEach((it) => {
         void it.dispose();
       });
@@ -349,21 +349,21 @@
       store: options.store,
       clock: time,
       log,
-      onRecord: takeRecord,
-      onRemoved: takeRemoval,
+      onRecord: handleRecord,
+      onRemoved: handleRemoval,
       onProgress: registry.takeProgress,
-      onDidLoad: noteLoaded,
+      onDidLoad: handleLoaded,
     }),
   );
   time.after(TICK_MS, tick);
   return {
-    noteStored: storedNews.createStoredNews({
+    noteStored: storedRecordReader.createStoredRecordReader({
       store: options.store,
       clock: time,
       log,
       registry,
       isReady,
-      onRecord: (record) => takeJobRecord(record, 'entry'),
+      onRecord: (record) => handleJobRecord(record, 'entry'),
     }),
     pendingByQueue: () =>
       isLoaded && feed.ageMs() <= MAX_TOLD_AGE_MS ? registry.pendingByQueue() : undefined,
