--- a/src/coordination/common/admission.ts
+++ b/src/coordination/common/admission.ts
@@ -1,9 +1,9 @@
 /**
- * Admission in front of one upstream, at the one place where the load of all entries meets.
+ * Admission control for one upstream, through which the requests of all entries pass.
  *
- * Made for bursts of several times the capacity and for one customer that sends far more than the
- * others. Without it every request waits, all miss their deadlines and the upstream works only on
- * requests that nobody waits for any more; and the loud customer takes every slot.
+ * Designed for bursts of several times the capacity and for one customer that sends far more than
+ * the others. Without admission control every request waits, all miss their deadlines, the upstream
+ * works only on requests whose callers have left, and the heaviest customer takes every slot.
  */
 import type * as errorKinds from '../../base/common/errorKinds.js';
 
@@ -11,26 +11,26 @@
 export interface Ticket {
   readonly requestId: string;
   readonly customerId: string;
-  /** Monotonic moment after which the answer is worthless. */
+  /** Monotonic time after which the answer is of no use to the caller. */
   readonly deadlineAtMs: number;
 }
 
-/** Who runs and who waits in front of one upstream. */
+/** Running and queued requests of one upstream. */
 export interface AdmissionState {
   readonly slots: number;
   readonly running: readonly Ticket[];
   /** In the order of arrival. */
   readonly queue: readonly Ticket[];
-  /** Smoothed time that a request holds a slot. */
+  /** Smoothed time for which a request occupies a slot. */
   readonly serviceMs: number;
-  /** Slots taken by each active customer, divided by its weight; the lowest is served next. */
+  /** Stride scheduling: slots taken by each active customer, divided by its weight. */
   readonly passes: ReadonlyMap<string, number>;
 }
 
-/** What a customer has a right to at one upstream. */
+/** Share of one upstream that a customer is entitled to. */
 export interface CustomerShare {
   readonly weight: number;
-  /** Slots that it gets before anyone's spare use, when it asks for them. */
+  /** Slots that it gets on request before any customer uses spare ones. */
   readonly guaranteedSlots: number;
 }
 
@@ -42,16 +42,16 @@
 
 /** Limits of admission. */
 export interface AdmissionLimits {
-  /** Most requests that wait: what the slots can serve within the longest useful wait. */
+  /** Maximum queue length: what the slots can serve within the longest useful wait. */
   readonly maxQueued: number;
   readonly order: QueueOrder;
   readonly shareOf: (customerId: string) => CustomerShare;
 }
 
-/** What becomes of a request that asks for a slot. */
+/** Decision on a request that asks for a slot. */
 export type AdmissionDecision =
   | { readonly type: 'start' }
-  /** The displaced request waited for a customer that held more than its share of the queue. */
+  /** `displaced` belongs to a customer that exceeded its share of the queue. */
   | { readonly type: 'queue'; readonly displaced: Ticket | undefined }
   | {
       readonly type: 'refuse';
@@ -66,7 +66,7 @@
   readonly decision: AdmissionDecision;
 }
 
-/** Share of a customer that the configuration does not name. */
+/** Share of a customer that is not configured. */
 export const DEFAULT_SHARE: CustomerShare = { weight: 1, guaranteedSlots: 0 };
 
 /** Weight of the newest measurement in the smoothed service time. */
@@ -76,7 +76,7 @@
 const INITIAL_SERVICE_MS = 50;
 
 /**
- * @param slots - requests that the upstream works on at once
+ * @param slots - requests that the upstream processes concurrently
  * @returns an upstream without load
  */
 export const idle = (slots: number): AdmissionState => ({
@@ -94,7 +94,7 @@
   ...new Set(tickets.map((it) => it.customerId)),
 ];
 
-/** A customer's part of the upstream while all that are active now stay so. */
+/** Fraction of the upstream that the customer gets while the active customers stay the same. */
 const activeShare = (
   state: AdmissionState,
   limits: AdmissionLimits,
@@ -113,10 +113,10 @@
 };
 
 /**
- * The smaller of two bounds holds: the whole queue at the whole upstream, and the customer's own
- * queue at its share of it.
+ * Returns the smaller of two bounds: the complete queue served by the complete upstream, and the
+ * customer's own queue served by its share.
  *
- * @param state - the load now
+ * @param state - the current load
  * @param limits - limits of admission
  * @param ticket - the request
  * @returns the time until it would get a slot
@@ -134,7 +134,7 @@
   return Math.min((ahead.length + 1) * perSlotMs, ownMs);
 };
 
-/** Where a customer that was away joins: at the lowest pass, so that it can't save up a claim. */
+/** An inactive customer joins at the lowest pass, so that it can't accumulate credit while idle. */
 const passOf = (state: AdmissionState, customerId: string): number => {
   const lowest = Math.min(...state.passes.values());
   const floor = Number.isFinite(lowest) ? lowest : 0;
@@ -163,7 +163,7 @@
   );
 };
 
-/** Customers below their guarantee go first; among equals the one served least for its weight. */
+/** Customers below their guarantee go first; among equals the one with the lowest pass. */
 const pickNext = (state: AdmissionState, limits: AdmissionLimits): Ticket | undefined => {
   const waiting = customersOf(state.queue);
   const guaranteed = waiting.filter(
@@ -199,7 +199,7 @@
   limits: AdmissionLimits,
   ticket: Ticket,
 ): Ticket | undefined => {
-  // Shares are taken with the newcomer among the active, or a lone customer would seem entitled.
+  // Counts the newcomer as active: otherwise a lone customer would seem entitled to everything.
   const withTicket = { ...state, queue: [...state.queue, ticket] };
   if (queueExcess(withTicket, limits, ticket.customerId) > 0) return undefined;
   const [most] = [...customersOf(state.queue)].sort(
@@ -210,15 +210,15 @@
 };
 
 /**
- * Decides on a request. The queue is bounded since a longer one only moves refusals from now to a
- * moment when the caller can no longer go elsewhere; what can't be done by its deadline is refused
- * at once, with the time after which to come back.
+ * Decides on a request. The queue is bounded because a longer one only postpones refusals to a time
+ * when the caller can no longer retry elsewhere. A request that can't meet its deadline is refused
+ * immediately, with the time after which to retry.
  *
- * @param state - the load now
+ * @param state - the current load
  * @param limits - limits of admission
  * @param ticket - the request
  * @param nowMs - monotonic time
- * @returns start, queue, or a refusal that says it did not run
+ * @returns start, queue, or a refusal that tells the caller that the request did not run
  */
 export const offer = (
   state: AdmissionState,
@@ -232,7 +232,7 @@
   const waitMs = expectedWaitMs(state, limits, ticket);
   const lateMs = nowMs + waitMs + state.serviceMs - ticket.deadlineAtMs;
   if (lateMs > 0) {
-    const message = 'the deadline is before the expected answer';
+    const message = 'the expected answer would be later than the deadline';
     return refuse(state, 'deadlineUnmeetable', message, lateMs);
   }
   const queue = [...state.queue, ticket];
@@ -251,7 +251,7 @@
 export interface ReleaseStep {
   readonly next: AdmissionState;
   readonly started: readonly Ticket[];
-  /** They could no longer be answered in time; they did not run. */
+  /** Requests that could no longer meet their deadlines; they did not run. */
   readonly expired: readonly Ticket[];
 }
 
@@ -271,15 +271,15 @@
 };
 
 /**
- * Waiting requests that can't be answered by their deadlines any more are given up here and not
- * when a slot reaches them: a slot spent on one is lost to a request that could still be in time.
+ * Abandons queued requests that can no longer meet their deadlines here instead of when a slot
+ * reaches them: a slot spent on one is lost to a request that could still be in time.
  *
- * @param state - the load now
+ * @param state - the current load
  * @param limits - limits of admission
  * @param requestId - a request that ended or was withdrawn
  * @param nowMs - monotonic time
- * @param heldMs - how long it held its slot; undefined where it held none
- * @returns the waiting requests that now start, and those that are given up
+ * @param heldMs - how long it occupied its slot; undefined where it had none
+ * @returns the queued requests that start now, and those that are abandoned
  */
 export const release = (
   state: AdmissionState,
--- a/src/coordination/common/agentDirectory.ts
+++ b/src/coordination/common/agentDirectory.ts
@@ -1,10 +1,10 @@
 /**
- * The agents that an entry knows, as soft state: what is not renewed goes away; what fails is
- * avoided at once and tried again later, since it may be alive for other entries.
+ * The agents that an entry knows, as soft state: one whose registration is not renewed is removed.
+ * One that fails is avoided immediately and retried later, since other entries may still reach it.
  *
- * Registrations are slow (a minute), because one costs about a millisecond of processor time and
- * there are hundreds of agents; loads, boots and clocks ride on every answer, and failed calls and
- * leaving are known at once.
+ * Registrations are renewed only once a minute, because one costs about a millisecond of processor
+ * time and there are hundreds of agents. Load, boot id and clock are piggybacked on every answer,
+ * and failed calls and draining take effect immediately.
  */
 import * as agentHealth from './agentHealth.js';
 import type * as routing from './routing.js';
@@ -20,7 +20,7 @@
   readonly serviceMs: number;
 }
 
-/** What an agent says of itself. */
+/** What an agent reports about itself. */
 export interface Registration {
   readonly agentId: string;
   readonly bootId: string;
@@ -30,24 +30,24 @@
   readonly zone: string;
   readonly region: string;
   readonly isLeaving: boolean;
-  /** Absent where no upstream has announced itself on the VM. */
+  /** Undefined where no upstream has announced itself to the agent on its VM. */
   readonly upstream: DirectoryUpstream | undefined;
   readonly configVersion: number;
 }
 
-/** An agent as it registered last, with what this entry knows besides. */
+/** Last registration of an agent, with what this entry observed itself. */
 export interface DirectoryEntry extends Registration {
   readonly seenAtMs: number;
-  /** When the load was last told by an answer. */
+  /** When an answer last updated the load. */
   readonly loadAtMs: number;
-  /** Requests that this entry sent there and that are open. */
+  /** Requests of this entry in flight to the agent. */
   readonly outstanding: number;
   readonly health: agentHealth.AgentHealth;
-  /** Lower bound of the agent's clock minus this one's. */
+  /** Lower bound of the difference between the agent's clock and this process's. */
   readonly clockOffsetMs: number;
 }
 
-/** What came with an answer. */
+/** Load and state of the agent, sent along with an answer. */
 export interface AnswerNote {
   readonly running: number;
   readonly queued: number;
@@ -57,7 +57,7 @@
   readonly clockMs: number;
 }
 
-/** Which boot of an agent an attempt is meant for, and what its clock reads at least. */
+/** The agent's boot that an attempt is addressed to, and a lower bound of its clock. */
 export interface AgentBoot {
   readonly bootId: string;
   readonly clockMs: number;
@@ -70,15 +70,15 @@
   readonly entries: () => readonly DirectoryEntry[];
   readonly candidates: (nowMs: number) => readonly routing.RouteCandidate[];
   readonly bootOf: (url: string, nowMs: number) => AgentBoot | undefined;
-  /** Counts a request that is sent (1) or has ended (-1). */
+  /** Adjusts the requests in flight: 1 for one that is sent, -1 for one that has ended. */
   readonly addOutstanding: (url: string, change: 1 | -1) => void;
   readonly noteAnswer: (url: string, note: AnswerNote, nowMs: number) => void;
-  /** The agent has this version of the configuration in force. */
+  /** The agent has applied this version of the configuration. */
   readonly noteVersion: (url: string, configVersion: number) => void;
   readonly noteSuccess: (url: string, nowMs: number) => void;
-  /** The upstream answered with a failure of its own. */
+  /** The upstream answered with an error. */
   readonly noteFailure: (url: string, nowMs: number, ejectionCapShare: number) => void;
-  /** The agent does not answer. */
+  /** The agent did not respond. */
   readonly noteSilence: (url: string, nowMs: number) => void;
 }
 
@@ -88,20 +88,20 @@
 /** An agent that has missed two registrations is forgotten. */
 const TTL_PERIODS = 2.5;
 
-/** Time in which half of an old report of slowness is forgiven, so that recovery is noticed. */
-const FORGIVENESS_MS = 5000;
+/** Half-life of the excess of a reported service time, so that recovery is noticed. */
+const SLOWNESS_HALF_LIFE_MS = 5000;
 
-/** Weight of one answer in the service time that is typical of all. */
+/** Weight of one answer in the typical service time of all agents. */
 const TYPICAL_SMOOTHING = 0.02;
 
-/** Slowness beyond the typical fades while no answer confirms it. */
-const believedServiceMs = (
+/** Decays a service time above the typical one while no answer confirms it. */
+const decayedServiceMs = (
   reportedMs: number,
   typicalMs: number | undefined,
   ageMs: number,
 ): number => {
   if (typicalMs === undefined || reportedMs <= typicalMs) return reportedMs;
-  return typicalMs + (reportedMs - typicalMs) * 0.5 ** (ageMs / FORGIVENESS_MS);
+  return typicalMs + (reportedMs - typicalMs) * 0.5 ** (ageMs / SLOWNESS_HALF_LIFE_MS);
 };
 
 const toCandidate = (
@@ -118,7 +118,7 @@
   reportedRunning: upstream.running,
   reportedQueued: upstream.queued,
   outstanding: entry.outstanding,
-  serviceMs: believedServiceMs(upstream.serviceMs, typicalMs, nowMs - entry.loadAtMs),
+  serviceMs: decayedServiceMs(upstream.serviceMs, typicalMs, nowMs - entry.loadAtMs),
   isLeaving: entry.isLeaving || upstream.isLeaving,
   isAvoided: agentHealth.isAvoided(entry.health, nowMs),
   penaltyMs: agentHealth.penaltyMs(entry.health, nowMs),
@@ -164,7 +164,7 @@
     url: string,
     change: (health: agentHealth.AgentHealth) => agentHealth.AgentHealth,
   ): void => update(url, (it) => ({ ...it, health: change(it.health) }));
-  /** The cap keeps a fault that hits all agents from taking all of them out. */
+  /** The cap prevents a fault that affects all agents from ejecting all of them. */
   const mayEject = (nowMs: number, capShare: number): boolean => {
     const all = [...entries.values()];
     const avoided = all.filter((it) => agentHealth.isAvoided(it.health, nowMs)).length;
--- a/src/coordination/common/agentHealth.ts
+++ b/src/coordination/common/agentHealth.ts
@@ -1,18 +1,18 @@
 /**
- * What an entry thinks of one agent from its own exchanges with it: penalty for errors, ejection of
- * outliers, waiting after a failed connection and a slow start. All of it decays, so that an agent
- * that has recovered is used again without anyone's help.
+ * Health of one agent as seen in an entry's own exchanges with it: penalty for errors, ejection of
+ * outliers, backoff after a failed connection and a slow start. All of it decays, so that an agent
+ * that has recovered is used again without intervention.
  */
 
 /** One entry's experience with one agent. */
 export interface AgentHealth {
-  /** Smoothed part of the exchanges that failed, as of `notedAtMs`. */
+  /** Smoothed fraction of failed exchanges at the time of the last one. */
   readonly errorShare: number;
   readonly notedAtMs: number;
   readonly failuresInRow: number;
-  /** No request goes there before this moment. */
+  /** No request goes there before this time. */
   readonly avoidUntilMs: number;
-  /** How often in a row it was avoided; doubles the time. */
+  /** Consecutive avoidances; each doubles the duration. */
   readonly avoidances: number;
   /** When this boot of the agent became known. */
   readonly knownSinceMs: number;
@@ -21,22 +21,22 @@
 /** Weight of the newest exchange in the smoothed share of errors. */
 const SMOOTHING = 0.2;
 
-/** The share of errors halves in this time without exchanges, so that the agent is tried again. */
+/** Half-life of the error share while there are no exchanges, so that the agent is tried again. */
 const HALF_LIFE_MS = 5000;
 
-/** Wait that an agent is charged whose exchanges all fail; several service times. */
+/** Added to the expected wait of an agent whose exchanges all fail; several service times. */
 const ERROR_PENALTY_MS = 2000;
 
-/** Failures in a row that no healthy agent shows by chance. */
+/** Consecutive failures that a healthy agent does not reach by chance. */
 const EJECTION_FAILURES = 5;
 
 const FIRST_AVOIDANCE_MS = 1000;
 const LONGEST_AVOIDANCE_MS = 30_000;
 
-/** A new agent takes a growing part of the load for this time: caches and connections are cold. */
+/** Ramp-up time of a new agent, whose caches and connections are cold. */
 const SLOW_START_MS = 10_000;
 
-/** Smallest part that a new agent takes. */
+/** Share of a full load with which a new agent starts. */
 const SLOW_START_SHARE = 0.1;
 
 /**
@@ -52,18 +52,18 @@
   knownSinceMs: nowMs,
 });
 
-/** A smaller share counts as none: any penalty at all would keep an idle agent from being tried. */
-const FORGOTTEN_SHARE = 0.01;
+/** A smaller share counts as 0: any penalty at all would keep an idle agent from being tried. */
+const NEGLIGIBLE_ERROR_SHARE = 0.01;
 
 const errorShareAt = (health: AgentHealth, nowMs: number): number => {
   const share = health.errorShare * 0.5 ** ((nowMs - health.notedAtMs) / HALF_LIFE_MS);
-  return share < FORGOTTEN_SHARE ? 0 : share;
+  return share < NEGLIGIBLE_ERROR_SHARE ? 0 : share;
 };
 
 /**
  * @param health - health so far
  * @param nowMs - monotonic time
- * @returns health after an exchange that went well
+ * @returns health after a successful exchange
  */
 export const afterSuccess = (health: AgentHealth, nowMs: number): AgentHealth => ({
   ...health,
@@ -81,30 +81,30 @@
 /**
  * @param health - health so far
  * @param nowMs - monotonic time
- * @param mayEject - whether the cap on ejected agents leaves room for one more
- * @returns health after an answer that tells of a failure
+ * @param mayEject - whether the cap on ejected agents allows one more
+ * @returns health after an answer that reports a failure
  */
 export const afterFailure = (
   health: AgentHealth,
   nowMs: number,
   mayEject: boolean,
 ): AgentHealth => {
-  const noted = {
+  const updated = {
     ...health,
     errorShare: errorShareAt(health, nowMs) * (1 - SMOOTHING) + SMOOTHING,
     notedAtMs: nowMs,
     failuresInRow: health.failuresInRow + 1,
   };
-  return mayEject && noted.failuresInRow >= EJECTION_FAILURES ? avoid(noted, nowMs) : noted;
+  return mayEject && updated.failuresInRow >= EJECTION_FAILURES ? avoid(updated, nowMs) : updated;
 };
 
 /**
- * An agent that does not answer at all is avoided whatever the cap says: a request sent there is
- * surely lost time. It stays known, since it may be alive for others and come back.
+ * An agent that does not respond at all is avoided regardless of the cap: a request sent there only
+ * loses time. It stays in the directory, since it may be reachable for others and may recover.
  *
  * @param health - health so far
  * @param nowMs - monotonic time
- * @returns health after a connection that failed or stayed silent
+ * @returns health after a connection that failed or got no response
  */
 export const afterSilence = (health: AgentHealth, nowMs: number): AgentHealth =>
   avoid(afterFailure(health, nowMs, false), nowMs);
@@ -112,7 +112,7 @@
 /**
  * @param health - health
  * @param nowMs - monotonic time
- * @returns whether requests keep away from the agent
+ * @returns whether requests avoid the agent
  */
 export const isAvoided = (health: AgentHealth, nowMs: number): boolean =>
   health.avoidUntilMs > nowMs;
@@ -120,7 +120,7 @@
 /**
  * @param health - health
  * @param nowMs - monotonic time
- * @returns what is added to the agent's expected wait
+ * @returns penalty to add to the agent's expected wait
  */
 export const penaltyMs = (health: AgentHealth, nowMs: number): number =>
   errorShareAt(health, nowMs) * ERROR_PENALTY_MS;
@@ -128,7 +128,7 @@
 /**
  * @param health - health
  * @param nowMs - monotonic time
- * @returns part of a full load that the agent may take, above 0 to 1
+ * @returns fraction of a full load that the agent may take, above 0 and at most 1
  */
 export const startShare = (health: AgentHealth, nowMs: number): number => {
   const grown = (nowMs - health.knownSinceMs) / SLOW_START_MS;
--- a/src/coordination/common/agentTasks.ts
+++ b/src/coordination/common/agentTasks.ts
@@ -1,11 +1,11 @@
 /**
- * What an agent lets a leader do to the worker on its VM: fencing by epoch, reservations and the
- * memory of stopped starts.
+ * Decides which commands of a leader an agent carries out at the worker on its VM: fencing by
+ * epoch, reservations, and tombstones of stopped tokens.
  *
- * Guards against: a paused leader that wakes after its cell has a new one (its epoch is lower and
- * refused); an agent that restarted and has forgotten which epoch it had accepted (no command is
- * taken before a leader has fenced this boot); a start that arrives after the stop of the same token (the token is remembered as
- * stopped); two starts on one accelerator (only a reservation or a running task holds it).
+ * Guards against: a paused leader that resumes after its cell has a new one (its lower epoch is
+ * refused); a restarted agent that has lost its accepted epoch (no command is accepted before a
+ * leader has fenced this boot); a start that arrives after the stop of its token (the token is
+ * remembered); two starts on one accelerator (only a reservation or a running task occupies it).
  */
 import * as task from '../../state/common/task.js';
 
@@ -14,23 +14,23 @@
   readonly token: task.TaskToken;
   readonly phase: task.TaskPhase;
   readonly accelerators: readonly number[];
-  /** Monotonic moment at which a reservation lapses. */
+  /** Monotonic time at which a reservation expires. */
   readonly reservedUntilMs: number;
   readonly progressMs: number;
   readonly checkpointMs: number;
   readonly reason: string;
 }
 
-/** Everything the agent remembers; it is lost with the agent's process. */
+/** The agent's in-memory state; it is lost when the agent's process ends. */
 export interface AgentTasks {
   readonly acceptedEpoch: number;
   readonly accelerators: number;
   readonly held: ReadonlyMap<string, HeldTask>;
-  /** Tokens that must never start, with the moment until which they are remembered. */
+  /** Tombstones of tokens that must never start, with the time until which they are kept. */
   readonly stopped: ReadonlyMap<string, number>;
 }
 
-/** How long a stopped token is remembered: longer than any message can be under way. */
+/** How long a stopped token is remembered: longer than any message can be in flight. */
 export const STOPPED_MEMORY_MS = 600_000;
 
 /** What the agent has to do at the worker. */
@@ -52,7 +52,7 @@
   readonly effects: readonly AgentEffect[];
   readonly isAccepted: boolean;
   readonly reason: string;
-  /** Nothing of the token runs, and nothing of it ever will. */
+  /** Nothing runs under the token, and nothing ever will. */
   readonly isGone: boolean;
 }
 
@@ -75,7 +75,7 @@
 
 /**
  * @param phase - phase of a task
- * @returns whether the task holds no accelerators any more
+ * @returns whether the task no longer occupies accelerators
  */
 export const isEnded = (phase: task.TaskPhase): boolean => ENDED.has(phase);
 
@@ -112,19 +112,19 @@
 /**
  * @param state - the agent
  * @param nowMs - monotonic time
- * @returns the agent without lapsed reservations and without tokens that need no memory any more; a
- *   token whose reservation lapsed is remembered as stopped, since the leader may count it as gone
- *   while copies of its reservation and start are still under way
+ * @returns the agent without expired reservations and tombstones; the token of an expired
+ *   reservation gets a tombstone, since the leader may count it as gone while duplicates of its
+ *   reservation and start are still in flight
  */
 export const expire = (state: AgentTasks, nowMs: number): AgentTasks => {
-  const isLapsed = (it: HeldTask): boolean =>
+  const isExpiredReservation = (it: HeldTask): boolean =>
     it.phase === task.TaskPhase.reserved && it.reservedUntilMs <= nowMs;
-  const lapsed = [...state.held].filter(([, it]) => isLapsed(it));
-  const isForgetting = [...state.stopped.values()].some((untilMs) => untilMs <= nowMs);
-  if (lapsed.length === 0 && !isForgetting) return state;
-  const held = new Map([...state.held].filter(([, it]) => !isLapsed(it)));
+  const expired = [...state.held].filter(([, it]) => isExpiredReservation(it));
+  const hasExpiredTombstones = [...state.stopped.values()].some((untilMs) => untilMs <= nowMs);
+  if (expired.length === 0 && !hasExpiredTombstones) return state;
+  const held = new Map([...state.held].filter(([, it]) => !isExpiredReservation(it)));
   const stopped = new Map([...state.stopped].filter(([, untilMs]) => untilMs > nowMs));
-  for (const [key] of lapsed) stopped.set(key, nowMs + STOPPED_MEMORY_MS);
+  for (const [key] of expired) stopped.set(key, nowMs + STOPPED_MEMORY_MS);
   return { ...state, held, stopped };
 };
 
@@ -171,7 +171,7 @@
   return accept(withHeld(state, held));
 };
 
-/** The attempt is given up; a late copy of its reservation must not hold the accelerators again. */
+/** Remembers the token: a delayed duplicate must not reserve for the abandoned attempt again. */
 const onRelease = (state: AgentTasks, command: CommandOf<'release'>, nowMs: number): AgentStep => {
   const key = task.tokenKey(command.token);
   const known = state.held.get(key);
@@ -180,8 +180,8 @@
   return accept({ ...withoutHeld(state, key), stopped });
 };
 
-/** The leader counts a member whose start was refused as gone, so no later copy may be taken. */
-const refuseForGood = (
+/** The leader counts a member whose start was refused as gone, so no duplicate may be accepted. */
+const refusePermanently = (
   state: AgentTasks,
   key: string,
   nowMs: number,
@@ -200,11 +200,11 @@
   const key = task.tokenKey(command.token);
   if (state.stopped.has(key)) return refuse(state, 'the token was stopped');
   const known = state.held.get(key);
-  if (known === undefined) return refuseForGood(state, key, nowMs, 'the reservation has lapsed');
+  if (known === undefined) return refusePermanently(state, key, nowMs, 'reservation expired');
   if (known.phase !== task.TaskPhase.reserved) return accept(state);
-  // Without a lease the worker would stop the task at once, and the gang would run in part. A start
-  // that is repeated is no such case: refusing it would say that the running task does not run.
-  if (!hasLease) return refuseForGood(state, key, nowMs, 'the agent holds no lease');
+  // Without a lease the worker would stop the task immediately and the gang would be incomplete. A
+  // repeated start is accepted: a refusal would say that the running task does not run.
+  if (!hasLease) return refusePermanently(state, key, nowMs, 'the agent holds no lease');
   const running: HeldTask = {
     ...known,
     phase: task.TaskPhase.running,
@@ -224,14 +224,14 @@
 const onStop = (state: AgentTasks, command: CommandOf<'stop'>, nowMs: number): AgentStep => {
   const key = task.tokenKey(command.token);
   const stopped = new Map(state.stopped).set(key, nowMs + STOPPED_MEMORY_MS);
-  const remembered = { ...state, stopped };
+  const withTombstone = { ...state, stopped };
   const known = state.held.get(key);
-  if (known === undefined) return gone(remembered);
-  if (isEnded(known.phase)) return gone(remembered);
+  if (known === undefined) return gone(withTombstone);
+  if (isEnded(known.phase)) return gone(withTombstone);
   if (known.phase === task.TaskPhase.reserved) {
-    return gone(withHeld(remembered, { ...known, phase: task.TaskPhase.stopped }));
+    return gone(withHeld(withTombstone, { ...known, phase: task.TaskPhase.stopped }));
   }
-  return accept(withHeld(remembered, { ...known, phase: task.TaskPhase.stopping }), [
+  return accept(withHeld(withTombstone, { ...known, phase: task.TaskPhase.stopping }), [
     { type: 'stop', key, graceMs: command.graceMs },
   ]);
 };
@@ -245,7 +245,7 @@
   const phase = state.held.get(key)?.phase;
   return phase === task.TaskPhase.running
     ? accept(state, [effectOf(key)])
-    : refuse(state, 'the task does not run');
+    : refuse(state, 'the task is not running');
 };
 
 const onCommand = (
@@ -277,10 +277,10 @@
 /**
  * @param state - the agent
  * @param epoch - epoch of the leader that sent the command
- * @param command - what it asks for
+ * @param asked - the command
  * @param nowMs - monotonic time
- * @param leaseUntilMs - monotonic moment until which the agent may renew its worker's tasks
- * @returns the agent after the command, with what to do at the worker
+ * @param leaseUntilMs - monotonic time until which the agent may renew its worker's tasks
+ * @returns the agent after the command, with the effects to apply at the worker
  */
 export const command = (
   state: AgentTasks,
@@ -289,14 +289,14 @@
   nowMs: number,
   leaseUntilMs: number,
 ): AgentStep => {
-  // A command never makes an epoch known: after a restart any epoch would look new.
+  // Commands never raise the accepted epoch: after a restart any epoch would look new.
   if (epoch !== state.acceptedEpoch || epoch === 0) {
-    return refuse(state, `epoch ${epoch} is not ${state.acceptedEpoch}, the accepted one`);
+    return refuse(state, `epoch ${epoch} is not the accepted epoch ${state.acceptedEpoch}`);
   }
   return onCommand(expire(state, nowMs), asked, nowMs, leaseUntilMs);
 };
 
-/** What the worker's lagged report says about one task. */
+/** State of one task in the worker's report, which may lag behind. */
 export interface Observation {
   readonly key: string;
   readonly phase: task.TaskPhase;
@@ -307,8 +307,8 @@
 
 /**
  * @param state - the agent
- * @param seen - what the worker reports of one task
- * @returns the agent with it; an ended task never runs again, whatever a late report says
+ * @param seen - the worker's report on one task
+ * @returns the agent with the report applied; a delayed one never revives an ended task
  */
 export const observe = (state: AgentTasks, seen: Observation): AgentTasks => {
   const known = state.held.get(seen.key);
@@ -327,7 +327,7 @@
 
 /**
  * @param state - the agent
- * @param tokens - ended tasks whose end is durable
+ * @param tokens - ended tasks whose end is stored durably
  * @returns the agent without them
  */
 export const forget = (state: AgentTasks, tokens: readonly task.TaskToken[]): AgentTasks => {
--- a/src/coordination/common/requestBudgets.ts
+++ b/src/coordination/common/requestBudgets.ts
@@ -1,23 +1,23 @@
 /**
- * Two bounds that an entry keeps over all its requests: retries as a share of the answered ones,
- * and requests to other regions as a share of all.
+ * Budgets that an entry applies to all its requests: retries as a share of the answered ones, and
+ * requests to other regions as a share of all. Also the backoff of retries.
  */
 
-/** A credit that events earn and uses spend. */
+/** A credit that is earned by events and spent by uses. */
 export interface Budget {
-  /** Earns a share of one use. */
+  /** Adds the given fraction of one use. */
   readonly earn: (share: number) => void;
   readonly hasCredit: () => boolean;
-  /** Spends one use, where there is credit for it. */
+  /** Spends one use if there is credit for it, and returns whether there was. */
   readonly take: () => boolean;
 }
 
 /**
- * Made for a fault that fails every request: without the bound each would be sent again to every
- * agent, and the load would grow several times just when there is least room. The credit is capped,
- * so that a quiet hour does not pay for a flood.
+ * Limits retries when a fault fails every request: without the budget each would be retried on
+ * every agent and the load would multiply when capacity is lowest. The credit is capped, so that a
+ * quiet hour does not pay for a flood of retries.
  *
- * @param initial - uses before anything was earned, and the most that is saved up
+ * @param initial - initial credit, and its maximum
  * @returns a budget
  */
 export const createBudget = (initial: number): Budget => {
@@ -35,7 +35,7 @@
   };
 };
 
-/** Wait before the first retry. */
+/** Maximum wait before the first retry. */
 const FIRST_BACKOFF_MS = 5;
 
 const LONGEST_BACKOFF_MS = 500;
@@ -43,8 +43,8 @@
 /**
  * @param retry - 1 for the first retry
  * @param random - a number of at least 0 and below 1
- * @returns how long to wait before it: doubled each time, spread over its whole length, so that
- *   requests that failed together do not come back together
+ * @returns the wait before it: doubled for each retry, with full jitter, so that requests that
+ *   failed together are not retried together
  */
 export const backoffMs = (retry: number, random: number): number =>
   Math.min(LONGEST_BACKOFF_MS, FIRST_BACKOFF_MS * 2 ** (retry - 1)) * random;
--- a/src/coordination/common/routing.ts
+++ b/src/coordination/common/routing.ts
@@ -1,45 +1,45 @@
 /**
- * Choosing the upstream for a request.
+ * Chooses the upstream for a request.
  *
- * Made for regions that are far apart and links that are paid by volume: a request stays in its
- * zone, then its region, and leaves it only where waiting at home costs more than the price. Made
- * also for one upstream that is much slower than the others: choices go by the expected time to the
- * answer, so that it gets only what it can do as fast as they can.
+ * Regions may be far apart and their links billed by volume, so a request stays in its zone, then
+ * its region, and leaves it only where waiting costs more than the set price. An upstream may be
+ * much slower than the others: choices go by expected time, so that it gets only what it can answer
+ * as fast as they.
  */
 import type * as random from '../../base/common/random.js';
 import type * as configuration from '../../state/common/configuration.js';
 
-/** An upstream as an entry sees it. */
+/** An upstream as known to an entry. */
 export interface RouteCandidate {
   readonly agentUrl: string;
   readonly upstreamId: string;
   readonly zone: string;
   readonly region: string;
   readonly slots: number;
-  /** Load that the agent reported last, from all entries. */
+  /** Load from all entries, as last reported by the agent. */
   readonly reportedRunning: number;
   readonly reportedQueued: number;
-  /** Requests that this entry sent there and that are open, beyond those in the report. */
+  /** Requests of this entry in flight to its agent. */
   readonly outstanding: number;
   readonly serviceMs: number;
   readonly isLeaving: boolean;
-  /** Ejected, or silent a moment ago; used only where nothing else is left. */
+  /** Ejected or recently unreachable; used only as a last resort. */
   readonly isAvoided: boolean;
-  /** Added to the expected wait for errors. */
+  /** Penalty for errors, added to the expected wait. */
   readonly penaltyMs: number;
-  /** Part of a full load that it may take, above 0 to 1. */
+  /** Fraction of a full load that it may take, above 0 and at most 1. */
   readonly startShare: number;
 }
 
-/** What a choice is made from. */
+/** Input of a choice. */
 export interface RouteView {
   readonly zone: string;
   readonly region: string;
   readonly candidates: readonly RouteCandidate[];
-  /** Agents that the request must not go to again. */
+  /** Agents to which the request must not be sent again. */
   readonly excludedUrls: ReadonlySet<string>;
   readonly policy: Pick<configuration.RoutingPolicy, 'crossRegionPriceMs'>;
-  /** Whether the bound on requests to other regions leaves room for this one. */
+  /** Whether the budget for requests to other regions allows this one. */
   readonly mayLeaveRegion: boolean;
 }
 
@@ -48,20 +48,20 @@
 
 /**
  * @param candidate - an upstream
- * @returns the time that a request sent there now would wait for a slot
+ * @returns expected wait for a slot of a request sent there now
  */
 export const expectedWaitMs = (candidate: RouteCandidate): number => {
   const waiting = Math.max(0, loadOf(candidate) + 1 - candidate.slots);
   return (waiting * candidate.serviceMs) / candidate.slots + candidate.penaltyMs;
 };
 
-/** Expected time to the answer; among equals the emptier one. A new agent counts as fuller. */
+/** Expected time to the answer plus a utilization term, which counts a new agent as fuller. */
 const costOf = (candidate: RouteCandidate): number => {
-  const fullness = (loadOf(candidate) + 1) / (candidate.slots * candidate.startShare);
-  return expectedWaitMs(candidate) + candidate.serviceMs * (1 + fullness);
+  const utilization = (loadOf(candidate) + 1) / (candidate.slots * candidate.startShare);
+  return expectedWaitMs(candidate) + candidate.serviceMs * (1 + utilization);
 };
 
-/** Two choices: almost as even as the best of all, and no herd follows a stale report. */
+/** Power of two choices: nearly as even as the best of all, without a herd on a stale report. */
 const betterOfTwo = (
   candidates: readonly RouteCandidate[],
   next: random.Random,
@@ -75,32 +75,32 @@
   return costOf(a) <= costOf(b) ? a : b;
 };
 
-/** Avoided ones are a last resort: with all of them avoided, trying one is better than refusing. */
+/** Uses avoided upstreams only if all in the region are: better to try one than to refuse. */
 const usableOf = (view: RouteView): readonly RouteCandidate[] => {
   const open = view.candidates.filter((it) => !it.isLeaving && !view.excludedUrls.has(it.agentUrl));
-  const sound = open.filter((it) => !it.isAvoided);
-  const hasHome = sound.some((it) => it.region === view.region);
-  return hasHome ? sound : open;
+  const healthy = open.filter((it) => !it.isAvoided);
+  const hasLocal = healthy.some((it) => it.region === view.region);
+  return hasLocal ? healthy : open;
 };
 
 /**
- * @param view - what the entry knows
+ * @param view - candidates and constraints
  * @param next - source of randomness
  * @returns the upstream, or undefined where none may be used
  */
 export const choose = (view: RouteView, next: random.Random): RouteCandidate | undefined => {
   const usable = usableOf(view);
   const inZone = usable.filter((it) => it.zone === view.zone);
-  const near = betterOfTwo(inZone, next);
-  if (near !== undefined && expectedWaitMs(near) === 0) return near;
-  const home = betterOfTwo(
+  const inZoneChoice = betterOfTwo(inZone, next);
+  if (inZoneChoice !== undefined && expectedWaitMs(inZoneChoice) === 0) return inZoneChoice;
+  const local = betterOfTwo(
     usable.filter((it) => it.region === view.region),
     next,
   );
-  if (home !== undefined && expectedWaitMs(home) === 0) return home;
+  if (local !== undefined && expectedWaitMs(local) === 0) return local;
   const elsewhere = usable.filter((it) => it.region !== view.region);
   const remote = view.mayLeaveRegion ? betterOfTwo(elsewhere, next) : undefined;
-  if (home === undefined || remote === undefined) return home ?? remote;
-  const gainMs = expectedWaitMs(home) - expectedWaitMs(remote);
-  return gainMs > view.policy.crossRegionPriceMs ? remote : home;
+  if (local === undefined || remote === undefined) return local ?? remote;
+  const savedMs = expectedWaitMs(local) - expectedWaitMs(remote);
+  return savedMs > view.policy.crossRegionPriceMs ? remote : local;
 };
