--- a/src/coordination/common/blame.ts
+++ b/src/coordination/common/blame.ts
@@ -1,37 +1,37 @@
 /**
- * Tells bad workers from bad jobs, from where jobs failed.
+ * Attributes failures either to workers or to jobs, by where jobs failed.
  *
- * Made for a worker that fails everything it starts: it is always free, so it draws the queue into
- * itself and fails all of it within minutes. A failure counts against a worker only while the job
- * has failed nowhere else: a job that fails on a second worker as well clears the first. Placement
- * never puts a job again where it failed, so the second opinion always comes.
+ * A faulty worker that fails everything it starts is always free, so it attracts the queue and
+ * fails all of it within minutes. A failure counts against a worker only while the job has failed
+ * nowhere else: a failure of the same job on a second worker clears the first. Placement avoids
+ * workers where the job has failed, so the second result follows.
  */
 import * as job from '../../state/common/job.js';
 
 import type * as planTypes from './planTypes.js';
 
-/** Failures older than this say nothing about a worker now. */
+/** Failures older than this don't count against a worker. */
 export const EVIDENCE_MS = 3_600_000;
 
-/** Time in quarantine before a probe: long enough that a fault that cures itself is over. */
+/** Time in quarantine before a probe: long enough for a transient fault to end. */
 export const PROBE_AFTER_MS = 120_000;
 
-/** A probe that has run for this long shows that the worker works again. */
+/** A probe that has run for this long shows that the worker is healthy again. */
 export const PROBE_GOOD_MS = 30_000;
 
-/** What the failures say. */
+/** Workers to quarantine, release or probe according to the failures. */
 export interface BlameVerdict {
   readonly quarantines: readonly planTypes.PlannedHealth[];
   readonly releases: readonly planTypes.PlannedHealth[];
   readonly warnings: readonly string[];
-  /** Quarantined workers on which one small job may be tried. */
+  /** Quarantined workers on which one small job may be placed as a probe. */
   readonly probeWorkerIds: ReadonlySet<string>;
 }
 
 /**
  * @param records - jobs
  * @param workers - the cell's workers
- * @param nowMs - the time now
+ * @param nowMs - the current time
  * @returns for each worker the ids of the jobs that failed there and nowhere else
  */
 export const failuresByWorker = (
@@ -56,7 +56,7 @@
 /**
  * @param record - a job
  * @param badWorkerIds - workers that are quarantined
- * @returns the distinct good workers on which it failed
+ * @returns number of distinct workers that are not quarantined and on which it failed
  */
 export const goodWorkerFailures = (
   record: job.JobRecord,
@@ -64,8 +64,8 @@
 ): number =>
   new Set(record.failures.map((it) => it.workerId).filter((it) => !badWorkerIds.has(it))).size;
 
-/** Since when jobs run on each worker without a failure of theirs there. */
-const goodRunMs = (view: planTypes.PlanView): Map<string, number> => {
+/** For each worker, the longest time that one of its running jobs has run there. */
+const longestRunMs = (view: planTypes.PlanView): Map<string, number> => {
   const longest = new Map<string, number>();
   for (const record of view.jobs) {
     if (record.state !== job.JobState.running || record.startedAtMs === undefined) continue;
@@ -84,14 +84,14 @@
     .reduce((last, it) => Math.max(last, it.atMs), 0);
 
 /**
- * Which workers to quarantine, to probe and to release.
+ * Determines which workers to quarantine, to probe and to release.
  *
- * The cap guards against a common cause, a broken image or network for instance, which looks like
- * many bad workers at once: beyond the cap nobody is quarantined and operators are told, since
- * taking the cell out of service would do more harm than the failures.
+ * The cap guards against a common cause, such as a broken image or network, which makes many
+ * workers look faulty together. Beyond the cap no worker is quarantined and operators are warned,
+ * since taking the cell out of service would do more harm than the failures.
  *
- * @param view - the cell now
- * @returns the verdict
+ * @param view - the current state of the cell
+ * @returns health changes, probes and warnings
  */
 export const judge = (view: planTypes.PlanView): BlameVerdict => {
   const { nowMs, workers } = view;
@@ -99,31 +99,34 @@
   const records = view.jobs
     .filter((it) => it.failures.length > 0)
     .concat(view.endedFailedJobs ?? []);
-  const held = workers.filter((it) => it.autoQuarantinedSinceMs !== undefined);
-  if (records.length === 0 && held.length === 0) return NO_BLAME;
+  const autoQuarantined = workers.filter((it) => it.autoQuarantinedSinceMs !== undefined);
+  if (records.length === 0 && autoQuarantined.length === 0) return NO_BLAME;
   const blamed = failuresByWorker(records, workers, nowMs);
-  const goodMs = goodRunMs(view);
+  const longestRuns = longestRunMs(view);
   const releases: planTypes.PlannedHealth[] = [];
   const probeWorkerIds = new Set<string>();
-  for (const it of held) {
+  for (const it of autoQuarantined) {
     const since = Math.max(it.autoQuarantinedSinceMs ?? 0, lastFailureMs(records, it.workerId));
     const isCleared = (blamed.get(it.workerId)?.size ?? 0) < quarantineFailures;
-    if ((goodMs.get(it.workerId) ?? 0) >= PROBE_GOOD_MS) {
-      releases.push({ workerId: it.workerId, why: 'a probe ran well on it' });
+    if ((longestRuns.get(it.workerId) ?? 0) >= PROBE_GOOD_MS) {
+      releases.push({ workerId: it.workerId, why: 'a probe job runs on it without a failure' });
     } else if (isCleared) {
-      releases.push({ workerId: it.workerId, why: 'the jobs that failed on it failed elsewhere' });
+      releases.push({
+        workerId: it.workerId,
+        why: 'too few failures still count against it',
+      });
     } else if (nowMs - since >= PROBE_AFTER_MS) probeWorkerIds.add(it.workerId);
   }
   const suspects = workers
-    .filter((it) => it.health === 'ready' && (goodMs.get(it.workerId) ?? 0) < PROBE_GOOD_MS)
+    .filter((it) => it.health === 'ready' && (longestRuns.get(it.workerId) ?? 0) < PROBE_GOOD_MS)
     .map((it) => ({ workerId: it.workerId, failed: blamed.get(it.workerId)?.size ?? 0 }))
     .filter((it) => it.failed >= quarantineFailures)
     .sort((a, b) => b.failed - a.failed || a.workerId.localeCompare(b.workerId));
   const cap =
     quarantineCapShare === 0 ? 0 : Math.max(1, Math.floor(quarantineCapShare * workers.length));
   const quarantinedNow = workers.filter((it) => it.health === 'quarantined').length;
-  const room = Math.max(0, cap - (quarantinedNow - releases.length));
-  if (suspects.length > room) {
+  const remainingCap = Math.max(0, cap - (quarantinedNow - releases.length));
+  if (suspects.length > remainingCap) {
     const warning =
       `jobs fail on ${suspects.length} more workers, but at most ${cap} may be quarantined: ` +
       'look for a common cause';
@@ -136,7 +139,7 @@
   return { quarantines, releases, warnings: [], probeWorkerIds };
 };
 
-/** Nothing failed. */
+/** Result when no job failed and no worker is quarantined. */
 export const NO_BLAME: BlameVerdict = {
   quarantines: [],
   releases: [],
--- a/src/coordination/common/cellSpace.ts
+++ b/src/coordination/common/cellSpace.ts
@@ -1,7 +1,7 @@
 /**
- * The accelerators of a cell during one planning round: who holds which, what is free, and what is
- * free or lent. Built once for a round and changed as the round decides, so that no job of the queue
- * pays for reading the cell again.
+ * Capacity of a cell during one planning round: allocated, free, and free or lent accelerators.
+ * Built once per round and updated as the round decides, so that the state of the cell is not
+ * recomputed for each queued job.
  */
 import * as job from '../../state/common/job.js';
 
@@ -15,20 +15,20 @@
   readonly members: number;
 }
 
-/** Where a whole gang goes. */
+/** Placement of a complete gang. */
 export type GangPlan = readonly WorkerShare[];
 
-/** A borrowed job with what it holds, by worker index. */
+/** A job on borrowed accelerators with its allocation by worker index. */
 export interface Borrower {
   readonly record: job.JobRecord;
   readonly held: ReadonlyMap<number, number>;
   /** Accelerator-milliseconds of work that stopping it loses. */
   readonly lossMs: number;
-  /** It is giving its accelerators back, from before or by a decision of this round. */
+  /** It is being stopped, since before or by a decision of this round. */
   isLeaving: boolean;
 }
 
-/** The cell as the round sees and changes it. Arrays are indexed by worker. */
+/** Capacity of the cell, updated by the round. Arrays are indexed by worker. */
 export interface CellSpace {
   readonly workers: readonly planTypes.PlanWorker[];
   readonly indexOf: ReadonlyMap<string, number>;
@@ -36,13 +36,13 @@
   readonly racks: readonly (readonly number[])[];
   readonly rackOf: readonly number[];
   readonly all: readonly number[];
-  /** Accelerators that nobody holds; 0 on workers that are not ready. */
+  /** Unallocated accelerators; 0 on workers that are not ready. */
   readonly free: number[];
   /** Sum of `free` by rack. */
   readonly rackFree: number[];
-  /** Free accelerators that this round keeps for a claim or a reservation. */
+  /** Free accelerators that this round holds back for a claim or a reservation. */
   readonly kept: number[];
-  /** Free or lent accelerators: what guarantees may count on. */
+  /** Free or lent accelerators, which guarantees may use. */
   readonly claimable: number[];
   /** Borrowers on each worker, the smallest loss first. */
   readonly borrowers: readonly (readonly Borrower[])[];
@@ -79,9 +79,9 @@
 };
 
 /**
- * @param view - the cell now
- * @param placed - its jobs that hold accelerators
- * @returns its accelerators, ready for a round
+ * @param view - the current state of the cell
+ * @param placed - its jobs with an allocation
+ * @returns its capacity at the start of a round
  */
 export const createCellSpace = (
   view: planTypes.PlanView,
@@ -142,33 +142,33 @@
 };
 
 /**
- * @param space - the cell
+ * @param capacity - the cell
  * @param worker - index of a worker
- * @returns accelerators that a borrower may be given there
+ * @returns free accelerators there that are not held back
  */
-export const openOn = (space: CellSpace, worker: number): number =>
-  Math.max(0, (space.free[worker] ?? 0) - (space.kept[worker] ?? 0));
+export const openOn = (capacity: CellSpace, worker: number): number =>
+  Math.max(0, (capacity.free[worker] ?? 0) - (capacity.kept[worker] ?? 0));
 
 /**
- * Takes free accelerators for a gang.
+ * Allocates free accelerators to a gang.
  *
- * @param space - the cell; changed
- * @param plan - where the members go
+ * @param capacity - the cell; changed
+ * @param plan - number of members per worker
  * @param perMember - accelerators of each member
- * @returns the members' places; every index was free, so none is given twice
+ * @returns the members' placements; every index was free, so none is allocated twice
  */
 export const takeGang = (
-  space: CellSpace,
+  capacity: CellSpace,
   plan: GangPlan,
   perMember: number,
 ): job.MemberPlacement[] => {
   const placement: job.MemberPlacement[] = [];
   for (const { worker, members } of plan) {
-    const workerId = space.workers[worker]?.workerId ?? '';
-    const used = space.isUsed[worker] ?? [];
+    const workerId = capacity.workers[worker]?.workerId ?? '';
+    const used = capacity.isUsed[worker] ?? [];
     const open = used.flatMap((isTaken, index) => (isTaken ? [] : [index]));
     const accelerators = open.slice(0, members * perMember);
-    space.use(worker, accelerators);
+    capacity.use(worker, accelerators);
     for (let at = 0; at < members; at += 1) {
       placement.push({
         member: placement.length,
@@ -181,11 +181,14 @@
 };
 
 /**
- * @param space - the cell
+ * @param capacity - the cell
  * @param spec - a job
- * @returns the groups of workers that lie close enough together for it
+ * @returns the groups of workers that satisfy its adjacency
  */
-export const groupsFor = (space: CellSpace, spec: job.JobSpec): readonly (readonly number[])[] => {
-  if (spec.adjacency === 'rack') return space.racks;
-  return spec.adjacency === 'zone' ? [space.all] : space.all.map((it) => [it]);
+export const groupsFor = (
+  capacity: CellSpace,
+  spec: job.JobSpec,
+): readonly (readonly number[])[] => {
+  if (spec.adjacency === 'rack') return capacity.racks;
+  return spec.adjacency === 'zone' ? [capacity.all] : capacity.all.map((it) => [it]);
 };
--- a/src/coordination/common/claimPlanning.ts
+++ b/src/coordination/common/claimPlanning.ts
@@ -1,12 +1,12 @@
 /**
- * Guaranteed jobs of a round: each claims one instance of a shape, on free accelerators or on lent
- * ones that it takes back.
+ * Plans the guaranteed jobs of a round. Each claims one instance of a shape, on free accelerators
+ * or on lent ones that it reclaims.
  *
- * Made for the moment when a customer needs its shape on a full cell. The harm prevented: one claim
- * that takes the place where another customer's shape was to fit. A claim gives up its own place in
- * the assignment of unclaimed shapes. What the other places leave it may take at once, since the rest
- * of the assignment still proves that the others fit; for anything else a new assignment must be
- * found first. Its own place is always left to it, so a claim is never refused while shapes fit.
+ * A customer may need its shape on a full cell, and its claim must not take the place that another
+ * customer's shape needs. A claim therefore first releases its own slot in the assignment of
+ * unclaimed shapes. It may use whatever the other slots leave, since the rest of the assignment
+ * shows that the others still fit; for anything else a new assignment must be found first. Its own
+ * slot always remains available to it, so a claim is never refused while the shapes fit.
  */
 import * as job from '../../state/common/job.js';
 
@@ -15,7 +15,7 @@
 import * as planningRound from './planningRound.js';
 import * as reclaim from './reclaim.js';
 
-/** Removes the claimed instance's place from the assignment. */
+/** Removes the claimed instance's slot from the assignment; the result puts it back. */
 const releaseSlot = (round: planningRound.PlanningRound, shapeId: string): (() => void) => {
   const at = round.slots.findIndex((it) => it.shapeId === shapeId);
   const slot = round.slots[at];
@@ -34,7 +34,7 @@
   };
 };
 
-const holdsAll = (round: planningRound.PlanningRound, shapeId: string): boolean => {
+const isFullyClaimed = (round: planningRound.PlanningRound, shapeId: string): boolean => {
   const shape = round.view.document.shapes.find((it) => it.shapeId === shapeId);
   return (round.claims.get(shapeId) ?? 0) >= (shape?.count ?? 0);
 };
@@ -50,47 +50,47 @@
   }
 };
 
-/** What one claim may take. */
+/** Capacity that one claim may use. */
 interface ClaimStep {
   readonly round: planningRound.PlanningRound;
   readonly record: job.JobRecord;
-  /** Accelerators that the other shapes' present places leave on a worker. */
-  readonly besideOthers: (worker: number) => number;
-  /** All that is free or lent on a worker. */
-  readonly anything: (worker: number) => number;
-  /** Instances that may stay unplaced after the claim. */
+  /** Claimable accelerators that the slots of the other shapes leave on a worker. */
+  readonly leftByOthers: (worker: number) => number;
+  /** All free or lent accelerators on a worker. */
+  readonly claimable: (worker: number) => number;
+  /** Instances that may remain unplaced after the claim. */
   readonly mostUnplaced: number;
 }
 
-/** Whether the other shapes fit beside the plan: by their present places, or else by new ones. */
-const leavesOthers = (step: ClaimStep, plan: cellSpace.GangPlan): boolean => {
+/** Whether the other shapes fit besides the plan, in their current slots or in new ones. */
+const othersStillFit = (step: ClaimStep, plan: cellSpace.GangPlan): boolean => {
   const per = step.record.spec.acceleratorsPerMember;
-  if (plan.every((it) => it.members * per <= step.besideOthers(it.worker))) return true;
+  if (plan.every((it) => it.members * per <= step.leftByOthers(it.worker))) return true;
   return planningRound.repack(step.round, step.record, plan, step.mostUnplaced);
 };
 
 const findFree = (step: ClaimStep): cellSpace.GangPlan | undefined => {
   const { round, record } = step;
-  for (const limit of [step.besideOthers, step.anything]) {
+  for (const limit of [step.leftByOthers, step.claimable]) {
     const open = (worker: number): number =>
       Math.min(cellSpace.openOn(round.space, worker), limit(worker));
     const rules = { open, setAside: round.setAside };
     const plan = gangFit.findGang(round.space, record.spec, rules);
-    if (plan !== undefined && leavesOthers(step, plan)) return plan;
+    if (plan !== undefined && othersStillFit(step, plan)) return plan;
   }
   return undefined;
 };
 
 /**
- * The least loss over the whole cell comes first. It does not depend on where the other shapes are
- * placed for now, which moves as the cell changes: a choice that followed those places would stop
- * one borrower after another, and the claim would never start.
+ * Prefers the least loss over the complete cell, because it does not depend on the current slots of
+ * other shapes, which change with the cell: a choice by those slots would stop one borrower after
+ * another and the claim would never start.
  */
 const findVictims = (step: ClaimStep): reclaim.ReclaimChoice | undefined => {
-  for (const limit of [step.anything, step.besideOthers]) {
+  for (const limit of [step.claimable, step.leftByOthers]) {
     const rules = { limit, canStop: () => true };
     const choice = reclaim.chooseVictims(step.round.space, step.record.spec, rules);
-    if (choice !== undefined && leavesOthers(step, choice.plan)) return choice;
+    if (choice !== undefined && othersStillFit(step, choice.plan)) return choice;
   }
   return undefined;
 };
@@ -111,22 +111,22 @@
  */
 export const planClaim = (round: planningRound.PlanningRound, record: job.JobRecord): void => {
   const { spec } = record;
-  const { space } = round;
+  const { space: capacity } = round;
   const shapeId = spec.shapeId ?? '';
-  if (holdsAll(round, shapeId)) {
-    planningRound.wait(round, record, `jobs already claim every instance of shape ${shapeId}`);
+  if (isFullyClaimed(round, shapeId)) {
+    planningRound.wait(round, record, `all instances of shape ${shapeId} are already claimed`);
     return;
   }
   const isOwnPlaced = round.slots.some((it) => it.shapeId === shapeId);
   const restoreSlot = releaseSlot(round, shapeId);
   const failed = planningRound.failedOn(round, record);
   const anything = (worker: number): number =>
-    failed.has(worker) ? 0 : (space.claimable[worker] ?? 0);
+    failed.has(worker) ? 0 : (capacity.claimable[worker] ?? 0);
   const step: ClaimStep = {
     round,
     record,
-    anything,
-    besideOthers: (worker) => anything(worker) - (round.setAside[worker] ?? 0),
+    claimable: anything,
+    leftByOthers: (worker) => anything(worker) - (round.setAside[worker] ?? 0),
     mostUnplaced: Math.max(0, round.unplaced.length - Number(!isOwnPlaced)),
   };
   const plan = findFree(step);
@@ -141,14 +141,14 @@
     planningRound.wait(
       round,
       record,
-      `no workers that are ready hold shape ${shapeId} beside the other guarantees`,
+      `shape ${shapeId} does not fit on the ready workers together with the other guarantees`,
     );
     return;
   }
   planningRound.makeRoom(round, choice.plan, spec.acceleratorsPerMember, choice.victims, {
     cause: 'reclaimed',
-    why: `claimed back for ${spec.customerId} by job ${spec.jobId}`,
+    why: `reclaimed for ${spec.customerId} by job ${spec.jobId}`,
   });
   claim(round, record, choice.plan);
-  planningRound.wait(round, record, 'waits for borrowed accelerators to be given back');
+  planningRound.wait(round, record, 'waits for borrowed accelerators to be returned');
 };
--- a/src/coordination/common/gangFit.ts
+++ b/src/coordination/common/gangFit.ts
@@ -1,54 +1,55 @@
 /**
- * Finds the place for a gang that leaves the least fragmentation.
+ * Finds the placement of a gang that causes the least fragmentation.
  *
- * Made for a cell shared by many small jobs and few large ones: a small job on an empty worker can
- * keep a gang waiting for hours. Best fit by worker, then by rack, fills what is already broken
- * open; workers that the guarantees need whole come last.
+ * Designed for a cell with many small jobs and few large ones, where a small job on an empty worker
+ * can keep a gang waiting for hours. Best fit by worker, then by rack, uses partly occupied workers
+ * first; workers that guarantees need completely free come last.
  */
 import type * as job from '../../state/common/job.js';
 
 import * as cellSpace from './cellSpace.js';
 
-/** What one search may use. */
+/** Capacity that one search may use. */
 export interface FitRules {
   /** Accelerators usable on a worker. */
   readonly open: (worker: number) => number;
-  /** Accelerators that unclaimed guarantees would take on each worker. */
+  /** Accelerators on each worker that are set aside for unclaimed guarantees. */
   readonly setAside: readonly number[];
-  /** Whether `open` counts accelerators that are not free yet. */
+  /** Whether `open` includes accelerators that are not free yet. */
   readonly isAhead?: boolean;
 }
 
-/** Outweighs every difference in leftovers: a worker holds at most 64 accelerators. */
+/** Outweighs every difference in leftovers: a worker has at most 64 accelerators. */
 const SET_ASIDE_COST = 1_000_000;
-/** A leftover on the worker weighs more than any number free in its rack. */
+/** One leftover accelerator on the worker outweighs any number free in its rack. */
 const LEFTOVER_COST = 1000;
 
 const costOn = (
-  space: cellSpace.CellSpace,
+  capacity: cellSpace.CellSpace,
   rules: FitRules,
   worker: number,
   need: number,
   open: number,
 ): number => {
   const isSetAside = open - need < (rules.setAside[worker] ?? 0);
-  const leftover = (open - need) * LEFTOVER_COST + (space.rackFree[space.rackOf[worker] ?? 0] ?? 0);
+  const leftover =
+    (open - need) * LEFTOVER_COST + (capacity.rackFree[capacity.rackOf[worker] ?? 0] ?? 0);
   return leftover + (isSetAside ? SET_ASIDE_COST : 0);
 };
 
 const fitOnWorker = (
-  space: cellSpace.CellSpace,
+  capacity: cellSpace.CellSpace,
   rules: FitRules,
   need: number,
 ): cellSpace.GangPlan | undefined => {
   let best = -1;
   let bestCost = Number.POSITIVE_INFINITY;
-  for (const worker of space.all) {
-    // The free count comes first, since on a full cell it rules out almost every worker.
-    if (rules.isAhead !== true && (space.free[worker] ?? 0) < need) continue;
+  for (const worker of capacity.all) {
+    // Checks the free count first, since on a full cell it rules out almost every worker.
+    if (rules.isAhead !== true && (capacity.free[worker] ?? 0) < need) continue;
     const open = rules.open(worker);
     if (open < need) continue;
-    const cost = costOn(space, rules, worker, need, open);
+    const cost = costOn(capacity, rules, worker, need, open);
     if (cost < bestCost) {
       best = worker;
       bestCost = cost;
@@ -63,22 +64,22 @@
 }
 
 const fitInGroup = (
-  space: cellSpace.CellSpace,
+  capacity: cellSpace.CellSpace,
   rules: FitRules,
   group: readonly number[],
   spec: job.JobSpec,
 ): GroupFit | undefined => {
   const { members, acceleratorsPerMember: per } = spec;
   const open: { readonly worker: number; readonly size: number }[] = [];
-  let room = 0;
+  let memberCapacity = 0;
   for (const worker of group) {
-    if (rules.isAhead !== true && (space.free[worker] ?? 0) < per) continue;
+    if (rules.isAhead !== true && (capacity.free[worker] ?? 0) < per) continue;
     const size = rules.open(worker);
     if (size < per) continue;
     open.push({ worker, size });
-    room += Math.floor(size / per);
+    memberCapacity += Math.floor(size / per);
   }
-  if (room < members) return undefined;
+  if (memberCapacity < members) return undefined;
   const order = open
     .map(({ worker, size }) => {
       const fits = Math.floor(size / per);
@@ -101,23 +102,23 @@
 };
 
 /**
- * @param space - the cell
+ * @param capacity - the cell
  * @param spec - the job
- * @param rules - what may be used
- * @returns a place for every member, or undefined where no group of workers holds them all
+ * @param rules - capacity that may be used
+ * @returns a placement of all members, or undefined where no group of workers fits them
  */
 export const findGang = (
-  space: cellSpace.CellSpace,
+  capacity: cellSpace.CellSpace,
   spec: job.JobSpec,
   rules: FitRules,
 ): cellSpace.GangPlan | undefined => {
   if (spec.adjacency === 'worker' || spec.members === 1) {
-    const plan = fitOnWorker(space, rules, spec.members * spec.acceleratorsPerMember);
+    const plan = fitOnWorker(capacity, rules, spec.members * spec.acceleratorsPerMember);
     return plan?.map((it) => ({ ...it, members: spec.members }));
   }
   let best: GroupFit | undefined;
-  for (const group of cellSpace.groupsFor(space, spec)) {
-    const fit = fitInGroup(space, rules, group, spec);
+  for (const group of cellSpace.groupsFor(capacity, spec)) {
+    const fit = fitInGroup(capacity, rules, group, spec);
     if (fit !== undefined && fit.cost < (best?.cost ?? Number.POSITIVE_INFINITY)) best = fit;
   }
   return best?.plan;
--- a/src/coordination/common/guaranteeCheck.ts
+++ b/src/coordination/common/guaranteeCheck.ts
@@ -1,24 +1,24 @@
 /**
- * Whether all guaranteed shapes that nobody claims can be placed together.
+ * Checks whether all unclaimed guaranteed shapes can be placed together.
  *
- * A shape stands for whole workers and, where it does not fill the last one, a part of one more
- * worker (its *canonical form*); a job may claim it only if the job fits that form. The check builds
- * an actual assignment of the forms to workers. So it is sound: when it says that the shapes fit,
- * the assignment is the proof. It is conservative: packing is NP-hard, and where two orders of
- * best fit and worst fit both fail, a placement may exist that neither found.
+ * A shape is a number of complete workers and, for the remainder, a part of one more worker (its
+ * *canonical form*); a job may claim it only if it fits that form. The check builds an actual
+ * assignment of the forms to workers, so a positive result is always correct. A negative one may be
+ * wrong: packing is NP-hard, and where both best fit and worst fit fail, a placement may still
+ * exist.
  *
- * Lending changes nothing here, since free and lent accelerators count alike: only placements of
- * guaranteed jobs and losses of workers can break the invariant, so only they pay for the check.
+ * Lending does not affect the result, since free and lent accelerators count alike: only placements
+ * of guaranteed jobs and losses of workers can break the invariant, so only they run the check.
  */
 import type * as configuration from '../../state/common/configuration.js';
 import * as job from '../../state/common/job.js';
 
 import type * as cellSpace from './cellSpace.js';
 
-/** One instance of a shape that nobody claims now. */
+/** One instance of a shape that no job claims. */
 export interface UnclaimedShape {
   readonly shape: configuration.Shape;
-  /** Whole workers of its canonical form. */
+  /** Complete workers of its canonical form. */
   readonly wholes: number;
   /** Accelerators on one more worker. */
   readonly remainder: number;
@@ -29,11 +29,11 @@
   /** Accelerators set aside on each worker. */
   readonly setAside: readonly number[];
   readonly unplaced: readonly UnclaimedShape[];
-  /** For each placed instance the workers of its form. */
+  /** Slots of the placed instances. */
   readonly slots: readonly ShapeSlot[];
 }
 
-/** Where an instance of a shape is placed. */
+/** Workers and accelerators assigned to an instance of a shape. */
 export interface ShapeSlot {
   readonly shapeId: string;
   readonly workers: readonly number[];
@@ -59,7 +59,7 @@
  * @param spec - a job that claims a shape
  * @param shape - the shape
  * @param perWorker - accelerators of a worker of the cell
- * @returns whether the job fits the shape's canonical form wherever that form lies
+ * @returns whether the job fits the shape's canonical form on any workers that hold it
  */
 export const fitsShape = (
   spec: job.JobSpec,
@@ -71,8 +71,8 @@
   const onLargest = Math.floor(Math.min(shape.accelerators, perWorker) / per);
   if (onLargest >= spec.members) return true;
   if (ADJACENCY_RANK[spec.adjacency] < ADJACENCY_RANK[shape.adjacency]) return false;
-  const room = wholes * Math.floor(perWorker / per) + Math.floor(remainder / per);
-  return room >= spec.members;
+  const memberCapacity = wholes * Math.floor(perWorker / per) + Math.floor(remainder / per);
+  return memberCapacity >= spec.members;
 };
 
 const isClaiming = (record: job.JobRecord): boolean =>
@@ -80,7 +80,7 @@
 
 /**
  * @param jobs - the cell's jobs
- * @returns instances of each shape that running or stopping jobs hold
+ * @returns number of claimed instances by shape, including jobs that are starting or stopping
  */
 export const countClaims = (jobs: readonly job.JobRecord[]): Map<string, number> => {
   const claims = new Map<string, number>();
@@ -93,10 +93,10 @@
 };
 
 /**
- * @param document - the configuration in force
+ * @param document - the active configuration
  * @param cell - the cell
- * @param claims - instances that are claimed, by shape
- * @returns the unclaimed instances, the hardest to place first, always in the same order
+ * @param claims - number of claimed instances by shape
+ * @returns the unclaimed instances, hardest to place first, in a deterministic order
  */
 export const unclaimedShapes = (
   document: configuration.ConfigurationDocument,
@@ -126,84 +126,86 @@
 type FitSign = 1 | -1;
 
 interface Packing {
-  readonly space: cellSpace.CellSpace;
+  readonly capacity: cellSpace.CellSpace;
   readonly perWorker: number;
   readonly sign: FitSign;
-  /** Accelerators left on each worker. */
+  /** Remaining accelerators of each worker. */
   readonly left: number[];
-  /** Whole workers left in each rack. */
+  /** Number of completely available workers in each rack. */
   readonly wholes: number[];
   /**
-   * Workers by accelerators left, those with the most free ones last. Entries go stale when a worker
-   * is used; so the whole cell is not searched again for each of some hundred shapes.
+   * Workers by remaining accelerators, those with the most free ones last. Entries become stale
+   * when a worker is used. Avoids a search of the complete cell for each of some hundred shapes.
    */
-  readonly byRoom: number[][];
+  readonly byLeft: number[][];
 }
 
 const wholesOf = (rack: readonly number[], left: readonly number[], perWorker: number): number =>
   rack.filter((worker) => (left[worker] ?? 0) >= perWorker).length;
 
-/** Whole workers of a group, those with the most free accelerators first. */
+/** Picks completely available workers of a group, most free accelerators first. */
 const pickWholes = (packing: Packing, group: readonly number[], count: number): number[] => {
   if (count === 0) return [];
-  const { space, left, perWorker } = packing;
+  const { capacity, left, perWorker } = packing;
   return group
     .filter((worker) => (left[worker] ?? 0) >= perWorker)
-    .sort((a, b) => (space.free[b] ?? 0) - (space.free[a] ?? 0) || a - b)
+    .sort((a, b) => (capacity.free[b] ?? 0) - (capacity.free[a] ?? 0) || a - b)
     .slice(0, count);
 };
 
-/** The tightest (or widest) worker for a part, the one with more free accelerators where equal. */
+/** Picks the worker with the best (or worst) fit for a part; on a tie the one with more free. */
 const pickPart = (
   packing: Packing,
   group: readonly number[],
   need: number,
   taken: readonly number[],
 ): number | undefined => {
-  const { space, left, sign } = packing;
+  const { capacity, left, sign } = packing;
   let best: number | undefined;
-  let bestRoom = 0;
+  let bestAvailable = 0;
   for (const worker of group) {
-    const room = left[worker] ?? 0;
-    if (room < need || taken.includes(worker)) continue;
-    const order = best === undefined ? -1 : sign * (room - bestRoom);
+    const available = left[worker] ?? 0;
+    if (available < need || taken.includes(worker)) continue;
+    const order = best === undefined ? -1 : sign * (available - bestAvailable);
     const isFreer =
-      best !== undefined && order === 0 && (space.free[worker] ?? 0) > (space.free[best] ?? 0);
+      best !== undefined &&
+      order === 0 &&
+      (capacity.free[worker] ?? 0) > (capacity.free[best] ?? 0);
     if (order < 0 || isFreer) {
       best = worker;
-      bestRoom = room;
+      bestAvailable = available;
     }
   }
   return best;
 };
 
-const groupByRoom = (space: cellSpace.CellSpace, left: readonly number[]): number[][] => {
-  const byRoom: number[][] = Array.from({ length: 1 + Math.max(0, ...left) }, () => []);
-  for (const worker of space.all) byRoom[left[worker] ?? 0]?.push(worker);
-  for (const bucket of byRoom) bucket.sort((a, b) => (space.free[a] ?? 0) - (space.free[b] ?? 0));
-  return byRoom;
+const groupByLeft = (capacity: cellSpace.CellSpace, left: readonly number[]): number[][] => {
+  const byLeft: number[][] = Array.from({ length: 1 + Math.max(0, ...left) }, () => []);
+  for (const worker of capacity.all) byLeft[left[worker] ?? 0]?.push(worker);
+  for (const it of byLeft) it.sort((a, b) => (capacity.free[a] ?? 0) - (capacity.free[b] ?? 0));
+  return byLeft;
 };
 
-/** As {@link pickPart}, over the whole cell. */
+/** Same as {@link pickPart}, over the complete cell. */
 const pickPartAnywhere = (
   packing: Packing,
   need: number,
   taken: readonly number[],
 ): number | undefined => {
-  const { byRoom, left, sign } = packing;
-  const last = byRoom.length - 1;
+  const { byLeft, left, sign } = packing;
+  const last = byLeft.length - 1;
   for (let step = 0; step <= last - need; step += 1) {
-    const room = sign === 1 ? need + step : last - step;
-    const bucket = byRoom[room] ?? [];
-    const isStale = (): boolean => left[bucket[bucket.length - 1] ?? -1] !== room;
+    const remaining = sign === 1 ? need + step : last - step;
+    const bucket = byLeft[remaining] ?? [];
+    const isStale = (): boolean => left[bucket[bucket.length - 1] ?? -1] !== remaining;
     while (bucket.length > 0 && isStale()) bucket.pop();
-    const worker = bucket.findLast((it) => left[it] === room && !taken.includes(it));
+    const worker = bucket.findLast((it) => left[it] === remaining && !taken.includes(it));
     if (worker !== undefined) return worker;
   }
   return undefined;
 };
 
-/** Picks workers of a group for one form, or gives up without a change. */
+/** Picks workers of a group for one form; undefined where it does not fit. */
 const slotIn = (
   packing: Packing,
   group: readonly number[],
@@ -215,7 +217,7 @@
   const accelerators = wholes.map(() => packing.perWorker);
   if (form.remainder === 0) return { shapeId, workers: wholes, accelerators };
   const part =
-    group === packing.space.all
+    group === packing.capacity.all
       ? pickPartAnywhere(packing, form.remainder, wholes)
       : pickPart(packing, group, form.remainder, wholes);
   if (part === undefined) return undefined;
@@ -223,10 +225,10 @@
   return { shapeId, workers: [...wholes, part], accelerators: parts };
 };
 
-/** The rack with the fewest (or most) whole workers that holds the form. */
+/** Picks the rack with the fewest (or most) completely available workers that fits the form. */
 const slotInRack = (packing: Packing, form: UnclaimedShape): ShapeSlot | undefined => {
-  const { space, wholes, sign } = packing;
-  const racks = space.racks
+  const { capacity, wholes, sign } = packing;
+  const racks = capacity.racks
     .map((rack, index) => ({ rack, count: wholes[index] ?? 0 }))
     .filter((it) => it.count >= form.wholes)
     .sort((a, b) => sign * (a.count - b.count));
@@ -238,32 +240,34 @@
 };
 
 const takeSlot = (packing: Packing, slot: ShapeSlot): void => {
-  const { space, left, wholes, perWorker } = packing;
+  const { capacity, left, wholes, perWorker } = packing;
   slot.workers.forEach((worker, at) => {
-    const room = (left[worker] ?? 0) - (slot.accelerators[at] ?? 0);
-    left[worker] = room;
-    packing.byRoom[room]?.push(worker);
-    const rack = space.rackOf[worker] ?? 0;
-    wholes[rack] = wholesOf(space.racks[rack] ?? [], left, perWorker);
+    const remaining = (left[worker] ?? 0) - (slot.accelerators[at] ?? 0);
+    left[worker] = remaining;
+    packing.byLeft[remaining]?.push(worker);
+    const rack = capacity.rackOf[worker] ?? 0;
+    wholes[rack] = wholesOf(capacity.racks[rack] ?? [], left, perWorker);
   });
 };
 
 const packWith = (
-  space: cellSpace.CellSpace,
+  capacity: cellSpace.CellSpace,
   claimable: readonly number[],
   forms: readonly UnclaimedShape[],
   perWorker: number,
   sign: FitSign,
 ): ShapePacking => {
   const left = [...claimable];
-  const wholes = space.racks.map((rack) => wholesOf(rack, left, perWorker));
-  const byRoom = groupByRoom(space, left);
-  const packing: Packing = { space, perWorker, sign, left, wholes, byRoom };
+  const wholes = capacity.racks.map((rack) => wholesOf(rack, left, perWorker));
+  const byLeft = groupByLeft(capacity, left);
+  const packing: Packing = { capacity, perWorker, sign, left, wholes, byLeft };
   const slots: ShapeSlot[] = [];
   const unplaced: UnclaimedShape[] = [];
   for (const form of forms) {
     const isTooLarge = form.shape.adjacency === 'worker' && form.shape.accelerators > perWorker;
-    const slot = isRackBound(form) ? slotInRack(packing, form) : slotIn(packing, space.all, form);
+    const slot = isRackBound(form)
+      ? slotInRack(packing, form)
+      : slotIn(packing, capacity.all, form);
     if (slot === undefined || isTooLarge) {
       unplaced.push(form);
       continue;
@@ -276,20 +280,20 @@
 };
 
 /**
- * @param space - the cell
+ * @param capacity - the cell
  * @param claimable - accelerators of each worker that are free or lent
  * @param forms - unclaimed instances
  * @param perWorker - accelerators of a worker of the cell
- * @returns an assignment; what it leaves unplaced could not be shown to fit
+ * @returns an assignment; instances that could not be shown to fit are unplaced
  */
 export const packShapes = (
-  space: cellSpace.CellSpace,
+  capacity: cellSpace.CellSpace,
   claimable: readonly number[],
   forms: readonly UnclaimedShape[],
   perWorker: number,
 ): ShapePacking => {
-  const first = packWith(space, claimable, forms, perWorker, 1);
+  const first = packWith(capacity, claimable, forms, perWorker, 1);
   if (first.unplaced.length === 0) return first;
-  const second = packWith(space, claimable, forms, perWorker, -1);
+  const second = packWith(capacity, claimable, forms, perWorker, -1);
   return second.unplaced.length < first.unplaced.length ? second : first;
 };
--- a/src/coordination/common/placement.ts
+++ b/src/coordination/common/placement.ts
@@ -1,7 +1,7 @@
 /**
- * One planning round of a cell: which queued jobs get which accelerators, which borrowed jobs must
- * give theirs back, and which workers are quarantined or released. Pure: a view of the cell goes in,
- * a plan comes out.
+ * One planning round of a cell: allocates accelerators to queued jobs, stops borrowing jobs to
+ * reclaim theirs, and quarantines or releases workers. Pure: a snapshot of the cell goes in, a plan
+ * comes out.
  */
 import * as blame from './blame.js';
 import * as claimPlanning from './claimPlanning.js';
@@ -22,11 +22,11 @@
 };
 
 /**
- * Claims come before borrowing: what a waiting claim needs is kept from borrowers, the rest is lent
- * on, so that a claim that waits does not idle the cell.
+ * Plans claims before borrowing: what a waiting claim needs is withheld from borrowers, the rest is
+ * lent, so that a waiting claim does not leave the cell idle.
  *
- * @param view - the cell now
- * @returns what to place, what to take back and why the rest waits
+ * @param view - the current state of the cell
+ * @returns what to place, what to stop, and why the other jobs wait
  */
 export const planRound = (view: planTypes.PlanView): planTypes.Plan => {
   const verdict = blame.judge(view);
--- a/src/coordination/common/planTypes.ts
+++ b/src/coordination/common/planTypes.ts
@@ -1,6 +1,6 @@
 /**
- * What a planning round reads and what it decides. The leader builds the view and carries the plan
- * out; everything between is pure.
+ * Input and output of a planning round. The leader builds the input and carries out the plan;
+ * everything in between is pure.
  */
 import type * as configuration from '../../state/common/configuration.js';
 import type * as job from '../../state/common/job.js';
@@ -8,34 +8,34 @@
 
 import type * as runEstimates from './runEstimates.js';
 
-/** A worker as planning sees it. */
+/** A worker as input of planning. */
 export interface PlanWorker {
   readonly workerId: string;
   readonly rack: string;
   readonly accelerators: number;
   readonly health: worker.WorkerHealth;
-  /** Set while the planner itself holds the worker in quarantine, not an operator. */
+  /** Set while the worker is quarantined by the planner and not by an operator. */
   readonly autoQuarantinedSinceMs?: number;
-  /** Failures before this moment don't count: the worker was released after them. */
+  /** Failures before this time don't count: the worker was released after them. */
   readonly blameFromMs?: number;
 }
 
-/** What a round is planned from. */
+/** Input of a planning round. */
 export interface PlanView {
   readonly nowMs: number;
   readonly cell: string;
   readonly configVersion: number;
   readonly document: configuration.ConfigurationDocument;
   readonly workers: readonly PlanWorker[];
-  /** All jobs of the cell that have not ended, in the order of their submission. */
+  /** All jobs of the cell that have not ended, in order of submission. */
   readonly jobs: readonly job.JobRecord[];
-  /** Ended jobs that failed somewhere: evidence against workers or against the jobs. */
+  /** Ended jobs with failures, for attributing failures to workers or jobs. */
   readonly endedFailedJobs?: readonly job.JobRecord[];
-  /** Run times learned from jobs that finished. */
+  /** Run time estimates from finished jobs. */
   readonly estimates?: runEstimates.RunEstimates;
 }
 
-/** A job that gets accelerators. */
+/** A job to be placed. */
 export interface PlannedPlacement {
   readonly jobId: string;
   readonly placement: readonly job.MemberPlacement[];
@@ -43,32 +43,32 @@
   readonly why: string;
 }
 
-/** A job that must give its accelerators back. */
+/** A job to be stopped. */
 export interface PlannedStop {
   readonly jobId: string;
   readonly cause: 'reclaimed' | 'compacted';
   readonly why: string;
 }
 
-/** A job that waits, with the reason for people. */
+/** A job that stays queued, with a human-readable reason. */
 export interface PlannedWait {
   readonly jobId: string;
   readonly why: string;
 }
 
-/** A worker that is to be quarantined or released. */
+/** A worker to be quarantined or released. */
 export interface PlannedHealth {
   readonly workerId: string;
   readonly why: string;
 }
 
-/** What a round decided. */
+/** Decisions of a planning round. */
 export interface Plan {
   readonly placements: readonly PlannedPlacement[];
   readonly stops: readonly PlannedStop[];
   readonly waits: readonly PlannedWait[];
   readonly quarantines: readonly PlannedHealth[];
   readonly releases: readonly PlannedHealth[];
-  /** What operators must know: guarantees that can't be met now, for instance. */
+  /** Warnings for operators, such as guarantees that can't be met now. */
   readonly warnings: readonly string[];
 }
--- a/src/coordination/common/planningRound.ts
+++ b/src/coordination/common/planningRound.ts
@@ -1,5 +1,5 @@
 /**
- * The state of one planning round that its steps share, and the few ways in which they change it.
+ * Shared state of one planning round and the operations that change it.
  */
 import * as job from '../../state/common/job.js';
 
@@ -8,38 +8,38 @@
 import type * as planTypes from './planTypes.js';
 import * as runEstimates from './runEstimates.js';
 
-/** One round. The steps fill `placements`, `stops` and `waits`. */
+/** State of one round. Its steps fill `placements`, `stops` and `waits`. */
 export interface PlanningRound {
   readonly view: planTypes.PlanView;
-  /** Queued jobs that claim a shape, in the order of their submission. */
+  /** Queued jobs that claim a shape, in order of submission. */
   readonly queuedClaims: readonly job.JobRecord[];
-  /** Queued jobs that borrow, in the order of their submission. */
+  /** Queued jobs that borrow, in order of submission. */
   readonly queuedSpare: readonly job.JobRecord[];
-  /** Jobs that hold accelerators. */
+  /** Jobs with an allocation. */
   readonly placed: readonly job.JobRecord[];
   readonly space: cellSpace.CellSpace;
   readonly estimates: runEstimates.RunEstimates;
-  /** Instances of each shape that are claimed, with what this round added. */
+  /** Claimed instances by shape, including those of this round. */
   readonly claims: Map<string, number>;
-  /** Accelerators on each worker that unclaimed shapes are shown to fit on. */
+  /** Accelerators on each worker that the assignment of unclaimed shapes uses. */
   readonly setAside: number[];
   readonly slots: guaranteeCheck.ShapeSlot[];
   readonly unplaced: guaranteeCheck.UnclaimedShape[];
-  /** Accelerators on each worker of the place that can always be cleared for a large job. */
+  /** Accelerators on each worker of the place that is kept clearable for a large job. */
   readonly clearable: number[];
-  /** Beneath a reservation, the moment by which a job that can't yield must end, by worker. */
+  /** Time by which a backfilled job that can't yield must end, by worker. */
   readonly backfillUntilMs: number[];
-  /** When the reservations of this round are expected to start. */
+  /** Expected start times of the reservations of this round. */
   readonly reservedAtMs: number[];
   readonly placements: planTypes.PlannedPlacement[];
   readonly stops: planTypes.PlannedStop[];
   readonly waits: planTypes.PlannedWait[];
   readonly warnings: string[];
-  /** Accelerators that each customer's jobs hold. */
+  /** Accelerators allocated to each customer's jobs. */
   readonly heldBy: Map<string, number>;
 }
 
-const heldByCustomer = (jobs: readonly job.JobRecord[]): Map<string, number> => {
+const allocatedByCustomer = (jobs: readonly job.JobRecord[]): Map<string, number> => {
   const held = new Map<string, number>();
   for (const record of jobs) {
     const { customerId } = record.spec;
@@ -48,7 +48,9 @@
   return held;
 };
 
-/** One pass over the jobs of the cell: at some thousand jobs each further pass shows in the round. */
+/**
+ * A single pass over the jobs: at some thousand jobs each further pass noticeably slows the round.
+ */
 const splitJobs = (
   jobs: readonly job.JobRecord[],
 ): Pick<PlanningRound, 'queuedClaims' | 'queuedSpare' | 'placed'> => {
@@ -64,7 +66,7 @@
   return { queuedClaims, queuedSpare, placed };
 };
 
-const infeasible = (unplaced: readonly guaranteeCheck.UnclaimedShape[]): string[] => {
+const infeasibleWarnings = (unplaced: readonly guaranteeCheck.UnclaimedShape[]): string[] => {
   const counts = new Map<string, number>();
   for (const { shape } of unplaced) counts.set(shape.shapeId, (counts.get(shape.shapeId) ?? 0) + 1);
   return [...counts].map(
@@ -75,47 +77,47 @@
 };
 
 /**
- * @param view - the cell now
- * @returns a round in which nothing is decided
+ * @param view - the current state of the cell
+ * @returns a round without decisions
  */
 export const beginRound = (view: planTypes.PlanView): PlanningRound => {
   const { queuedClaims, queuedSpare, placed } = splitJobs(view.jobs);
-  const space = cellSpace.createCellSpace(view, placed);
+  const capacity = cellSpace.createCellSpace(view, placed);
   const claims = guaranteeCheck.countClaims(placed);
   const forms = guaranteeCheck.unclaimedShapes(view.document, view.cell, claims);
   const cell = view.document.cells.find((it) => it.cell === view.cell);
   const perWorker = cell?.acceleratorsPerWorker ?? 1;
-  const packing = guaranteeCheck.packShapes(space, space.claimable, forms, perWorker);
+  const packing = guaranteeCheck.packShapes(capacity, capacity.claimable, forms, perWorker);
   return {
     view,
     queuedClaims,
     queuedSpare,
     placed,
-    space,
+    space: capacity,
     estimates: view.estimates ?? runEstimates.NO_ESTIMATES,
     claims,
     setAside: [...packing.setAside],
     slots: [...packing.slots],
     unplaced: [...packing.unplaced],
-    clearable: space.all.map(() => 0),
-    backfillUntilMs: space.all.map(() => Number.POSITIVE_INFINITY),
+    clearable: capacity.all.map(() => 0),
+    backfillUntilMs: capacity.all.map(() => Number.POSITIVE_INFINITY),
     reservedAtMs: [],
     placements: [],
     stops: [],
     waits: [],
-    warnings: infeasible(packing.unplaced),
-    heldBy: heldByCustomer(placed),
+    warnings: infeasibleWarnings(packing.unplaced),
+    heldBy: allocatedByCustomer(placed),
   };
 };
 
 /**
- * Looks for a new assignment of the unclaimed shapes beside a claim that would break the present one,
- * and takes it where it leaves no more shapes unplaced.
+ * Searches for a new assignment of the unclaimed shapes besides a claim that breaks the current
+ * one, and adopts it if it leaves no more shapes unplaced.
  *
- * @param round - the round; changed where the answer is yes
+ * @param round - the round; changed if the result is true
  * @param record - the claim
- * @param plan - where its members would go
- * @param mostUnplaced - instances that may stay unplaced
+ * @param plan - proposed number of members per worker
+ * @param mostUnplaced - instances that may remain unplaced
  * @returns whether the other shapes still fit
  */
 export const repack = (
@@ -145,10 +147,10 @@
 
 /**
  * @param round - the round; changed
- * @param record - a job that gets accelerators
- * @param plan - where its members go
- * @param ruleId - the spare rule it borrows by
- * @param why - for people
+ * @param record - a job to be placed
+ * @param plan - number of members per worker
+ * @param ruleId - the spare rule under which it borrows
+ * @param why - human-readable reason
  */
 export const accept = (
   round: PlanningRound,
@@ -166,20 +168,20 @@
 
 /**
  * @param round - the round; changed
- * @param record - a job that stays in the queue
- * @param why - for people
+ * @param record - a job that stays queued
+ * @param why - human-readable reason
  */
 export const wait = (round: PlanningRound, record: job.JobRecord, why: string): void => {
   round.waits.push({ jobId: record.spec.jobId, why });
 };
 
 /**
- * Stops borrowed jobs for a gang and keeps its place from everyone else in this round.
+ * Preempts borrowing jobs for a gang and holds back its place from all other jobs in this round.
  *
  * @param round - the round; changed
- * @param plan - where the gang will go
+ * @param plan - future number of members per worker
  * @param perMember - accelerators of each member
- * @param victims - jobs that leave for it
+ * @param victims - preemption victims
  * @param stop - cause and reason
  */
 export const makeRoom = (
@@ -200,31 +202,31 @@
 
 const NO_WORKERS: ReadonlySet<number> = new Set();
 
-/** Whether the job would fit on ready workers outside a set if they were empty. */
+/** Whether the job would fit on the ready workers that are not excluded if they were empty. */
 const couldFit = (
   round: PlanningRound,
   spec: job.JobSpec,
   excluded: ReadonlySet<number>,
 ): boolean =>
   cellSpace.groupsFor(round.space, spec).some((group) => {
-    let room = 0;
+    let memberCapacity = 0;
     for (const worker of group) {
       const it = round.space.workers[worker];
       if (it?.health !== 'ready' || excluded.has(worker)) continue;
-      room += Math.floor(it.accelerators / spec.acceleratorsPerMember);
+      memberCapacity += Math.floor(it.accelerators / spec.acceleratorsPerMember);
     }
-    return room >= spec.members;
+    return memberCapacity >= spec.members;
   });
 
 /**
- * Guards against a job that fails again and again on one bad worker, and against a bad job that is
- * never given up because it comes back to the worker that it has failed on: the second failure there
- * would say nothing about which of the two is bad.
+ * Guards against a job that fails repeatedly on one faulty worker, and against a faulty job that
+ * never becomes unrunnable because it returns to the same worker: a second failure there would not
+ * show which of the two is faulty.
  *
  * @param round - the round
  * @param record - a job
- * @returns indexes of the workers on which it failed and is not tried again; where too few others
- *   are left to hold it, the workers of its oldest failures are tried again first
+ * @returns indexes of the workers on which it failed, to be excluded; where too few others remain
+ *   to hold it, the workers of its oldest failures are allowed again first
  */
 export const failedOn = (round: PlanningRound, record: job.JobRecord): ReadonlySet<number> => {
   if (record.failures.length === 0) return NO_WORKERS;
--- a/src/coordination/common/reclaim.ts
+++ b/src/coordination/common/reclaim.ts
@@ -1,70 +1,73 @@
 /**
- * Chooses which borrowed jobs give their accelerators back so that a gang fits.
+ * Chooses the borrowing jobs to preempt so that a gang fits.
  *
- * Made for a claim on a full cell that must start within 3.4 s: stopping any jobs until the claim
- * happens to fit loses work for nothing when they lie apart. The choice is made per group of
- * adjacent workers, and the set that loses the least accelerator-time wins.
+ * A claim on a full cell must start within 3.4 s. Stopping arbitrary jobs until the claim happens
+ * to fit would lose work for nothing when they are not adjacent. The choice is made per group of
+ * adjacent workers, and the set that loses the least accelerator time wins.
  */
 import type * as job from '../../state/common/job.js';
 
 import * as cellSpace from './cellSpace.js';
 
-/** Accelerators for a gang, and the jobs that must leave first. */
+/** Placement of a gang, and the jobs to be preempted for it. */
 export interface ReclaimChoice {
   readonly plan: cellSpace.GangPlan;
   readonly victims: readonly cellSpace.Borrower[];
   readonly lossMs: number;
 }
 
-/** What one choice may use. */
+/** Constraints of one choice. */
 export interface ReclaimRules {
-  /** Most accelerators that the gang may take on a worker. */
+  /** Maximum accelerators that the gang may use on a worker. */
   readonly limit: (worker: number) => number;
-  /** Which borrowers may be stopped; those that leave already are always counted as free. */
+  /** Whether a borrower may be stopped; those already stopping always count as free. */
   readonly canStop: (borrower: cellSpace.Borrower) => boolean;
 }
 
-interface Trial {
+interface Selection {
   readonly chosen: Set<cellSpace.Borrower>;
   lossMs: number;
 }
 
-const openWith = (
-  space: cellSpace.CellSpace,
+const availableWith = (
+  capacity: cellSpace.CellSpace,
   worker: number,
   chosen: ReadonlySet<cellSpace.Borrower>,
 ): number => {
-  if (space.workers[worker]?.health !== 'ready') return 0;
-  let open = cellSpace.openOn(space, worker);
-  for (const it of space.borrowers[worker] ?? []) {
+  if (capacity.workers[worker]?.health !== 'ready') return 0;
+  let open = cellSpace.openOn(capacity, worker);
+  for (const it of capacity.borrowers[worker] ?? []) {
     if (it.isLeaving || chosen.has(it)) open += it.held.get(worker) ?? 0;
   }
-  // What a claim of this round keeps may lie on accelerators that are not free yet.
-  const overdrawn = Math.max(0, (space.kept[worker] ?? 0) - (space.free[worker] ?? 0));
-  return Math.max(0, open - overdrawn);
+  // A claim of this round may hold back accelerators that are not free yet.
+  const heldBackBeyondFree = Math.max(
+    0,
+    (capacity.kept[worker] ?? 0) - (capacity.free[worker] ?? 0),
+  );
+  return Math.max(0, open - heldBackBeyondFree);
 };
 
-interface VictimStep {
+interface VictimSet {
   readonly victims: readonly cellSpace.Borrower[];
   readonly lossMs: number;
 }
 
-const NO_VICTIMS: VictimStep = { victims: [], lossMs: 0 };
+const NO_VICTIMS: VictimSet = { victims: [], lossMs: 0 };
 
-/** The cheapest further victims that free so many accelerators on a worker. */
+/** Lowest-loss further victims that free the needed accelerators on a worker. */
 const victimsOn = (
-  space: cellSpace.CellSpace,
+  capacity: cellSpace.CellSpace,
   rules: ReclaimRules,
   worker: number,
   need: number,
   chosen: ReadonlySet<cellSpace.Borrower>,
-): VictimStep | undefined => {
-  if (space.workers[worker]?.health !== 'ready') return undefined;
-  let open = openWith(space, worker, chosen);
+): VictimSet | undefined => {
+  if (capacity.workers[worker]?.health !== 'ready') return undefined;
+  let open = availableWith(capacity, worker, chosen);
   if (open >= need) return NO_VICTIMS;
   const victims: cellSpace.Borrower[] = [];
   let lossMs = 0;
-  for (const it of space.borrowers[worker] ?? []) {
+  for (const it of capacity.borrowers[worker] ?? []) {
     if (it.isLeaving || chosen.has(it) || !rules.canStop(it)) continue;
     victims.push(it);
     lossMs += it.lossMs;
@@ -75,102 +78,104 @@
 };
 
 const chooseOnWorker = (
-  space: cellSpace.CellSpace,
+  capacity: cellSpace.CellSpace,
   worker: number,
   spec: job.JobSpec,
   rules: ReclaimRules,
-  worseThanMs: number,
+  maxLossMs: number,
 ): ReclaimChoice | undefined => {
   const need = spec.members * spec.acceleratorsPerMember;
   if (need > rules.limit(worker)) return undefined;
-  const step = victimsOn(space, rules, worker, need, new Set());
-  // A set that is pruned loses at least nothing, and few are: the rest is not worth a look.
-  if (step === undefined || step.lossMs >= worseThanMs) return undefined;
+  const step = victimsOn(capacity, rules, worker, need, new Set());
+  // Skips sets that lose no less than the best before pruning: pruning rarely reduces the loss.
+  if (step === undefined || step.lossMs >= maxLossMs) return undefined;
   const plan = [{ worker, members: spec.members }];
   const chosen = new Set(step.victims);
-  return { plan, ...pruned(space, plan, spec.acceleratorsPerMember, chosen) };
+  return { plan, ...pruneVictims(capacity, plan, spec.acceleratorsPerMember, chosen) };
 };
 
 const chooseInGroup = (
-  space: cellSpace.CellSpace,
+  capacity: cellSpace.CellSpace,
   group: readonly number[],
   spec: job.JobSpec,
   rules: ReclaimRules,
-  worseThanMs: number,
+  maxLossMs: number,
 ): ReclaimChoice | undefined => {
   const per = spec.acceleratorsPerMember;
-  const trial: Trial = { chosen: new Set(), lossMs: 0 };
+  const selection: Selection = { chosen: new Set(), lossMs: 0 };
   const members = new Map<number, number>();
   const costs = new Map<number, number>();
-  const priceOf = (worker: number): number => {
+  const lossOf = (worker: number): number => {
     const need = ((members.get(worker) ?? 0) + 1) * per;
     if (need > rules.limit(worker)) return Number.POSITIVE_INFINITY;
-    const step = victimsOn(space, rules, worker, need, trial.chosen);
+    const step = victimsOn(capacity, rules, worker, need, selection.chosen);
     return step?.lossMs ?? Number.POSITIVE_INFINITY;
   };
   for (const worker of group) {
-    const price = priceOf(worker);
-    if (price < Number.POSITIVE_INFINITY) costs.set(worker, price);
+    const lossMs = lossOf(worker);
+    if (lossMs < Number.POSITIVE_INFINITY) costs.set(worker, lossMs);
   }
   for (let placed = 0; placed < spec.members; placed += 1) {
     let best: number | undefined;
-    for (const [worker, price] of costs) {
-      if (best === undefined || price < (costs.get(best) ?? 0)) best = worker;
+    for (const [worker, lossMs] of costs) {
+      if (best === undefined || lossMs < (costs.get(best) ?? 0)) best = worker;
     }
     if (best === undefined) return undefined;
     const need = ((members.get(best) ?? 0) + 1) * per;
-    const step = victimsOn(space, rules, best, need, trial.chosen);
+    const step = victimsOn(capacity, rules, best, need, selection.chosen);
     if (step === undefined) return undefined;
-    step.victims.forEach((it) => trial.chosen.add(it));
-    trial.lossMs += step.lossMs;
-    if (trial.lossMs >= worseThanMs) return undefined;
+    step.victims.forEach((it) => selection.chosen.add(it));
+    selection.lossMs += step.lossMs;
+    if (selection.lossMs >= maxLossMs) return undefined;
     members.set(best, need / per);
-    const price = priceOf(best);
-    if (price < Number.POSITIVE_INFINITY) costs.set(best, price);
+    const lossMs = lossOf(best);
+    if (lossMs < Number.POSITIVE_INFINITY) costs.set(best, lossMs);
     else costs.delete(best);
   }
   const plan = [...members].map(([worker, count]) => ({ worker, members: count }));
-  return { plan, ...pruned(space, plan, per, trial.chosen) };
+  return { plan, ...pruneVictims(capacity, plan, per, selection.chosen) };
 };
 
-/** Lets off every victim without which the gang still fits, the dearest first. */
-const pruned = (
-  space: cellSpace.CellSpace,
+/** Removes each victim without which the gang still fits, highest loss first. */
+const pruneVictims = (
+  capacity: cellSpace.CellSpace,
   plan: cellSpace.GangPlan,
   per: number,
   chosen: ReadonlySet<cellSpace.Borrower>,
 ): { readonly victims: cellSpace.Borrower[]; readonly lossMs: number } => {
-  const kept = new Set(chosen);
-  const dearest = [...chosen].sort((a, b) => b.lossMs - a.lossMs);
-  for (const victim of dearest) {
-    kept.delete(victim);
-    const fits = plan.every((it) => openWith(space, it.worker, kept) >= it.members * per);
-    if (!fits) kept.add(victim);
+  const remaining = new Set(chosen);
+  const byDescendingLoss = [...chosen].sort((a, b) => b.lossMs - a.lossMs);
+  for (const victim of byDescendingLoss) {
+    remaining.delete(victim);
+    const fits = plan.every(
+      (it) => availableWith(capacity, it.worker, remaining) >= it.members * per,
+    );
+    if (!fits) remaining.add(victim);
   }
-  const victims = [...kept];
+  const victims = [...remaining];
   return { victims, lossMs: victims.reduce((sum, it) => sum + it.lossMs, 0) };
 };
 
 /**
- * @param space - the cell
+ * @param capacity - the cell
  * @param spec - the job that must fit
- * @param rules - which workers and borrowers may be used
- * @returns the choice that loses the least work, or undefined where none makes the gang fit
+ * @param rules - workers and borrowers that may be used
+ * @returns the choice with the least loss, or undefined where none makes the gang fit
  */
 export const chooseVictims = (
-  space: cellSpace.CellSpace,
+  capacity: cellSpace.CellSpace,
   spec: job.JobSpec,
   rules: ReclaimRules,
 ): ReclaimChoice | undefined => {
   let best: ReclaimChoice | undefined;
-  for (const group of cellSpace.groupsFor(space, spec)) {
-    const worseThanMs = best?.lossMs ?? Number.POSITIVE_INFINITY;
+  for (const group of cellSpace.groupsFor(capacity, spec)) {
+    const maxLossMs = best?.lossMs ?? Number.POSITIVE_INFINITY;
     const [only] = group;
     const choice =
       group.length === 1 && only !== undefined
-        ? chooseOnWorker(space, only, spec, rules, worseThanMs)
-        : chooseInGroup(space, group, spec, rules, worseThanMs);
-    if (choice !== undefined && choice.lossMs < worseThanMs) best = choice;
+        ? chooseOnWorker(capacity, only, spec, rules, maxLossMs)
+        : chooseInGroup(capacity, group, spec, rules, maxLossMs);
+    if (choice !== undefined && choice.lossMs < maxLossMs) best = choice;
     if (best?.lossMs === 0) break;
   }
   return best;
--- a/src/coordination/common/reservations.ts
+++ b/src/coordination/common/reservations.ts
@@ -1,12 +1,12 @@
 /**
- * Keeps large jobs from starving: a reservation after a bounded wait, backfill beneath it, and
- * compaction where moving small jobs makes room.
+ * Prevents starvation of large jobs: a reservation after a bounded wait, backfill under it, and
+ * compaction where moving small jobs frees adjacent accelerators.
  *
- * Made for a steady stream of small jobs: each fits into what the last one left, so the adjacent
- * accelerators that a gang needs never come free together. Jobs that start while a large job waits
- * do so beneath it: they yield when its reservation comes, and those that can't checkpoint may start
- * only if they are expected to end before it. A job that outlives its estimate yields as well, so it
- * can't hold the reservation hostage.
+ * In a steady stream of small jobs each fits into the space that the last one left, so the adjacent
+ * accelerators that a gang needs never become free together. Jobs that start while a large job
+ * waits are backfill: they yield when its reservation is due, and those that can't checkpoint start
+ * only if they should end before it. One that exceeds its estimate also yields, so that it can't
+ * block the reservation.
  */
 import * as job from '../../state/common/job.js';
 
@@ -18,18 +18,18 @@
 import * as runEstimates from './runEstimates.js';
 import * as workLoss from './workLoss.js';
 
-/** More reservations at a time would idle most of a small cell for jobs far back in the queue. */
+/** More concurrent reservations would idle most of a small cell for jobs far back in the queue. */
 export const MAX_RESERVATIONS = 2;
 
-/** A job that was started so often is not squeezed out again, but by a guaranteed claim. */
+/** A job started this often is preempted only by a guaranteed claim. */
 export const SQUEEZE_LIMIT = 3;
 
-/** Compaction must save this many times the accelerator-time that it loses, or jobs only move. */
+/** Compaction must save this many times the accelerator time it loses, or jobs only get moved. */
 export const COMPACTION_GAIN = 3;
 
 /**
- * Jobs that can't be moved count as short up to this many waits of a large job: a large job may wait
- * three times as long as alone, of which one is its wait for the reservation.
+ * Jobs that can't be moved count as short up to this many waits of a large job. A large job may
+ * wait three times as long as alone, and one of the three is its wait for the reservation.
  */
 const PINNING_WAITS = 2;
 
@@ -47,15 +47,15 @@
 
 /**
  * @param record - a job
- * @returns whether it may be stopped for a reservation and go on later
+ * @returns whether it may be stopped for a reservation and resumed later
  */
 export const canYield = (record: job.JobRecord): boolean =>
   record.spec.isCheckpointable && record.attempt < SQUEEZE_LIMIT;
 
 /**
  * @param round - the round
- * @param record - a job that borrows or wants to
- * @returns whether it can't be moved for much longer than a large job is to wait
+ * @param record - a running or queued borrowing job
+ * @returns whether it can't be moved and will run for much longer than a large job should wait
  */
 export const isPinning = (round: planningRound.PlanningRound, record: job.JobRecord): boolean => {
   if (record.spec.isCheckpointable || isLarge(round, record)) return false;
@@ -66,18 +66,18 @@
 };
 
 /**
- * Keeps one place for a large job free of jobs that can't be moved: such a job on each rack of a
- * small cell would make every large job wait for its end, whatever else yields.
+ * Keeps one place for a large job free of jobs that can't be moved: one such job on each rack of a
+ * small cell would make every large job wait for its end, whichever other jobs yield.
  *
  * @param round - the round; changed
  */
 export const keepClearable = (round: planningRound.PlanningRound): void => {
-  const { space, view } = round;
-  const left = [...space.claimable];
+  const { space: capacity, view } = round;
+  const left = [...capacity.claimable];
   for (const record of round.placed) {
     if (record.spec.claim !== job.Claim.spare || !isPinning(round, record)) continue;
     for (const { workerId, accelerators } of record.placement) {
-      const worker = space.indexOf.get(workerId) ?? -1;
+      const worker = capacity.indexOf.get(workerId) ?? -1;
       left[worker] = Math.max(0, (left[worker] ?? 0) - accelerators.length);
     }
   }
@@ -93,19 +93,19 @@
     count: 1,
   };
   const form = { shape: place, ...guaranteeCheck.canonicalForm(accelerators, perWorker) };
-  const packing = guaranteeCheck.packShapes(space, left, [form], perWorker);
+  const packing = guaranteeCheck.packShapes(capacity, left, [form], perWorker);
   packing.setAside.forEach((size, worker) => {
     round.clearable[worker] = size;
   });
 };
 
-const hasOutlived = (round: planningRound.PlanningRound, record: job.JobRecord): boolean => {
+const exceedsEstimate = (round: planningRound.PlanningRound, record: job.JobRecord): boolean => {
   const startedAtMs = record.startedAtMs ?? round.view.nowMs;
   const safeMs = runEstimates.runMsOf(round.estimates, record.spec, runEstimates.SAFE_QUANTILE);
   return round.view.nowMs - startedAtMs + record.checkpointMs > safeMs;
 };
 
-/** Whether a borrower started beneath the waiting job and has to make way for it. */
+/** Whether a borrower has to yield to the waiting job. */
 const yieldsTo = (
   round: planningRound.PlanningRound,
   waiting: job.JobRecord,
@@ -113,18 +113,18 @@
 ): boolean => {
   const startedAtMs = borrower.startedAtMs ?? round.view.nowMs;
   if (isLarge(round, borrower)) return false;
-  // Without the limit a job that always outlives its estimate would be stopped for ever.
+  // Without the limit a job that always exceeds its estimate would be stopped forever.
   if (borrower.attempt >= SQUEEZE_LIMIT) return false;
   if (borrower.spec.isCheckpointable) return true;
-  return startedAtMs >= waiting.submittedAtMs && hasOutlived(round, borrower);
+  return startedAtMs >= waiting.submittedAtMs && exceedsEstimate(round, borrower);
 };
 
-interface Ending {
+interface ExpectedEnd {
   readonly atMs: number;
   readonly record: job.JobRecord;
 }
 
-const endingsOf = (round: planningRound.PlanningRound): Ending[] => {
+const expectedEndsOf = (round: planningRound.PlanningRound): ExpectedEnd[] => {
   const { nowMs } = round.view;
   return round.placed
     .map((record) => {
@@ -139,7 +139,7 @@
     .sort((a, b) => a.atMs - b.atMs);
 };
 
-/** When and where a large job is expected to fit. */
+/** Time and placement at which a large job is expected to fit. */
 export interface Reservation {
   readonly atMs: number;
   readonly plan: cellSpace.GangPlan;
@@ -148,39 +148,39 @@
 /**
  * @param round - the round
  * @param record - a queued job
- * @returns the earliest moment at which running jobs are expected to have left room for the gang
+ * @returns the earliest time at which running jobs should have freed capacity for the gang
  */
 export const earliestFit = (
   round: planningRound.PlanningRound,
   record: job.JobRecord,
 ): Reservation | undefined => {
-  const { space } = round;
+  const { space: capacity } = round;
   const failed = planningRound.failedOn(round, record);
-  const coming = space.all.map((worker) => cellSpace.openOn(space, worker));
-  const isReady = space.workers.map((it) => it.health === 'ready');
-  const open = (worker: number): number => (failed.has(worker) ? 0 : (coming[worker] ?? 0));
-  const groups = cellSpace.groupsFor(space, record.spec);
+  const expectedFree = capacity.all.map((worker) => cellSpace.openOn(capacity, worker));
+  const isReady = capacity.workers.map((it) => it.health === 'ready');
+  const open = (worker: number): number => (failed.has(worker) ? 0 : (expectedFree[worker] ?? 0));
+  const groups = cellSpace.groupsFor(capacity, record.spec);
   const { members, acceleratorsPerMember: per } = record.spec;
-  const roomOn = (worker: number): number => Math.floor(open(worker) / per);
-  const groupOf = space.all.map(() => 0);
-  const room = groups.map((group, index) => {
+  const membersThatFit = (worker: number): number => Math.floor(open(worker) / per);
+  const groupOf = capacity.all.map(() => 0);
+  const groupCapacity = groups.map((group, index) => {
     for (const worker of group) groupOf[worker] = index;
-    return group.reduce((sum, worker) => sum + roomOn(worker), 0);
+    return group.reduce((sum, worker) => sum + membersThatFit(worker), 0);
   });
-  for (const ending of endingsOf(round)) {
-    let isRoom = false;
+  for (const ending of expectedEndsOf(round)) {
+    let fitsNow = false;
     for (const { workerId, accelerators } of ending.record.placement) {
-      const worker = space.indexOf.get(workerId) ?? -1;
+      const worker = capacity.indexOf.get(workerId) ?? -1;
       if (isReady[worker] !== true) continue;
-      const before = roomOn(worker);
-      coming[worker] = (coming[worker] ?? 0) + accelerators.length;
+      const before = membersThatFit(worker);
+      expectedFree[worker] = (expectedFree[worker] ?? 0) + accelerators.length;
       const group = groupOf[worker] ?? 0;
-      room[group] = (room[group] ?? 0) + roomOn(worker) - before;
-      isRoom ||= (room[group] ?? 0) >= members;
+      groupCapacity[group] = (groupCapacity[group] ?? 0) + membersThatFit(worker) - before;
+      fitsNow ||= (groupCapacity[group] ?? 0) >= members;
     }
-    if (!isRoom) continue;
+    if (!fitsNow) continue;
     const rules = { open, setAside: NOTHING_SET_ASIDE, isAhead: true };
-    const plan = gangFit.findGang(space, record.spec, rules);
+    const plan = gangFit.findGang(capacity, record.spec, rules);
     if (plan !== undefined) return { atMs: ending.atMs, plan };
   }
   return undefined;
@@ -188,19 +188,19 @@
 
 const NOTHING_SET_ASIDE: readonly number[] = [];
 
-/** Whether all victims find room elsewhere while the gang's own place stays empty. */
-const canMove = (
+/** Whether all victims fit elsewhere while the gang's place remains free. */
+const canRelocateVictims = (
   round: planningRound.PlanningRound,
   choice: reclaim.ReclaimChoice,
   perMember: number,
 ): boolean => {
-  const { space } = round;
-  const open = space.all.map((worker) => cellSpace.openOn(space, worker));
+  const { space: capacity } = round;
+  const open = capacity.all.map((worker) => cellSpace.openOn(capacity, worker));
   for (const { worker, members } of choice.plan) {
     open[worker] = Math.max(0, (open[worker] ?? 0) - members * perMember);
   }
   return choice.victims.every(({ record }) => {
-    const plan = gangFit.findGang(space, record.spec, {
+    const plan = gangFit.findGang(capacity, record.spec, {
       open: (worker) => open[worker] ?? 0,
       setAside: NOTHING_SET_ASIDE,
     });
@@ -212,7 +212,7 @@
   });
 };
 
-const tryYield = (round: planningRound.PlanningRound, record: job.JobRecord): boolean => {
+const tryPreemption = (round: planningRound.PlanningRound, record: job.JobRecord): boolean => {
   const failed = planningRound.failedOn(round, record);
   const per = record.spec.acceleratorsPerMember;
   const choice = reclaim.chooseVictims(round.space, record.spec, {
@@ -222,9 +222,9 @@
   if (choice === undefined) return false;
   planningRound.makeRoom(round, choice.plan, per, choice.victims, {
     cause: 'reclaimed',
-    why: `started beneath the reservation of large job ${record.spec.jobId}`,
+    why: `yields to the reservation of large job ${record.spec.jobId}`,
   });
-  planningRound.wait(round, record, 'reserved: waits for jobs beneath it to stop');
+  planningRound.wait(round, record, 'reserved: waits for preempted jobs to stop');
   return true;
 };
 
@@ -245,24 +245,24 @@
     0,
   );
   const gainMs = savedMs * job.acceleratorsOf(record);
-  if (gainMs < COMPACTION_GAIN * lossMs || !canMove(round, choice, per)) return false;
+  if (gainMs < COMPACTION_GAIN * lossMs || !canRelocateVictims(round, choice, per)) return false;
   planningRound.makeRoom(round, choice.plan, per, choice.victims, {
     cause: 'compacted',
-    why: `moves to make adjacent room for large job ${record.spec.jobId}`,
+    why: `moved to free adjacent accelerators for large job ${record.spec.jobId}`,
   });
   planningRound.wait(round, record, 'reserved: waits for smaller jobs to move');
   return true;
 };
 
 /**
- * Stops the customer's own smaller jobs where they use up what its rules allow: otherwise a customer
- * that always has small jobs could never run a large one. None is stopped before all together free
- * enough, since the large job could not start then and the stops would be for nothing.
+ * Stops the customer's own smaller jobs where they use up the allowance of its rules: otherwise a
+ * customer that always has small jobs could never run a large one. Stops none unless all together
+ * free enough, since the large job could not start and the stops would be useless.
  *
  * @param round - the round; changed
- * @param record - a large job that no rule has room for
- * @param missing - accelerators that must be given back before a rule has room
- * @returns whether enough of them yield
+ * @param record - a large job that exceeds the allowance of every rule
+ * @param missing - accelerators that must be returned before a rule allows it
+ * @returns whether enough are returned
  */
 export const yieldAllowance = (
   round: planningRound.PlanningRound,
@@ -276,35 +276,39 @@
     }
   }
   const victims: cellSpace.Borrower[] = [];
-  let given = 0;
+  let freed = 0;
   for (const it of [...own].sort((a, b) => a.lossMs - b.lossMs)) {
-    if (given >= missing) break;
+    if (freed >= missing) break;
     if (!it.isLeaving && !yieldsTo(round, record, it.record)) continue;
-    given += job.acceleratorsOf(it.record);
+    freed += job.acceleratorsOf(it.record);
     if (!it.isLeaving) victims.push(it);
   }
   planningRound.wait(round, record, 'waits until its spare rule allows it enough accelerators');
-  if (given < missing) return false;
+  if (freed < missing) return false;
   planningRound.makeRoom(round, [], 0, victims, {
     cause: 'reclaimed',
-    why: `uses up the allowance that large job ${record.spec.jobId} of its customer waits for`,
+    why: `uses the allowance that large job ${record.spec.jobId} of its customer needs`,
   });
   return true;
 };
 
 /**
- * Reserves for a large job that could not be placed now.
+ * Reserves capacity for a large job that can't be placed now.
  *
  * @param round - the round; changed
  * @param record - the job
  */
 export const reserve = (round: planningRound.PlanningRound, record: job.JobRecord): void => {
-  if (tryYield(round, record)) return;
+  if (tryPreemption(round, record)) return;
   const reservation = earliestFit(round, record);
   const savedMs = (reservation?.atMs ?? Number.POSITIVE_INFINITY) - round.view.nowMs;
   if (tryCompaction(round, record, savedMs)) return;
   if (reservation === undefined) {
-    planningRound.wait(round, record, 'no workers that are ready could hold it, even when empty');
+    planningRound.wait(
+      round,
+      record,
+      'it would not fit on the ready workers even if they were empty',
+    );
     return;
   }
   round.reservedAtMs.push(reservation.atMs);
--- a/src/coordination/common/runEstimates.ts
+++ b/src/coordination/common/runEstimates.ts
@@ -1,46 +1,46 @@
 /**
- * Run times learned from finished jobs, per customer and kind.
+ * Run time estimates from finished jobs, per customer and kind.
  *
- * Made for declared run times that are wrong by ten times either way: planning on them would let a
- * long job under a reservation or push short work behind long. A declared time counts only until
- * {@link MIN_SAMPLES} jobs of its kind have finished.
+ * Declared run times may be wrong by a factor of ten either way. Planning with them would backfill
+ * a long job under a reservation or queue short jobs behind long ones. A declared time counts only
+ * until {@link MIN_SAMPLES} jobs of its kind have finished.
  */
 import * as job from '../../state/common/job.js';
 
-/** Sorted run times by customer and kind. */
+/** Run times by customer and kind. */
 export type RunEstimates = ReadonlyMap<string, RunSamples>;
 
 /** Run times of one customer's jobs of one kind. */
 export interface RunSamples {
-  /** In the order of finishing, the oldest first. */
+  /** In order of completion, the oldest first. */
   readonly recentMs: readonly number[];
   readonly sortedMs: readonly number[];
 }
 
-/** No job has finished yet. */
+/** Estimates before any job has finished. */
 export const NO_ESTIMATES: RunEstimates = new Map();
 
-/** Fewer finished jobs say too little about a quantile; three already beat a tenfold error. */
+/** Fewer samples give no useful quantile; three are already better than a tenfold error. */
 export const MIN_SAMPLES = 3;
 
-/** Old runs are forgotten, so that a kind whose runs change is learned anew within so many jobs. */
+/** Older samples are dropped, so that estimates follow a change within this many jobs. */
 export const MAX_SAMPLES = 32;
 
-/** Quantile that orders the queue. */
+/** Quantile by which the queue is ordered. */
 export const ORDER_QUANTILE = 0.5;
 
-/** Quantile that a job must end by to run beneath a reservation. */
+/** Quantile by which a job must end to be backfilled under a reservation. */
 export const SAFE_QUANTILE = 0.9;
 
-/** A job that outlived all it was expected to run is taken to need this share of its age more. */
-const OUTLIVED_SHARE = 0.5;
+/** A job that exceeds its estimate is expected to run for this fraction of its run time more. */
+const OVERRUN_SHARE = 0.5;
 
 const keyOf = (spec: job.JobSpec): string => `${spec.customerId}\n${spec.kind}`;
 
 /**
- * @param estimates - what was known
+ * @param estimates - the estimates so far
  * @param record - a job that has ended
- * @returns what is known now; only a job that finished teaches anything
+ * @returns the updated estimates; only a job that finished counts
  */
 export const learn = (estimates: RunEstimates, record: job.JobRecord): RunEstimates => {
   const { state, startedAtMs, endedAtMs, checkpointMs, spec } = record;
@@ -55,11 +55,10 @@
 };
 
 /**
- * @param estimates - what is known
+ * @param estimates - the estimates
  * @param spec - a job
  * @param quantile - 0 to 1
- * @returns the run time that such a job stays within with the given chance; its declared time while
- *   too few have finished
+ * @returns the run time at that quantile; the declared time while too few have finished
  */
 export const runMsOf = (estimates: RunEstimates, spec: job.JobSpec, quantile: number): number => {
   const sorted = estimates.get(keyOf(spec))?.sortedMs ?? [];
@@ -69,12 +68,12 @@
 };
 
 /**
- * @param estimates - what is known
- * @param record - a job that runs or waits
- * @param nowMs - the time now
+ * @param estimates - the estimates
+ * @param record - a running or queued job
+ * @param nowMs - the current time
  * @param quantile - 0 to 1
- * @returns the run time it still needs; never 0, so that a job that outlives its estimate is never
- *   counted as about to end for ever
+ * @returns the expected remaining run time; never 0, so that a job that exceeds its estimate is not
+ *   forever expected to end now
  */
 export const remainingMs = (
   estimates: RunEstimates,
@@ -86,5 +85,5 @@
   const elapsedMs = isPlaced ? Math.max(0, nowMs - (record.startedAtMs ?? nowMs)) : 0;
   const doneMs = record.checkpointMs + elapsedMs;
   const leftMs = runMsOf(estimates, record.spec, quantile) - doneMs;
-  return leftMs > 0 ? leftMs : Math.max(1, doneMs * OUTLIVED_SHARE);
+  return leftMs > 0 ? leftMs : Math.max(1, doneMs * OVERRUN_SHARE);
 };
--- a/src/coordination/common/sparePlanning.ts
+++ b/src/coordination/common/sparePlanning.ts
@@ -1,10 +1,10 @@
 /**
- * Borrowing jobs of a round: who borrows next, by which rule, and where.
+ * Plans the borrowing jobs of a round: which customer borrows next, by which rule, and where.
  *
- * Made for bursts of a thousand small jobs beside long ones of other customers. The harm prevented:
- * one customer's burst takes all spare capacity, and a short job waits behind long ones. The
- * customer that holds least for its weight goes next; of its own jobs the one with the least
- * expected work does, with a discount that grows with the wait so that none waits for ever.
+ * Designed for bursts of a thousand small jobs beside long ones of other customers: one customer's
+ * burst must not take all spare capacity, nor short jobs wait behind long ones. The customer with
+ * the least allocation for its weight goes next. Of its jobs the one with the least expected work
+ * does, with a discount that grows with the wait so that none starves.
  */
 import * as job from '../../state/common/job.js';
 
@@ -16,31 +16,32 @@
 import * as spareShares from './spareShares.js';
 
 /**
- * Searches without success after which a round lets the rest of the queue wait. Searches repeat only
- * for sizes not yet found wanting, so the limit counts different sizes; it bounds the round's time,
- * and what is left is planned a few milliseconds later when the cell changes.
+ * Failed searches after which a round leaves the rest of the queue waiting. Sizes known not to fit
+ * are not searched again, so this counts distinct sizes. It bounds the round's time; the rest is
+ * planned a few milliseconds later when the cell changes.
  */
 export const BACKFILL_DEPTH = 64;
 
 interface SpareStep {
   readonly round: planningRound.PlanningRound;
   readonly borrowing: spareShares.Borrowing;
-  /** Sizes for which a search found nothing; what is free only shrinks within the step. */
-  readonly wanting: Set<number>;
+  /** Sizes for which a search failed; free capacity only shrinks within the step. */
+  readonly failedSizes: Set<number>;
   readonly quotas: ReadonlyMap<string, number>;
-  misses: number;
+  failedSearches: number;
   /**
-   * Customers whose large job waits for their rules' allowance. Where enough is given back (true)
-   * none of their smaller jobs may use it up again; before that, those that yield still may.
+   * Customers whose large job waits for their rules' allowance. Where enough is being returned
+   * (true), none of their smaller jobs may use it up again; before that, those that yield still
+   * may.
    */
-  readonly savingCustomers: Map<string, boolean>;
+  readonly waitingForAllowance: Map<string, boolean>;
 }
 
 /**
- * A job that would pin workers stays off the place that is kept clearable for large jobs, but for no
- * longer than it expects to run: else the place of a job that may never come would starve it.
+ * A job that would pin workers avoids the place kept clearable for large jobs until it has waited
+ * for its expected run time: otherwise a place that may never be needed would starve it.
  */
-const keepsOff = (round: planningRound.PlanningRound, record: job.JobRecord): boolean => {
+const mustAvoidClearable = (round: planningRound.PlanningRound, record: job.JobRecord): boolean => {
   if (!reservations.isPinning(round, record)) return false;
   const { nowMs } = round.view;
   const runMs = runEstimates.runMsOf(round.estimates, record.spec, runEstimates.ORDER_QUANTILE);
@@ -48,11 +49,10 @@
 };
 
 /**
- * Where weight lies on fragmentation, a small job would rather wait for a share of its own run time
- * than break open a place that is whole for a guaranteed shape. The bound keeps its loss in
- * proportion to what it gains.
+ * Where the weight favors low fragmentation, a job waits for a share of its run time before it uses
+ * accelerators set aside for a shape. That bounds its loss in proportion to its run time.
  */
-const isPatient = (round: planningRound.PlanningRound, record: job.JobRecord): boolean => {
+const mustAvoidSetAside = (round: planningRound.PlanningRound, record: job.JobRecord): boolean => {
   const { completionWeight } = round.view.document.placement;
   if (completionWeight >= 0.5) return false;
   const { nowMs } = round.view;
@@ -70,23 +70,26 @@
   round: planningRound.PlanningRound,
   record: job.JobRecord,
 ): ((worker: number) => number) => {
-  const { space } = round;
+  const { space: capacity } = round;
   const failed = planningRound.failedOn(round, record);
-  const patient = isPatient(round, record);
+  const avoidsSetAside = mustAvoidSetAside(round, record);
   const yields = reservations.canYield(record);
   const endMs = endOf(round, record);
-  const isKeptOff = keepsOff(round, record);
+  const avoidsClearable = mustAvoidClearable(round, record);
   return (worker) => {
     if (failed.has(worker)) return 0;
-    if (isKeptOff && (round.clearable[worker] ?? 0) > 0) return 0;
+    if (avoidsClearable && (round.clearable[worker] ?? 0) > 0) return 0;
     if (!yields && endMs > (round.backfillUntilMs[worker] ?? 0)) return 0;
-    const open = cellSpace.openOn(space, worker);
-    return patient ? Math.max(0, open - (round.setAside[worker] ?? 0)) : open;
+    const open = cellSpace.openOn(capacity, worker);
+    return avoidsSetAside ? Math.max(0, open - (round.setAside[worker] ?? 0)) : open;
   };
 };
 
-/** How many reservations the job may not run beneath; jobs with one answer may use the same workers. */
-const beneath = (round: planningRound.PlanningRound, record: job.JobRecord): number => {
+/** Reservations the job may not run under; jobs with equal counts may use the same workers. */
+const excludingReservations = (
+  round: planningRound.PlanningRound,
+  record: job.JobRecord,
+): number => {
   if (round.reservedAtMs.length === 0 || reservations.canYield(record)) return 0;
   const endMs = endOf(round, record);
   return round.reservedAtMs.filter((it) => endMs > it).length;
@@ -96,12 +99,13 @@
 /** Exceeds the largest value of each part of a size key. */
 const KEY_BASE = 65;
 
-/** One number for all jobs that need the same room; a number, since a full queue asks for each job. */
+/** Key of jobs with equal needs; a number, since it is computed for each job of a full queue. */
 const sizeKey = (round: planningRound.PlanningRound, record: job.JobRecord): number => {
   const { members, acceleratorsPerMember, adjacency } = record.spec;
   const place = members * KEY_BASE + acceleratorsPerMember;
-  const restriction = Number(isPatient(round, record)) + 2 * Number(keepsOff(round, record));
-  const kind = beneath(round, record) * 4 + restriction;
+  const restriction =
+    Number(mustAvoidSetAside(round, record)) + 2 * Number(mustAvoidClearable(round, record));
+  const kind = excludingReservations(round, record) * 4 + restriction;
   return (place * KEY_BASE + ADJACENCY_INDEX[adjacency]) * KEY_BASE + kind;
 };
 
@@ -110,18 +114,18 @@
   const { customerId, isCheckpointable } = record.spec;
   const held = round.heldBy.get(customerId) ?? 0;
   if (held + job.acceleratorsOf(record) > (step.quotas.get(customerId) ?? 0)) {
-    return 'the customer holds its whole quota';
+    return "the customer's quota is used up";
   }
   if (round.unplaced.length > 0 && !isCheckpointable) {
-    return 'guarantees do not fit now, so only jobs that can checkpoint may borrow';
+    return 'guarantees do not fit now; only jobs that can checkpoint may borrow';
   }
   return undefined;
 };
 
 const NO_ALLOWANCE = 'no spare rule allows it more accelerators now';
-const NO_ROOM = 'no free accelerators lie close enough together';
+const NO_CAPACITY = 'not enough adjacent accelerators are free';
 
-const tryLend = (
+const tryBorrow = (
   step: SpareStep,
   lane: spareShares.Lane,
   record: job.JobRecord,
@@ -131,43 +135,46 @@
   if (refusal !== undefined) return refusal;
   const rule = spareShares.ruleFor(lane, step.borrowing, job.acceleratorsOf(record));
   if (rule === undefined) return NO_ALLOWANCE;
-  const isSaving = step.savingCustomers.get(lane.customerId);
-  if (isSaving === true || (isSaving === false && !reservations.canYield(record))) {
+  const isAllowanceReturned = step.waitingForAllowance.get(lane.customerId);
+  if (
+    isAllowanceReturned === true ||
+    (isAllowanceReturned === false && !reservations.canYield(record))
+  ) {
     return 'a large job of the customer goes first';
   }
   const key = sizeKey(round, record);
-  if (step.wanting.has(key)) return NO_ROOM;
-  if (step.misses >= BACKFILL_DEPTH) return 'others go first';
+  if (step.failedSizes.has(key)) return NO_CAPACITY;
+  if (step.failedSearches >= BACKFILL_DEPTH) return 'search limit of the round reached';
   const open = openFor(round, record);
   const plan = gangFit.findGang(round.space, record.spec, { open, setAside: round.setAside });
   if (plan === undefined) {
-    step.misses += 1;
-    // A job that failed somewhere may use fewer workers than others of its size.
-    if (record.failures.length === 0) step.wanting.add(key);
-    return NO_ROOM;
+    step.failedSearches += 1;
+    // A job with failures may use fewer workers than others of its size.
+    if (record.failures.length === 0) step.failedSizes.add(key);
+    return NO_CAPACITY;
   }
   planningRound.accept(round, record, plan, rule.ruleId, `borrows by rule ${rule.ruleId}`);
   spareShares.note(step.borrowing, record, rule.ruleId);
   return undefined;
 };
 
-/** Tries a customer's jobs until one borrows: until then its share stays the lowest. */
-const lendNext = (step: SpareStep, lane: spareShares.Lane): void => {
+/** Tries a customer's jobs until one borrows: until then its share remains the lowest. */
+const borrowNext = (step: SpareStep, lane: spareShares.Lane): void => {
   while (lane.next < lane.queue.length) {
     const record = lane.queue[lane.next];
     lane.next += 1;
     if (record === undefined) return;
-    const why = tryLend(step, lane, record);
+    const why = tryBorrow(step, lane, record);
     if (why === undefined) return;
     planningRound.wait(step.round, record, why);
   }
 };
 
-/** Whether some rule of the customer is wide enough for the job once others have given back. */
+/** Whether some rule of the customer allows the job once others have returned theirs. */
 const couldBorrow = (lane: spareShares.Lane, record: job.JobRecord): boolean =>
   lane.rules.some((it) => it.maxAccelerators >= job.acceleratorsOf(record));
 
-/** Accelerators that the customer must give back before its roomiest rule allows the job. */
+/** Accelerators that the customer must return before one of its rules allows the job. */
 const missingAllowance = (
   step: SpareStep,
   lane: spareShares.Lane,
@@ -183,17 +190,17 @@
   return Math.max(0, Math.min(...missing));
 };
 
-const lendOrReserve = (step: SpareStep, lane: spareShares.Lane, record: job.JobRecord): void => {
-  const why = tryLend(step, lane, record);
-  if (why === NO_ROOM) reservations.reserve(step.round, record);
+const borrowOrReserve = (step: SpareStep, lane: spareShares.Lane, record: job.JobRecord): void => {
+  const why = tryBorrow(step, lane, record);
+  if (why === NO_CAPACITY) reservations.reserve(step.round, record);
   else if (why === NO_ALLOWANCE && couldBorrow(lane, record)) {
     const missing = missingAllowance(step, lane, record);
-    const isYielded = reservations.yieldAllowance(step.round, record, missing);
-    step.savingCustomers.set(lane.customerId, isYielded);
+    const isReturned = reservations.yieldAllowance(step.round, record, missing);
+    step.waitingForAllowance.set(lane.customerId, isReturned);
   } else if (why !== undefined) planningRound.wait(step.round, record, why);
 };
 
-/** Tries one small job on each worker that is due for a probe. */
+/** Places one small job on each worker that is due for a probe. */
 const probe = (
   step: SpareStep,
   queued: readonly job.JobRecord[],
@@ -229,7 +236,7 @@
 
 /**
  * @param round - the round; changed
- * @param probeWorkerIds - quarantined workers on which one job may be tried
+ * @param probeWorkerIds - quarantined workers on which one probe job may be placed
  */
 export const planSpare = (
   round: planningRound.PlanningRound,
@@ -239,10 +246,10 @@
   const step: SpareStep = {
     round,
     borrowing: spareShares.borrowingOf(placed),
-    wanting: new Set(),
+    failedSizes: new Set(),
     quotas: new Map(view.document.customers.map((it) => [it.customerId, it.quotaAccelerators])),
-    misses: 0,
-    savingCustomers: new Map(),
+    failedSearches: 0,
+    waitingForAllowance: new Map(),
   };
   reservations.keepClearable(round);
   const probing = probe(step, queued, probeWorkerIds);
@@ -256,11 +263,11 @@
   const lanes = spareShares.lanesOf(round, rest);
   for (const record of due) {
     const [lane] = spareShares.lanesOf(round, [record]);
-    if (lane !== undefined) lendOrReserve(step, lane, record);
+    if (lane !== undefined) borrowOrReserve(step, lane, record);
   }
   for (;;) {
     const lane = spareShares.nextLane(lanes, step.borrowing);
     if (lane === undefined) return;
-    lendNext(step, lane);
+    borrowNext(step, lane);
   }
 };
--- a/src/coordination/common/spareShares.ts
+++ b/src/coordination/common/spareShares.ts
@@ -1,6 +1,6 @@
 /**
- * Who borrows next and by which rule: shares between customers by the weights of their rules, and
- * within a customer the order of its jobs.
+ * Determines who borrows next and by which rule: shares between customers by the weights of their
+ * rules, and the order of jobs within a customer.
  */
 import type * as configuration from '../../state/common/configuration.js';
 import * as job from '../../state/common/job.js';
@@ -8,7 +8,7 @@
 import type * as planningRound from './planningRound.js';
 import * as runEstimates from './runEstimates.js';
 
-/** One customer's queue with the rules it borrows by. */
+/** One customer's queue with the rules under which it borrows. */
 export interface Lane {
   readonly customerId: string;
   readonly rules: readonly configuration.SpareRule[];
@@ -17,7 +17,7 @@
   next: number;
 }
 
-/** What is lent now. */
+/** Accelerators lent now. */
 export interface Borrowing {
   /** Accelerators by rule and customer. */
   readonly byRule: Map<string, number>;
@@ -27,7 +27,7 @@
 /**
  * @param ruleId - a rule
  * @param customerId - a customer
- * @returns the key of what the customer borrows by the rule
+ * @returns the key of the customer's borrowing under the rule
  */
 export const ruleKey = (ruleId: string, customerId: string): string => `${ruleId}\n${customerId}`;
 
@@ -37,7 +37,7 @@
 
 /**
  * @param jobs - the cell's jobs
- * @returns what they borrow
+ * @returns accelerators that they borrow
  */
 export const borrowingOf = (jobs: readonly job.JobRecord[]): Borrowing => {
   const borrowing: Borrowing = { byRule: new Map(), byCustomer: new Map() };
@@ -49,7 +49,7 @@
 };
 
 /**
- * @param borrowing - what is lent; changed
+ * @param borrowing - accelerators lent; changed
  * @param record - a job that borrows
  * @param ruleId - its rule
  */
@@ -61,15 +61,15 @@
 };
 
 /**
- * Even with all weight on fragmentation short work goes somewhat ahead: with 0 the order would be
- * first come, first served, and the mean completion time doubles behind one long job.
+ * Exponent of the work with all weight on fragmentation. With 0 the order would be first come,
+ * first served, and the mean completion time would double behind one long job.
  */
-const FAIR_EXPONENT = 0.5;
+const MIN_WORK_EXPONENT = 0.5;
 
 /**
- * The order of one customer's jobs. With weight on completion time the least expected work goes
- * first; with weight on fragmentation the order leans to first come, first served, so that large
- * jobs are not passed over as often.
+ * Orders one customer's jobs. With weight on completion time the least expected work goes first;
+ * with weight on fragmentation the order is closer to first come, first served, so that large jobs
+ * are overtaken less often.
  *
  * @param round - the round
  * @param record - a queued job
@@ -82,7 +82,7 @@
   const leftMs = runEstimates.remainingMs(round.estimates, record, nowMs, quantile);
   const work = leftMs * job.acceleratorsOf(record);
   const waitedMs = Math.max(0, nowMs - record.submittedAtMs);
-  const exponent = FAIR_EXPONENT + (1 - FAIR_EXPONENT) * completionWeight;
+  const exponent = MIN_WORK_EXPONENT + (1 - MIN_WORK_EXPONENT) * completionWeight;
   return work ** exponent / (1 + waitedMs / Math.max(1, largeJobWaitMs));
 };
 
@@ -116,8 +116,8 @@
 
 /**
  * @param lanes - the customers' lanes
- * @param borrowing - what is lent
- * @returns the lane of the customer that borrows least for its weight and still has jobs to try
+ * @param borrowing - accelerators lent
+ * @returns the lane of the customer with the least borrowing for its weight that has untried jobs
  */
 export const nextLane = (lanes: readonly Lane[], borrowing: Borrowing): Lane | undefined => {
   let best: Lane | undefined;
@@ -135,9 +135,9 @@
 
 /**
  * @param lane - a customer's lane
- * @param borrowing - what is lent
- * @param accelerators - what a job asks for
- * @returns the first rule with room for it
+ * @param borrowing - accelerators lent
+ * @param accelerators - accelerators that a job requests
+ * @returns the first rule that allows it
  */
 export const ruleFor = (
   lane: Lane,
--- a/src/coordination/common/workLoss.ts
+++ b/src/coordination/common/workLoss.ts
@@ -1,14 +1,14 @@
 /**
- * What stopping a borrowed job costs.
+ * Estimates the work lost by stopping a borrowing job.
  */
 import type * as job from '../../state/common/job.js';
 
-/** Work that a checkpointable job loses: it writes a checkpoint in the grace, then starts again. */
+/** Work that a checkpointable job loses by writing a checkpoint in the grace and restarting. */
 export const CHECKPOINT_LOSS_MS = 30_000;
 
 /**
- * @param record - a borrowed job
- * @param nowMs - the time now
+ * @param record - a borrowing job
+ * @param nowMs - the current time
  * @returns accelerator-milliseconds lost by stopping it: all since its start, unless it can
  *   checkpoint
  */
