--- a/src/coordination/common/jobAdmission.ts
+++ b/src/coordination/common/jobAdmission.ts
@@ -1,5 +1,5 @@
 /**
- * Whether a job can be accepted at all under the configuration in force.
+ * Checks whether a job can be accepted under the active configuration.
  */
 import * as errors from '../../base/common/errors.js';
 import type * as configuration from '../../state/common/configuration.js';
@@ -33,7 +33,7 @@
   if (spec.members > most) {
     return unrunnable(
       'members',
-      `${cell.cell} holds at most ${most} such members in one ${spec.adjacency}`,
+      `${cell.cell} fits at most ${most} such members in one ${spec.adjacency}`,
     );
   }
   return undefined;
@@ -51,9 +51,9 @@
   }
   const shape = document.shapes.find((it) => it.shapeId === spec.shapeId);
   if (shape?.customerId !== spec.customerId) {
-    return refuse('shapeId', `${spec.customerId} holds no shape ${spec.shapeId ?? '(none)'}`);
+    return refuse('shapeId', `${spec.customerId} has no shape ${spec.shapeId ?? '(none)'}`);
   }
-  if (shape.cell !== spec.cell) return refuse('cell', `the shape is held in ${shape.cell}`);
+  if (shape.cell !== spec.cell) return refuse('cell', `the shape belongs to cell ${shape.cell}`);
   if (job.acceleratorsOf({ spec }) > shape.accelerators) {
     return refuse('members', `the shape has ${shape.accelerators} accelerators`);
   }
@@ -62,7 +62,7 @@
     const { wholes, remainder } = guaranteeCheck.canonicalForm(shape.accelerators, perWorker);
     return refuse(
       'members',
-      `the shape guarantees ${wholes} whole workers and ${remainder} accelerators on one more ` +
+      `the shape guarantees ${wholes} complete workers and ${remainder} accelerators on one more ` +
         `in one ${shape.adjacency}; the members don't fit that`,
     );
   }
@@ -70,9 +70,9 @@
 };
 
 /**
- * @param spec - what a customer asks for
- * @param document - the configuration in force
- * @returns why it can't be accepted, naming the field; undefined where it can
+ * @param spec - the job that a customer submits
+ * @param document - the active configuration
+ * @returns an error that names the invalid field; undefined where the job can be accepted
  */
 export const checkSpec = (
   spec: job.JobSpec,
--- a/src/coordination/common/jobMachine.ts
+++ b/src/coordination/common/jobMachine.ts
@@ -1,9 +1,9 @@
 /**
- * The life of one job as its cell's leader drives it: a table of what each event does in each state.
+ * State machine of one job, run by the leader of its cell: the effect of each event in each state.
  *
- * A gang starts in two phases. Members are reserved; when all are, the placement is committed to the
- * store; only after the commit is any member started. What fails before the commit releases all.
- * A member lost after the start stops the rest, and the whole job goes back to the queue.
+ * A gang starts in two phases. Its members are reserved; when all are, the placement is committed
+ * to the store; only then is any member started. A failure before the commit releases all members.
+ * The loss of a member after the start stops the rest, and the complete job is requeued.
  */
 import * as job from '../../state/common/job.js';
 
@@ -11,7 +11,7 @@
 import * as jobTypes from './jobTypes.js';
 import * as memberPhases from './memberPhases.js';
 
-/** The events and effects of a job, see `jobTypes`. */
+/** The events and effects of a job. */
 export * from './jobTypes.js';
 
 const { MemberPhase } = jobTypes;
@@ -71,8 +71,8 @@
 const onStarted = (runtime: JobRuntime, context: JobContext, member: number): JobStep => {
   if (runtime.members[member] !== MemberPhase.starting) return { next: runtime, effects: NOTHING };
   const members = withMember(runtime.members, member, MemberPhase.running);
-  const isWhole = members.every((it) => it === MemberPhase.running || it === MemberPhase.done);
-  if (!isWhole) return { next: { ...runtime, members }, effects: NOTHING };
+  const isComplete = members.every((it) => it === MemberPhase.running || it === MemberPhase.done);
+  if (!isComplete) return { next: { ...runtime, members }, effects: NOTHING };
   const running = {
     ...runtime.record,
     state: job.JobState.running,
@@ -133,7 +133,7 @@
     ...runtime.record,
     checkpointMs: Math.max(runtime.record.checkpointMs, checkpointMs),
   };
-  const why = `member ${member} stopped by itself`;
+  const why = `member ${member} stopped without a request`;
   return onMemberGone({ ...runtime, record }, context, member, job.StopCause.memberLost, why);
 };
 
@@ -172,16 +172,16 @@
   return beginStop(runtime, context, event.cause, event.why);
 };
 
-const reserving = (runtime: JobRuntime, handle: () => JobStep): JobStep =>
+const whileReserving = (runtime: JobRuntime, handle: () => JobStep): JobStep =>
   runtime.record.state === job.JobState.reserving ? handle() : { next: runtime, effects: NOTHING };
 
-/** Whether the commit of the placement is still awaited: no member was started. */
+/** Whether the commit of the placement is still pending, so that no member was started. */
 const isUncommitted = (runtime: JobRuntime): boolean =>
   runtime.record.state === job.JobState.starting &&
   runtime.members.every((it) => it === MemberPhase.reserved);
 
-/** Whether the member may have been started; of any other member a statement means nothing. */
-const mayRun = (runtime: JobRuntime, member: number): boolean => {
+/** Whether the member may have been started; reports on other members are ignored. */
+const mayBeStarted = (runtime: JobRuntime, member: number): boolean => {
   const phase = runtime.members[member];
   const isBeforeStart = runtime.record.state === job.JobState.reserving;
   return !isBeforeStart && phase !== undefined && holds(phase);
@@ -210,8 +210,8 @@
 /**
  * @param runtime - the job before the event
  * @param event - what happened
- * @param context - moment and rules
- * @returns the job after the event; an event that the state does not know changes nothing
+ * @param context - time and rules
+ * @returns the job after the event; an event that the state does not handle changes nothing
  */
 export const step = (runtime: JobRuntime, event: JobEvent, context: JobContext): JobStep => {
   const { state } = runtime.record;
@@ -222,9 +222,9 @@
         ? onPlanned(runtime, context, event)
         : { next: runtime, effects: NOTHING };
     case 'reserved':
-      return reserving(runtime, () => onReserved(runtime, event.member));
+      return whileReserving(runtime, () => onReserved(runtime, event.member));
     case 'reserveRefused':
-      return reserving(runtime, () => abandon(runtime, context, event.reason));
+      return whileReserving(runtime, () => abandon(runtime, context, event.reason));
     case 'committed':
       return state === job.JobState.starting
         ? onCommitted(runtime)
@@ -237,8 +237,8 @@
       return state === job.JobState.starting
         ? onStarted(runtime, context, event.member)
         : { next: runtime, effects: NOTHING };
-    // Once the member is being stopped, a refused start says nothing: an earlier copy of it may have
-    // been taken, and the task may still be within its grace.
+    // Ignored while the job is stopping: a duplicate of the start may have been accepted earlier,
+    // and the task may still be within its grace period.
     case 'startRefused':
       return state === job.JobState.starting
         ? onMemberGone(runtime, context, event.member, job.StopCause.memberLost, event.reason)
@@ -247,7 +247,7 @@
     case 'memberDone':
     case 'memberFailed':
     case 'memberStopped':
-      return mayRun(runtime, event.member)
+      return mayBeStarted(runtime, event.member)
         ? onMemberEnded(runtime, context, event)
         : { next: runtime, effects: NOTHING };
     case 'cancel':
@@ -260,9 +260,9 @@
 };
 
 /**
- * @param spec - what the customer asks for
- * @param context - moment and rules
- * @returns a job that was just accepted
+ * @param spec - the job that the customer submits
+ * @param context - time and rules
+ * @returns the accepted job in the queue
  */
 export const accept = (spec: job.JobSpec, context: JobContext): JobRuntime => ({
   record: decide(
@@ -285,11 +285,11 @@
 });
 
 /**
- * Takes a job over from an earlier leader.
+ * Takes over a job from a previous leader.
  *
  * @param record - the job as the store has it
- * @returns the job with every placed member counted as running until its agent says otherwise or
- *   its lease has certainly lapsed
+ * @returns the job with every placed member counted as starting until its agent reports otherwise
+ *   or its lease has certainly expired
  */
 export const takeOver = (record: job.JobRecord): JobRuntime => ({
   record,
--- a/src/coordination/common/jobSegments.ts
+++ b/src/coordination/common/jobSegments.ts
@@ -1,35 +1,35 @@
 /**
- * How a cell's jobs are laid out in the store: a fixed number of segments, each far below the
- * largest value, so that the changes of one planning round cost at most one write a segment.
+ * Layout of a cell's jobs in the store: a fixed number of segments, each far below the largest
+ * value, so that the changes of one planning round cost at most one write per segment.
  */
 import * as Schema from 'effect/Schema';
 
 import * as job from '../../state/common/job.js';
 import * as units from '../../state/common/units.js';
 
-/** Segments of a cell. A wave of any size costs at most this many writes. */
+/** Segments of a cell. A batch of changes of any size costs at most this many writes. */
 export const SEGMENT_COUNT = 8;
 
-/** Ended jobs kept in each segment for questions; older ones live in the ledger only. */
+/** Ended jobs retained in each segment for queries; older ones are in the ledger only. */
 export const MAX_ENDED_PER_SEGMENT = 64;
 
 /**
- * A segment must stay well below the megabyte that the store takes: beyond this, submissions are
- * refused. The other half is room for what the jobs in it gather while they live.
+ * Submissions are refused beyond this size: a segment must stay well below the megabyte that the
+ * store accepts. The other half is for what its jobs add to their records later.
  */
 export const MAX_SEGMENT_BYTES = 524_288;
 
-/** Beyond this a segment is written with fewer decisions, so that the store still takes it. */
+/** Beyond this a segment is written with fewer decisions, so that the store still accepts it. */
 export const TRIM_SEGMENT_BYTES = 917_504;
 
-/** Decisions and failures that a trimmed record keeps. */
+/** Decisions and failures that a trimmed record retains. */
 const TRIMMED_HISTORY = 2;
 
 /** The value of one segment. */
 export const JobSegment = Schema.Struct({
   /** Epoch of the leader that wrote it. */
   epoch: units.Count,
-  /** Chosen by the writer, so that a lost answer is settled by reading back. */
+  /** Chosen by the writer, so that after a lost answer a read shows whether the write succeeded. */
   writeId: units.CallerKey,
   jobs: Schema.Array(job.JobRecord),
 });
@@ -56,7 +56,7 @@
 
 /**
  * @param records - all jobs of a segment
- * @returns the jobs to keep: all that live, and the latest that ended
+ * @returns the jobs to retain: all that have not ended, and the latest that ended
  */
 export const retain = (records: readonly job.JobRecord[]): readonly job.JobRecord[] => {
   const live = records.filter((it) => !job.isTerminal(it.state));
@@ -69,7 +69,7 @@
 
 const sizes = new WeakMap<job.JobRecord, number>();
 
-/** Records are replaced and never changed, so each is measured once. */
+/** Records are immutable, so the size of each is computed once. */
 const bytesOf = (record: job.JobRecord): number => {
   const known = sizes.get(record);
   if (known !== undefined) return known;
@@ -82,9 +82,8 @@
   records.reduce((sum, it) => sum + bytesOf(it), 0);
 
 /**
- * Made for bursts of submissions while little ends. Without the bound the segment would outgrow the
- * store's largest value, and then nothing of it could be written any more: no start, no
- * cancellation.
+ * Limits bursts of submissions while few jobs end. Without the bound the segment would exceed the
+ * store's largest value and nothing in it could be written any more: no start, no cancellation.
  *
  * @param records - all jobs of a segment
  * @param accepted - the job to be added
@@ -102,11 +101,12 @@
 
 /**
  * @param records - all jobs of a segment
- * @returns what to write: ended jobs go first, then all but the latest decisions, until it fits
+ * @returns the records to write: drops ended jobs first, then all but the latest decisions, until
+ *   they fit
  */
 export const fit = (records: readonly job.JobRecord[]): readonly job.JobRecord[] => {
-  const kept = retain(records);
-  if (totalBytes(kept) <= TRIM_SEGMENT_BYTES) return kept;
-  const live = kept.filter((it) => !job.isTerminal(it.state));
+  const retained = retain(records);
+  if (totalBytes(retained) <= TRIM_SEGMENT_BYTES) return retained;
+  const live = retained.filter((it) => !job.isTerminal(it.state));
   return totalBytes(live) <= TRIM_SEGMENT_BYTES ? live : live.map(trimmed);
 };
--- a/src/coordination/common/jobSteps.ts
+++ b/src/coordination/common/jobSteps.ts
@@ -1,5 +1,5 @@
 /**
- * Steps that several events of a job share: ending it, putting it back into the queue, stopping it.
+ * Steps that several job events share: ending a job, requeuing it, stopping it.
  */
 import * as job from '../../state/common/job.js';
 
@@ -20,9 +20,9 @@
 
 /**
  * @param record - a job
- * @param context - moment and rules
+ * @param context - time and rules
  * @param what - name of the decision
- * @param why - one sentence for people
+ * @param why - reason, one sentence
  * @returns the job with the decision recorded
  */
 export const decide = (
@@ -38,17 +38,17 @@
     configVersion: context.configVersion,
   });
 
-const unplaced = (record: job.JobRecord, state: job.JobState): job.JobRecord => {
+const withoutPlacement = (record: job.JobRecord, state: job.JobState): job.JobRecord => {
   const { ruleId: _rule, stopCause: _cause, startedAtMs: _started, ...rest } = record;
   return { ...rest, state, placement: [] };
 };
 
 /**
  * @param record - a job that ends
- * @param state - how it ends
- * @param context - moment and rules
- * @param why - one sentence for people
- * @returns the step that ends it; it holds nothing any more
+ * @param state - its final state
+ * @param context - time and rules
+ * @param why - reason, one sentence
+ * @returns the step that ends it and clears its placement
  */
 export const ended = (
   record: job.JobRecord,
@@ -63,18 +63,18 @@
 
 const requeue = (record: job.JobRecord, context: JobContext, why: string): JobStep => ({
   next: {
-    record: decide(unplaced(record, job.JobState.queued), context, 'requeued', why),
+    record: decide(withoutPlacement(record, job.JobState.queued), context, 'requeued', why),
     members: [],
   },
   effects: PERSIST,
 });
 
 /**
- * Gives up a placement that was never committed: no member was started, so all are released.
+ * Abandons a placement that was never committed: no member was started, so all are released.
  *
- * @param runtime - a job whose members are reserved at most
- * @param context - moment and rules
- * @param why - one sentence for people
+ * @param runtime - a job with no member beyond its reservation
+ * @param context - time and rules
+ * @param why - reason, one sentence
  * @returns the job back in the queue
  */
 export const abandon = (runtime: JobRuntime, context: JobContext, why: string): JobStep => {
@@ -83,7 +83,7 @@
   return { next: step.next, effects: held.map((member) => ({ type: 'release', member })) };
 };
 
-/** What follows when the last member of a stopping job holds nothing any more. */
+/** Next step once the last member of a stopping job has released its accelerators. */
 const afterStop = (runtime: JobRuntime, context: JobContext): JobStep => {
   const { record } = runtime;
   const cause = record.stopCause ?? job.StopCause.memberLost;
@@ -92,7 +92,7 @@
   }
   const failedOn = blame.goodWorkerFailures(record, context.badWorkerIds);
   if (cause === job.StopCause.memberFailed && failedOn >= context.unrunnableFailures) {
-    const why = `failed on ${failedOn} different good workers`;
+    const why = `failed on ${failedOn} different healthy workers`;
     return ended(record, job.JobState.unrunnable, context, why);
   }
   return requeue(record, context, `all members stopped after: ${cause}`);
@@ -100,16 +100,16 @@
 
 /**
  * @param runtime - a job that is stopping
- * @param context - moment and rules
- * @returns the step that follows once no member holds anything, otherwise the same job written
+ * @param context - time and rules
+ * @returns the next step; the same job, persisted, while a member may hold accelerators
  */
 export const settleStopping = (runtime: JobRuntime, context: JobContext): JobStep =>
   runtime.members.some(holds) ? { next: runtime, effects: PERSIST } : afterStop(runtime, context);
 
 /**
  * @param record - a job that is being stopped
- * @param reclaimGraceMs - time that the configuration gives for a checkpoint
- * @returns the time that its members get; nothing is kept of a cancelled job
+ * @param reclaimGraceMs - configured grace period for a checkpoint
+ * @returns the grace period of its members; 0 for a cancelled job, whose work is discarded
  */
 export const graceMsOf = (record: job.JobRecord, reclaimGraceMs: number): number => {
   const isCancelled = record.stopCause === job.StopCause.cancelled;
@@ -117,12 +117,12 @@
 };
 
 /**
- * Starts stopping every member that still holds something.
+ * Starts stopping every member that may still hold accelerators.
  *
  * @param runtime - a job whose placement was committed
- * @param context - moment and rules
- * @param cause - decides what follows the stop
- * @param why - one sentence for people
+ * @param context - time and rules
+ * @param cause - determines the step after the stop
+ * @param why - reason, one sentence
  * @returns the stopping job with a stop for each such member
  */
 export const beginStop = (
--- a/src/coordination/common/jobTypes.ts
+++ b/src/coordination/common/jobTypes.ts
@@ -1,43 +1,43 @@
 /**
- * What can happen to a job and what its leader has to do then; `jobMachine` has the table.
+ * Events of a job and the effects that its leader has to carry out.
  */
 import type * as job from '../../state/common/job.js';
 
-/** Where one member of the gang is. */
+/** Phase of one member of a gang. */
 export const MemberPhase = {
   reserving: 'reserving',
   reserved: 'reserved',
   starting: 'starting',
   running: 'running',
   done: 'done',
-  /** Stopped, failed, or its lease has certainly lapsed: it holds nothing. */
+  /** Stopped, failed, or its lease has certainly expired: it holds no accelerators. */
   gone: 'gone',
 } as const;
 
 /** One of the values of {@link MemberPhase}. */
 export type MemberPhase = (typeof MemberPhase)[keyof typeof MemberPhase];
 
-/** A job with what only its leader's memory holds. */
+/** A job record with the state that only its leader has in memory. */
 export interface JobRuntime {
   readonly record: job.JobRecord;
-  /** One for each placed member; empty while nothing is placed. */
+  /** One phase per placed member; empty while the job has no placement. */
   readonly members: readonly MemberPhase[];
 }
 
-/** Moment and rules under which an event is handled. */
+/** Time and rules for handling an event. */
 export interface JobContext {
   readonly nowMs: number;
   readonly configVersion: number;
   /** Epoch of the leader that handles the event. */
   readonly epoch: number;
-  /** Distinct good workers on which a job must fail before it is given up. */
+  /** Distinct healthy workers on which a job must fail before it becomes unrunnable. */
   readonly unrunnableFailures: number;
-  /** Quarantined workers: what failed there says nothing against a job. */
+  /** Quarantined workers: failures there don't count against a job. */
   readonly badWorkerIds: ReadonlySet<string>;
   readonly reclaimGraceMs: number;
 }
 
-/** What can happen to a job. */
+/** Event of a job. */
 export type JobEvent =
   | {
       readonly type: 'planned';
@@ -54,7 +54,7 @@
   | { readonly type: 'memberDone'; readonly member: number }
   | { readonly type: 'memberFailed'; readonly member: number; readonly reason: string }
   | { readonly type: 'memberStopped'; readonly member: number; readonly checkpointMs: number }
-  /** The member's lease has certainly lapsed: nothing of it can run any more. */
+  /** The member's lease has certainly expired, so it can no longer run. */
   | { readonly type: 'memberLost'; readonly member: number; readonly reason: string }
   | { readonly type: 'cancel' }
   | {
@@ -63,18 +63,18 @@
       readonly why: string;
     };
 
-/** What the leader has to do after an event. */
+/** Effect that the leader has to carry out after an event. */
 export type JobEffect =
   | { readonly type: 'reserve'; readonly member: number }
   | { readonly type: 'release'; readonly member: number }
-  /** Makes the record durable and answers with `committed` or `commitFailed`. */
+  /** Makes the record durable and results in `committed` or `commitFailed`. */
   | { readonly type: 'commit' }
   | { readonly type: 'start'; readonly member: number }
   | { readonly type: 'stop'; readonly member: number; readonly graceMs: number }
-  /** Makes the record durable with the next group commit; nothing waits for it. */
+  /** Makes the record durable with the next group commit, without waiting for it. */
   | { readonly type: 'persist' };
 
-/** The job after an event and what has to be done. */
+/** The job after an event, with the effects to carry out. */
 export interface JobStep {
   readonly next: JobRuntime;
   readonly effects: readonly JobEffect[];
--- a/src/coordination/common/memberOutcome.ts
+++ b/src/coordination/common/memberOutcome.ts
@@ -1,24 +1,22 @@
-/**
- * What the answer to a command means for the job it was sent for: pure, as `reportIntake` is.
- */
+/** Maps the outcome of a command to the leader's action. Pure, like the mapping of reports. */
 import * as job from '../../state/common/job.js';
 
 import type * as jobMachine from './jobMachine.js';
 
-/** An effect that is a command to one member's agent. */
+/** An effect that sends a command to the agent of one member. */
 export type MemberEffect = Exclude<jobMachine.JobEffect, { type: 'persist' | 'commit' }>;
 
-/** What became of a command; undefined where no answer came. */
+/** Outcome of a command; undefined where there was no answer. */
 export type CommandOutcome =
   | {
       readonly isAccepted: boolean;
-      /** Nothing of the token runs, and nothing of it ever will. */
+      /** Nothing runs under the token, and nothing ever will. */
       readonly isGone: boolean;
       readonly reason: string;
     }
   | undefined;
 
-/** What follows from an outcome. */
+/** Action of the leader on an outcome. */
 export type OutcomeReading =
   | { readonly type: 'nothing' }
   | { readonly type: 'resend' }
@@ -26,7 +24,7 @@
 
 const NOTHING: OutcomeReading = { type: 'nothing' };
 
-/** A member that never ran is over with the answer; one that runs is over when its agent says so. */
+/** The answer ends a member that never ran; one that runs ends when its agent reports it. */
 const afterStop = (member: number, outcome: Exclude<CommandOutcome, undefined>): OutcomeReading => {
   if (!outcome.isAccepted) return { type: 'resend' };
   return outcome.isGone
@@ -36,12 +34,12 @@
 
 /**
  * @param effect - the command that was sent
- * @param outcome - what became of it
- * @returns what the leader does; a lost start or stop is sent again, since both are idempotent
+ * @param outcome - its outcome
+ * @returns the leader's action; an unanswered start or stop is resent, as both are idempotent
  */
 export const readOutcome = (effect: MemberEffect, outcome: CommandOutcome): OutcomeReading => {
   const { member } = effect;
-  const reason = outcome?.reason ?? 'the agent does not answer';
+  const reason = outcome?.reason ?? 'no response from the agent';
   if (effect.type === 'release') return NOTHING;
   if (effect.type === 'reserve') {
     return outcome?.isAccepted === true
@@ -56,10 +54,10 @@
 };
 
 /**
- * @param runtime - the job as it is now
+ * @param runtime - the current state of the job
  * @param attempt - the attempt that the command was sent for
  * @param effect - the command
- * @returns whether the job still wants the command
+ * @returns whether the command still applies to the job
  */
 export const isStillWanted = (
   runtime: jobMachine.JobRuntime | undefined,
--- a/src/coordination/common/memberPhases.ts
+++ b/src/coordination/common/memberPhases.ts
@@ -1,5 +1,5 @@
 /**
- * The phases of a gang's members.
+ * Helpers for the phases of a gang's members.
  */
 import * as jobTypes from './jobTypes.js';
 
@@ -8,9 +8,9 @@
 
 /**
  * @param members - phases of a gang
- * @param index - which member
- * @param phase - its phase from now on
- * @returns the phases with that one changed
+ * @param index - index of a member
+ * @param phase - its new phase
+ * @returns the phases with that member's phase replaced
  */
 export const withMember = (
   members: readonly MemberPhase[],
@@ -27,8 +27,8 @@
 
 /**
  * @param members - phases of a gang
- * @param isWanted - which phases
- * @returns the members in such a phase
+ * @param isWanted - selects phases
+ * @returns the members in a selected phase
  */
 export const indexesOf = (
   members: readonly MemberPhase[],
--- a/src/coordination/common/reportIntake.ts
+++ b/src/coordination/common/reportIntake.ts
@@ -1,6 +1,6 @@
 /**
- * What an agent's statement means for the jobs of a cell: pure, so that the exploration of every
- * order of events runs the very decisions that the leader takes.
+ * Determines what an agent's report means for the jobs of a cell. Pure, so that the exploration of
+ * every order of events runs the same decisions as the leader.
  */
 import * as job from '../../state/common/job.js';
 import * as task from '../../state/common/task.js';
@@ -8,18 +8,18 @@
 import * as agentTasks from './agentTasks.js';
 import * as jobMachine from './jobMachine.js';
 
-/** What follows from one reported task. */
+/** Action of the leader on one reported task. */
 export type TaskReading =
   | { readonly type: 'nothing' }
-  /** No job wants the task: it is of an earlier attempt, or of a job that has ended. */
+  /** No job expects the task: it belongs to an earlier attempt or to a job that has ended. */
   | { readonly type: 'stopStray' }
-  /** The job is being stopped, yet the member goes on: the stop is lost or was never sent. */
+  /** The job is stopping but the member still runs: the stop was lost or never sent. */
   | { readonly type: 'stopOwed'; readonly member: number }
-  /** The placement is committed, yet the member only holds its reservation. */
+  /** The placement is committed but the member is only reserved. */
   | { readonly type: 'startOwed'; readonly member: number }
   | { readonly type: 'event'; readonly event: jobMachine.JobEvent };
 
-/** A member that should be on a worker and is not. */
+/** A member that is expected on a worker but missing there. */
 export interface MissingMember {
   readonly jobId: string;
   readonly member: number;
@@ -48,10 +48,10 @@
 };
 
 /**
- * @param runtime - the job that the report names; undefined where there is none
- * @param report - what the agent says of one task
- * @param isTakeOver - whether the agent answers a leader that has just fenced it
- * @returns what the leader does about it
+ * @param runtime - the job that the report refers to; undefined where there is none
+ * @param report - the agent's report on one task
+ * @param isTakeOver - whether the report answers a leader that has just fenced the agent
+ * @returns the leader's action
  */
 export const readTask = (
   runtime: jobMachine.JobRuntime | undefined,
@@ -64,28 +64,29 @@
   const isLive =
     report.phase === task.TaskPhase.running || report.phase === task.TaskPhase.reserved;
   const { state } = runtime.record;
-  // The leader that decided to stop may have died before its command was sent, and an agent that
-  // was asked to stop a reservation reports it as stopped: whatever is still live was never asked.
+  // The leader that decided to stop may have failed before sending the command, and an agent
+  // reports a reservation as stopped once it was told to stop it. So a member that is still live
+  // was never told.
   if (state === job.JobState.stopping && isLive) return { type: 'stopOwed', member };
   const isStartLost =
     isTakeOver && state === job.JobState.starting && report.phase === task.TaskPhase.reserved;
-  // The leader that committed died before its start was sent. Without this the reservation lapses
-  // and the gang stays in part; the start is idempotent by its token.
+  // The leader that committed failed before its start was sent. Without this the reservation
+  // expires and the gang stays incomplete; the start is idempotent by its token.
   if (isStartLost) return { type: 'startOwed', member };
   return eventOf(report);
 };
 
 /**
- * Members that a whole and current statement of a worker's agent does not name.
+ * Finds members that a complete and current report of a worker's agent does not contain.
  *
- * A member that is being started was reserved before, and a reservation is reported too; so a
- * statement without it, written after the reservation was answered, shows that the reservation has
- * lapsed or that the agent has restarted.
+ * A member that is starting was reserved before, and reservations are reported too. So a report
+ * without it, written after the reservation was acknowledged, shows that the reservation has
+ * expired or that the agent has restarted.
  *
  * @param runtimes - the jobs of the cell
- * @param workerId - whose agent speaks
- * @param tasks - everything that the agent holds
- * @returns the members that hold nothing any more
+ * @param workerId - worker of the reporting agent
+ * @param tasks - all tasks of the agent
+ * @returns the members that no longer hold accelerators there
  */
 export const missingMembers = (
   runtimes: Iterable<jobMachine.JobRuntime>,
@@ -108,13 +109,13 @@
 };
 
 /**
- * Which members have ended is not written to the store. So an agent keeps the end of its task until
- * the attempt is over and the store says so; otherwise a new leader would miss the task and run the
- * whole gang again although one member had finished.
+ * Ended members are not recorded in the store, so an agent retains the end of its task until the
+ * attempt is over and stored; otherwise a new leader would miss the task and run the complete gang
+ * again although one member had finished.
  *
- * @param runtime - the job that the report names
- * @param report - what the agent says of one task
- * @param isDurable - whether what is known of the job is in the store
+ * @param runtime - the job that the report refers to
+ * @param report - the agent's report on one task
+ * @param isDurable - whether the current state of the job is in the store
  * @returns whether the agent may forget the task
  */
 export const isAcknowledgeable = (
--- a/src/coordination/common/workerRoster.ts
+++ b/src/coordination/common/workerRoster.ts
@@ -1,22 +1,22 @@
 /**
- * The workers of a cell as its leader knows them, until when their tasks may still run, and whether
- * the leader may still grant leases.
+ * The workers of a cell as known to its leader, the time until which their tasks may still run, and
+ * whether the leader may still grant leases.
  *
- * Guards against running a job twice. A worker that is not heard of counts as running its tasks
- * until every lease that any leader may have granted it has certainly lapsed. A former leader that
- * still reaches the worker, while nobody else reaches it, would go on granting; so a leader grants
- * only while the store's lease on the leadership certainly stands or a majority of the cell's agents
+ * Guards against running a job twice. An unreachable worker counts as running its tasks until every
+ * lease that any leader may have granted it has certainly expired. A previous leader that still
+ * reaches the worker, while no other process does, would keep granting. So a leader grants only
+ * while the store's lease on the leadership is certainly valid or a majority of the cell's agents
  * has confirmed its epoch within one term. A new leader that has fenced a majority knows that the
- * former one can't find a majority any more, and when its last confirmation has run out.
+ * previous one can't get a majority any more, and when its last confirmation expires.
  */
 import type * as worker from '../../state/common/worker.js';
 
-/** A worker with what the leader knows of it. */
+/** A worker with its state as known to the leader. */
 export interface RosterEntry {
   readonly info: worker.WorkerInfo;
   readonly bootId: string;
   readonly lastReportMs: number;
-  /** Monotonic moment after which no lease that this leader granted or found can stand. */
+  /** Monotonic time after which no lease that this leader granted or found can be valid. */
   readonly leaseUntilMs: number;
   readonly isQuarantined: boolean;
   readonly isLeaving: boolean;
@@ -25,50 +25,50 @@
   readonly commandCount: number;
   /** Whether the agent has accepted this leader's epoch. */
   readonly isFenced: boolean;
-  /** Monotonic moment of this leader before which the agent's last confirmation was not written. */
+  /** Lower bound of the time of the agent's last confirmation, on this leader's monotonic clock. */
   readonly confirmedAtMs: number;
 }
 
 /** All workers of the cell by id. */
 export type Roster = ReadonlyMap<string, RosterEntry>;
 
-/** What decides on the right to grant, besides the roster. */
+/** Input, besides the workers, to the decision whether the leader may grant. */
 export interface Authority {
-  /** Whether the store's lease on the leadership certainly stands. */
+  /** Whether the store's lease on the leadership is certainly valid. */
   readonly isStoreLeaseHeld: boolean;
   /**
-   * Every set of workers that the store may hold as the cell's inventory. A majority has to be one
-   * in each of them, since nobody can say which of them the next leader reads.
+   * Every set of workers that the store may contain as the cell's inventory. A majority is required
+   * in each, since it is unknown which of them the next leader reads.
    */
   readonly voterSets: readonly ReadonlySet<string>[];
 }
 
-/** Largest difference in speed between two monotonic clocks. */
+/** Maximum relative drift between two monotonic clocks. */
 export const CLOCK_DRIFT_SHARE = 0.01;
 
-/** Periods without a report after which a worker gets no new work: one report may be lost. */
+/** Periods without a report after which a worker gets no new work; tolerates one lost report. */
 export const SUSPECT_AFTER_PERIODS = 2.5;
 
-/** Shortest period of reports; it is only a bound for small cells. */
+/** Shortest report period; it matters only for small cells. */
 export const MIN_REPORT_MS = 1000;
 
-/** Reports that a lease outlives, so that the loss of one or two stops no task. */
+/** Report periods per lease, so that the loss of one or two reports stops no task. */
 const REPORTS_PER_LEASE = 3;
 
-/** Processor time of one report at the leader, tasks included, measured by the capacity bench. */
+/** Processor time of one report at the leader, including its tasks. */
 const REPORT_COST_MS = 1;
 
-/** Share of a core that a cell's reports may take: half of what control may cost a node. */
+/** Share of a core that a cell's reports may take: half of the control budget of a node. */
 const REPORT_BUDGET_SHARE = 0.0085;
 
 /**
- * Made for a cell of 112 workers, whose leader may spend 1.7% of a core in all. Reports slow down
- * as the cell grows; what must be known at once (the end of a task, a silent agent) does not wait
- * for them. The lease bounds the period, so a cell that is too large for its lease costs more.
+ * The leader of a cell of 112 workers may use 1.7% of a core in total. Reports become less frequent
+ * as the cell grows; urgent events (the end of a task, an unreachable agent) don't wait for them.
+ * The lease bounds the period, so a cell too large for its lease costs more.
  *
  * @param workers - workers of the cell
  * @param leaseMs - the task lease
- * @returns the period at which each agent reports while nothing happens
+ * @returns the report period of each agent while there are no events
  */
 export const reportPeriodMs = (workers: number, leaseMs: number): number => {
   const affordableMs = (workers * REPORT_COST_MS) / REPORT_BUDGET_SHARE;
@@ -77,31 +77,31 @@
 };
 
 /**
- * Time that a call from an agent to the worker on its VM may be under way. The worker counts a lease
- * from the arrival of the call, so its term may end this much later than the agent's.
+ * Maximum time in flight of a call from an agent to the worker on its VM. The worker counts a lease
+ * from the arrival of the call, so its lease may end this much later than the agent's.
  */
 export const WORKER_CALL_MS = 2000;
 
 /**
- * @param leaseMs - a lease as it is granted
- * @returns how long the granting side waits before it counts the lease as lapsed
+ * @param leaseMs - a granted lease
+ * @returns how long the grantor waits before it counts the lease as expired
  */
 export const certainLapseMs = (leaseMs: number): number =>
   leaseMs * (1 + CLOCK_DRIFT_SHARE) + WORKER_CALL_MS;
 
 /**
- * @param leaseMs - the task lease; a confirmation counts for as long
- * @returns how long one confirmation lets a leader grant, as the leader counts it
+ * @param leaseMs - the task lease, which is also the validity of a confirmation
+ * @returns how long a leader may grant after one confirmation, on its own clock
  */
 export const confirmationTermMs = (leaseMs: number): number => leaseMs * (1 - CLOCK_DRIFT_SHARE);
 
 /**
- * An agent that restarted has forgotten which epoch it had accepted, and might confirm an epoch that
- * it had refused before. It has no vote until a leader that lost its majority by that epoch has seen
- * all the leases lapse that it had granted.
+ * A restarted agent has lost its accepted epoch and might confirm an epoch that it had refused
+ * before. It has no vote until a leader that lost its majority to that refusal has seen all the
+ * leases expire that it had granted.
  *
  * @param leaseMs - the task lease
- * @returns how long an agent must have been up before its confirmation counts
+ * @returns minimum uptime of an agent before its confirmation counts
  */
 export const votingDelayMs = (leaseMs: number): number =>
   leaseMs * (1 + CLOCK_DRIFT_SHARE) + certainLapseMs(leaseMs);
@@ -111,7 +111,7 @@
 
 /**
  * @param roster - the workers
- * @param authority - what else decides
+ * @param authority - further input to the decision
  * @param nowMs - monotonic time
  * @param leaseMs - the task lease
  * @returns whether the leader may grant leases now
@@ -131,7 +131,7 @@
 
 /**
  * @param roster - the workers
- * @param authority - what else decides
+ * @param authority - further input to the decision
  * @returns whether a majority of the agents has accepted this leader's epoch
  */
 export const hasFencedMajority = (roster: Roster, authority: Authority): boolean =>
@@ -140,9 +140,9 @@
   );
 
 /**
- * @param majorityFencedAtMs - when a majority was known to be fenced; undefined where it is not
+ * @param majorityFencedAtMs - when a majority was known to be fenced; undefined if it is not
  * @param leaseMs - the task lease
- * @returns the monotonic moment after which no lease that a former leader granted can stand
+ * @returns the monotonic time after which no lease of a previous leader can be valid
  */
 export const formerLeasesEndMs = (
   majorityFencedAtMs: number | undefined,
@@ -155,8 +155,8 @@
 /**
  * @param entry - a worker
  * @param nowMs - monotonic time
- * @param reportMs - period of reports
- * @returns whether it may be given work
+ * @param reportMs - report period
+ * @returns its health, which decides whether it may get work
  */
 export const healthOf = (
   entry: RosterEntry,
@@ -164,19 +164,19 @@
   reportMs: number,
 ): worker.WorkerHealth => {
   if (entry.isQuarantined) return 'quarantined';
-  const isSilent = nowMs - entry.lastReportMs > reportMs * SUSPECT_AFTER_PERIODS;
-  if (!entry.isFenced || isSilent) return 'unreachable';
+  const isOverdue = nowMs - entry.lastReportMs > reportMs * SUSPECT_AFTER_PERIODS;
+  if (!entry.isFenced || isOverdue) return 'unreachable';
   return entry.isLeaving ? 'leaving' : 'ready';
 };
 
 /**
- * A fenced agent may have restarted and been found by a former leader first, so the end of the
- * former leaders' leases counts for every worker.
+ * A fenced agent may have restarted and been reached by a previous leader first, so the end of the
+ * previous leaders' leases applies to every worker.
  *
  * @param entry - a worker
  * @param formerEndMs - see {@link formerLeasesEndMs}
  * @param nowMs - monotonic time
- * @returns whether none of its tasks can run any more
+ * @returns whether none of its tasks can still be running
  */
 export const isLapsed = (entry: RosterEntry, formerEndMs: number, nowMs: number): boolean =>
   nowMs > entry.leaseUntilMs && nowMs > formerEndMs;
