--- a/src/coordination/common/burnRate.ts
+++ b/src/coordination/common/burnRate.ts
@@ -1,19 +1,19 @@
 /**
- * Burn rates: how fast an objective's error budget is being used up. 1 uses it up exactly at the
- * end of the objective's own window.
+ * Burn rates: how fast an objective's error budget is consumed. A rate of 1 consumes it exactly by
+ * the end of the objective's window.
  *
- * An alert needs a short and a long window at once: the long one shows that enough was lost to
- * matter, the short one that it is still being lost, so that the alert ends soon after the cause.
+ * An alert requires both a short and a long window to burn: the long one shows that the loss is
+ * significant, the short one that it continues, so that the alert ends soon after its cause.
  */
 
-/** Events of one bucket of time. */
+/** Good and bad events in one time bucket. */
 export interface Bucket {
   readonly fromMs: number;
   readonly good: number;
   readonly bad: number;
 }
 
-/** Two windows that must burn together. */
+/** Two windows that must both exceed the threshold. */
 export interface WindowPair {
   readonly shortMs: number;
   readonly longMs: number;
@@ -24,8 +24,8 @@
 const HOUR_MS = 3_600_000;
 
 /**
- * The usual pairs for a budget of 30 days: 14.4 for an hour takes 2% of it, 6 for six hours 5%, 1
- * for three days 10%.
+ * The usual pairs for a budget of 30 days: a rate of 14.4 for an hour consumes 2% of it, 6 for six
+ * hours 5%, 1 for three days 10%.
  */
 export const WINDOW_PAIRS: readonly WindowPair[] = [
   { shortMs: 5 * MINUTE_MS, longMs: HOUR_MS, threshold: 14.4 },
@@ -33,16 +33,16 @@
   { shortMs: 6 * HOUR_MS, longMs: 72 * HOUR_MS, threshold: 1 },
 ];
 
-/** What happened in a window. */
+/** Events and burn rate of a window. */
 export interface WindowBurn {
   readonly windowMs: number;
   readonly good: number;
   readonly bad: number;
-  /** 0 where nothing happened. */
+  /** 0 where there were no events. */
   readonly burnRate: number;
 }
 
-/** A pair of windows as it stands. */
+/** Current burn rates of a pair of windows. */
 export interface PairBurn {
   readonly short: WindowBurn;
   readonly long: WindowBurn;
@@ -53,9 +53,9 @@
 /**
  * @param buckets - buckets in any order
  * @param windowMs - length of the window
- * @param target - part of the events that must be good
- * @param nowMs - end of the window; the bucket that is running counts with it
- * @returns what happened in the window
+ * @param target - fraction of events that must be good
+ * @param nowMs - end of the window; the current bucket is included
+ * @returns events and burn rate of the window
  */
 export const burnOver = (
   buckets: readonly Bucket[],
@@ -72,9 +72,9 @@
 
 /**
  * @param buckets - buckets in any order
- * @param target - part of the events that must be good
- * @param nowMs - now
- * @returns each pair of {@link WINDOW_PAIRS} as it stands
+ * @param target - fraction of events that must be good
+ * @param nowMs - the current time
+ * @returns the current burn rates of each of the {@link WINDOW_PAIRS}
  */
 export const burnOfPairs = (
   buckets: readonly Bucket[],
--- a/src/coordination/common/configurationHolder.ts
+++ b/src/coordination/common/configurationHolder.ts
@@ -1,36 +1,36 @@
 /**
- * The configuration that a process has in force.
+ * The active configuration of a process.
  *
- * Guards against going back: a watch, a peer or a restored store may offer an older version, and a
- * process that took it would undo an accepted change. Only a higher version is ever taken.
+ * Guards against a downgrade: a watch, a peer or a restored store may offer an older version, which
+ * would undo an accepted change. Only a higher version is applied.
  */
 import * as event from '../../base/common/event.js';
 import * as configuration from '../../state/common/configuration.js';
 
 import * as configurationOrder from './configurationOrder.js';
 
-/** What came of a version that was offered. */
+/** Result of offering a version. */
 export const Adoption = {
   adopted: 'adopted',
   alreadyInForce: 'alreadyInForce',
-  /** It is older than what is in force, or differs from it under the same version. */
+  /** It is older than the active one, or has the same version but another write id. */
   refused: 'refused',
 } as const;
 
 /** One of the values of {@link Adoption}. */
 export type Adoption = (typeof Adoption)[keyof typeof Adoption];
 
-/** Holds the version in force. */
+/** Holds the active configuration. */
 export interface ConfigurationHolder {
   readonly current: () => configuration.ConfigurationRecord | undefined;
-  /** Version in force, `NO_VERSION` before the first. */
+  /** Active version, `NO_VERSION` before the first. */
   readonly version: () => number;
   readonly offer: (record: configuration.ConfigurationRecord) => Adoption;
   readonly onDidChange: event.Event<configuration.ConfigurationRecord>;
 }
 
 /**
- * @returns a holder without configuration
+ * @returns a holder without a configuration
  */
 export const createConfigurationHolder = (): ConfigurationHolder => {
   const emitter = event.createEmitter<configuration.ConfigurationRecord>();
--- a/src/coordination/common/configurationOrder.ts
+++ b/src/coordination/common/configurationOrder.ts
@@ -1,17 +1,17 @@
 /**
- * The order of configuration versions, by which every hop decides what it takes.
+ * Order of configuration versions, by which every hop decides whether to apply one.
  */
 import type * as configuration from '../../state/common/configuration.js';
 
-/** What tells two records apart. */
+/** Identity of a configuration record. */
 export type VersionMark = Pick<configuration.ConfigurationRecord, 'version' | 'writeId'>;
 
-/** How one record stands to another. */
+/** Order of one record relative to another. */
 export const Order = {
   newer: 'newer',
   same: 'same',
   older: 'older',
-  /** The same version with another write id: one of the two was never accepted, or was lost. */
+  /** Same version, another write id: one of the two was never accepted, or was lost. */
   forked: 'forked',
 } as const;
 
@@ -20,8 +20,8 @@
 
 /**
  * @param offered - a record, undefined where there is none
- * @param held - the record in force, undefined before the first
- * @returns how the offered one stands to the held one
+ * @param held - the active record, undefined before the first
+ * @returns the order of the offered record relative to the active one
  */
 export const orderOf = (offered: VersionMark | undefined, held: VersionMark | undefined): Order => {
   const offeredVersion = offered?.version ?? 0;
@@ -32,9 +32,9 @@
 };
 
 /**
- * @param stored - what a read of the store gave that began after `held` was in force
- * @param held - the record in force
- * @returns whether the store was restored from an older state: whatever is in force stood there
+ * @param stored - the result of a store read that began after `held` became active
+ * @param held - the active record
+ * @returns whether the store was restored: every active record was once stored there
  */
 export const isRestored = (
   stored: VersionMark | undefined,
--- a/src/coordination/common/ledgerBook.ts
+++ b/src/coordination/common/ledgerBook.ts
@@ -1,22 +1,22 @@
 /**
- * Books accelerator time: who held what, for how long and why. Pure: holdings and a span of time go
- * in, entries come out, and the entries of a span always add up to capacity times time.
+ * Records accelerator time in the ledger by holder and reason. Pure: allocations and a time span go
+ * in, entries come out that always add up to capacity times time.
  */
 import * as ledgerEntry from '../../state/common/ledgerEntry.js';
 
 import * as ledgerHoldings from './ledgerHoldings.js';
 
-/** An hour that is being booked, with its entries by heading so that booking a span is cheap. */
+/** An hour being recorded, with its entries by heading so that adding a span is cheap. */
 export interface OpenHour extends Omit<ledgerEntry.LedgerHour, 'entries'> {
   readonly entries: ReadonlyMap<string, ledgerEntry.LedgerEntry>;
 }
 
-/** Hours that are being booked, by hour. */
+/** Hours being recorded, by hour. */
 export type Book = ReadonlyMap<number, OpenHour>;
 
 /**
- * @param hour - an hour that is being booked
- * @returns it as it is kept in the store
+ * @param hour - an hour being recorded
+ * @returns its store record
  */
 export const toRecord = (hour: OpenHour): ledgerEntry.LedgerHour => ({
   ...hour,
@@ -24,8 +24,8 @@
 });
 
 /**
- * @param record - an hour as it is kept in the store
- * @returns it for further booking
+ * @param record - the store record of an hour
+ * @returns the hour, to which spans can be added
  */
 export const fromRecord = (record: ledgerEntry.LedgerHour): OpenHour => ({
   ...record,
@@ -33,13 +33,13 @@
 });
 
 /**
- * Headings kept apart in one hour. With the longest ids an entry takes about 430 bytes, so that an
- * hour stays below the store's megabyte whatever a burst of short jobs does; at the target size a
- * cell runs some hundred jobs in an hour.
+ * Separate headings in one hour; beyond it, jobs share an entry. With the longest ids an entry
+ * takes about 430 bytes, so an hour stays below the store's megabyte whatever a burst of short jobs
+ * does; at the target size a cell runs some hundred jobs in an hour.
  */
 export const MAX_ENTRIES = 1600;
 
-/** What is booked over one span of time in which nothing changed. */
+/** A time span during which the allocations did not change. */
 export interface Span extends ledgerHoldings.Holdings {
   readonly cell: string;
   readonly epoch: number;
@@ -60,9 +60,9 @@
 });
 
 /**
- * @param entries - entries so far, by heading
- * @param heading - where to add
- * @param acceleratorMs - what to add
+ * @param entries - entries so far, by heading; changed
+ * @param heading - heading to add to
+ * @param acceleratorMs - accelerator time to add
  */
 const addEntry = (
   entries: Map<string, ledgerEntry.LedgerEntry>,
@@ -78,7 +78,7 @@
 
 /**
  * @param lists - entries of several hours
- * @returns one list with the times of like headings added up
+ * @returns one list with the times of equal headings summed
  */
 export const mergeEntries = (
   lists: readonly (readonly ledgerEntry.LedgerEntry[])[],
@@ -117,8 +117,8 @@
 
 /**
  * @param owner - the cell and the epoch of its leader
- * @param atMs - where booking begins
- * @returns an hour in which nothing is booked yet
+ * @param atMs - start of recording
+ * @returns an hour without entries
  */
 export const openHour = (
   owner: { readonly cell: string; readonly epoch: number },
@@ -136,12 +136,12 @@
 });
 
 /**
- * Books from where the hour's record ends: what is booked already is never booked again, so that
- * a span that reaches back adds only what is new.
+ * Adds a span from where the hour's record ends: time already recorded is never recorded again, so
+ * a span that overlaps it adds only the rest.
  *
  * @param book - the hours so far
- * @param span - wall time and what was held throughout
- * @returns the book with the span in it, split at full hours
+ * @param span - wall time and the allocations throughout it
+ * @returns the hours including the span, split at full hours
  */
 export const bookSpan = (book: Book, span: Span): Book => {
   const next = new Map(book);
@@ -160,11 +160,11 @@
 };
 
 /**
- * Books a time in which nobody led the cell, split where the store shows that a job was placed.
+ * Records a time without a leader, split where the store shows that a job was placed.
  *
  * @param book - the hours so far
- * @param span - the time, with what the store shows at its end
- * @returns the book with the time in it
+ * @param span - the time, with the store's state at its end
+ * @returns the hours including that time
  */
 export const bookUnwitnessed = (book: Book, span: Span): Book => {
   const starts = span.jobs
@@ -180,8 +180,8 @@
 };
 
 /**
- * @param hour - a booked hour
- * @returns entries minus capacity in accelerator-milliseconds; 0 where the books balance
+ * @param hour - a recorded hour
+ * @returns entries minus capacity in accelerator-milliseconds; 0 where the hour balances
  */
 export const imbalanceOf = (hour: ledgerEntry.LedgerHour): number =>
   hour.entries.reduce((sum, it) => sum + it.acceleratorMs, 0) - hour.capacityAcceleratorMs;
--- a/src/coordination/common/ledgerCheck.ts
+++ b/src/coordination/common/ledgerCheck.ts
@@ -1,12 +1,12 @@
 /**
- * Checks that a cell's books balance: every hour adds up, and the hours follow each other without
- * a hole or an overlap.
+ * Checks that a cell's ledger balances: every hour adds up, and the hours follow each other without
+ * a gap or an overlap.
  */
 import * as ledgerEntry from '../../state/common/ledgerEntry.js';
 
 import * as ledgerBook from './ledgerBook.js';
 
-/** What can be wrong with an hour. */
+/** Kinds of inconsistency of an hour. */
 export const LedgerFaultKind = {
   /** The entries do not add up to the capacity. */
   imbalance: 'imbalance',
@@ -14,27 +14,27 @@
   capacityMismatch: 'capacityMismatch',
   /** Two jobs claimed one accelerator. */
   doubleHeld: 'doubleHeld',
-  /** Time between two hours is not booked. */
+  /** Time between two hours is not recorded. */
   hole: 'hole',
-  /** The hour claims time that is not its own. */
+  /** The hour records time outside its bounds. */
   outside: 'outside',
 } as const;
 
 /** One of the values of {@link LedgerFaultKind}. */
 export type LedgerFaultKind = (typeof LedgerFaultKind)[keyof typeof LedgerFaultKind];
 
-/** One thing that is wrong. */
+/** One inconsistency. */
 export interface LedgerFault {
   readonly kind: LedgerFaultKind;
   readonly cell: string;
   readonly hour: number;
-  /** How far off: accelerator-milliseconds, or milliseconds for a hole or time outside. */
+  /** Deviation: accelerator-milliseconds, or milliseconds for `hole` and `outside`. */
   readonly offMs: number;
 }
 
 /**
- * @param hour - a booked hour
- * @returns what is wrong with it by itself
+ * @param hour - a recorded hour
+ * @returns its own inconsistencies, without those relative to other hours
  */
 export const checkHour = (hour: ledgerEntry.LedgerHour): readonly LedgerFault[] => {
   const faults: LedgerFault[] = [];
@@ -57,7 +57,7 @@
   return faults;
 };
 
-/** Where an hour begins and ends, whether it stands alone or went into a day. */
+/** Bounds of an hour, stored by itself or rolled up into a day. */
 type HourSpan = Pick<ledgerEntry.LedgerHour, 'hour' | 'bookedFromMs' | 'bookedUntilMs'>;
 
 const checkOrder = (cell: string, spans: readonly HourSpan[]): readonly LedgerFault[] =>
@@ -80,9 +80,9 @@
 };
 
 /**
- * @param hours - hours of one cell in their order
- * @param days - days of the cell, to which older hours were rolled up
- * @returns everything that is wrong with them; empty where the books balance
+ * @param hours - hours of one cell in chronological order
+ * @param days - days of the cell, into which older hours were rolled up
+ * @returns all inconsistencies; empty where the ledger balances
  */
 export const checkHours = (
   hours: readonly ledgerEntry.LedgerHour[],
--- a/src/coordination/common/ledgerHoldings.ts
+++ b/src/coordination/common/ledgerHoldings.ts
@@ -1,32 +1,32 @@
 /**
- * Who holds each accelerator of a cell at one moment, and why. Every accelerator has one holder:
- * a job, or nobody with the reason that its worker's health gives.
+ * Which job each accelerator of a cell is allocated to at one instant, and why. An accelerator
+ * without a job is attributed to a reason derived from its worker's health.
  *
- * Capacity is what operators configured for the cell, or what is there where that is more. A lost
- * worker therefore stays on the books as unreachable until another replaces it, which is what is
- * paid for; a replaced one leaves the books, so that VMs that come and go add nothing.
+ * Capacity is the configured capacity of the cell, or what is present where that is more. A lost
+ * worker therefore counts as unreachable until another replaces it, since it is paid for; a
+ * replaced one no longer counts, so that VMs that come and go add no capacity.
  */
 import type * as configuration from '../../state/common/configuration.js';
 import * as job from '../../state/common/job.js';
 import type * as ledgerEntry from '../../state/common/ledgerEntry.js';
 import type * as worker from '../../state/common/worker.js';
 
-/** A worker's capacity, as the ledger sees it. */
+/** Capacity and health of a worker, as input of the ledger. */
 export interface BookWorker {
   readonly workerId: string;
   readonly accelerators: number;
   readonly health: worker.WorkerHealth;
 }
 
-/** What accelerator time is booked under. */
+/** Heading of a ledger entry: all its fields except the time. */
 export type Heading = Omit<ledgerEntry.LedgerEntry, 'acceleratorMs'>;
 
-/** What is held at one moment. */
+/** State of a cell at one instant. */
 export interface Holdings {
   readonly workers: readonly BookWorker[];
   readonly jobs: readonly job.JobRecord[];
   readonly configVersion: number;
-  /** The cell's capacity by the configuration; what the workers have where it is not given. */
+  /** Configured capacity of the cell; that of the workers where undefined. */
   readonly configuredAccelerators?: number;
 }
 
@@ -36,15 +36,15 @@
   readonly accelerators: number;
 }
 
-/** All accelerators of a cell, each under one heading. */
+/** All accelerators of a cell by heading. */
 export interface Count {
   readonly held: ReadonlyMap<string, Held>;
   readonly capacity: number;
-  /** Accelerators that two jobs claim; the second claim is not booked. */
+  /** Accelerators allocated to two jobs; the second allocation is not counted. */
   readonly conflicts: number;
 }
 
-const HOLD_HEADINGS = {
+const REASON_OF_HEALTH = {
   ready: job.HoldReason.idle,
   leaving: job.HoldReason.idle,
   quarantined: job.HoldReason.quarantined,
@@ -65,7 +65,7 @@
 
 /**
  * @param it - a heading
- * @returns it as a key
+ * @returns its map key
  */
 export const headingKey = (it: Heading): string =>
   [it.reason, it.customerId, it.jobId, it.attempt, it.ruleId, it.configVersion].join(' ');
@@ -79,7 +79,7 @@
   configVersion,
 });
 
-const headingOfNobody = (reason: job.HoldReason, configVersion: number): Heading => ({
+const unallocatedHeading = (reason: job.HoldReason, configVersion: number): Heading => ({
   customerId: '',
   jobId: '',
   attempt: 0,
@@ -88,7 +88,7 @@
   configVersion,
 });
 
-/** Each accelerator that a job holds, by worker and index, with the job. */
+/** Heading of each allocated accelerator, by worker and index. */
 const holdersOf = (
   jobs: readonly job.JobRecord[],
 ): { readonly holders: ReadonlyMap<string, ReadonlyMap<number, Heading>>; conflicts: number } => {
@@ -109,8 +109,8 @@
 };
 
 /**
- * @param holdings - what is held at one moment
- * @returns every accelerator of the cell under one heading; they add up to the capacity
+ * @param holdings - state of the cell at one instant
+ * @returns accelerators by heading; they add up to the capacity
  */
 export const countHoldings = (holdings: Holdings): Count => {
   const held = new Map<string, Held>();
@@ -121,7 +121,7 @@
     const before = held.get(key)?.accelerators ?? 0;
     held.set(key, { heading: versioned, accelerators: before + accelerators });
   };
-  const nobody = (reason: job.HoldReason): Heading => headingOfNobody(reason, 0);
+  const unallocated = (reason: job.HoldReason): Heading => unallocatedHeading(reason, 0);
   const { holders, conflicts } = holdersOf(holdings.jobs);
   let present = 0;
   let lost = 0;
@@ -131,22 +131,22 @@
   }
   for (const it of holdings.workers) {
     const free = Math.max(0, it.accelerators - (holders.get(it.workerId)?.size ?? 0));
-    const reason = HOLD_HEADINGS[it.health];
+    const reason = REASON_OF_HEALTH[it.health];
     if (reason === job.HoldReason.unreachable) lost += free;
     else {
       present += free;
-      add(nobody(reason), free);
+      add(unallocated(reason), free);
     }
   }
   const capacity = Math.max(present, holdings.configuredAccelerators ?? present + lost);
-  add(nobody(job.HoldReason.unreachable), capacity - present);
+  add(unallocated(job.HoldReason.unreachable), capacity - present);
   return { held, capacity, conflicts };
 };
 
 /**
- * @param record - the configuration in force, if any
+ * @param record - the active configuration, if any
  * @param cell - availability zone
- * @returns the cell's capacity by the configuration, as a part of {@link Holdings}
+ * @returns the configured capacity of the cell, as a part of {@link Holdings}
  */
 export const configuredCapacity = (
   record: configuration.ConfigurationRecord | undefined,
@@ -161,8 +161,8 @@
 const PLACED = 'placed';
 
 /**
- * @param record - a job that holds accelerators
- * @returns since when it may have held them, as far as its record tells
+ * @param record - a job with an allocation
+ * @returns time of its allocation, as far as is known from its record
  */
 export const heldSinceMs = (record: job.JobRecord): number => {
   const placed = record.decisions.filter((it) => it.what === PLACED).at(-1);
@@ -170,12 +170,12 @@
 };
 
 /**
- * What can be said of a time in which nobody led the cell: jobs are committed before they start, so
- * a job that the store shows as placed held its accelerators; of all others nobody can say.
+ * Reconstructs a time in which the cell had no leader. Jobs are committed before they start, so a
+ * job that the store shows as placed held its accelerators; the state of all others is unknown.
  *
- * @param holdings - as a new leader reads them from the store
- * @param atMs - a moment of the time without a leader
- * @returns what was held then
+ * @param holdings - the state that a new leader reads from the store
+ * @param atMs - an instant without a leader
+ * @returns the state at that instant
  */
 export const unwitnessed = (holdings: Holdings, atMs: number): Holdings => ({
   ...holdings,
--- a/src/coordination/common/ledgerReport.ts
+++ b/src/coordination/common/ledgerReport.ts
@@ -1,33 +1,33 @@
 /**
- * Rows of the ledger as people and spreadsheets want them.
+ * Flat rows and sums of the ledger, for display and spreadsheets.
  */
 import * as ledgerEntry from '../../state/common/ledgerEntry.js';
 
-/** The books of one cell as they are kept: recent hours, older days. */
+/** Stored ledger of one cell: recent hours and older days. */
 export interface CellBooks {
   readonly cell: string;
   readonly hours: readonly ledgerEntry.LedgerHour[];
   readonly days: readonly ledgerEntry.LedgerDay[];
 }
 
-/** One entry with where and when. */
+/** One entry with its cell and period. */
 export interface LedgerRow extends ledgerEntry.LedgerEntry {
   readonly cell: string;
   readonly fromMs: number;
-  /** How long the hour or day is. */
+  /** Length of the hour or day. */
   readonly periodMs: number;
 }
 
-/** Which rows are wanted. */
+/** Selects rows. */
 export interface LedgerFilter {
   readonly customerId?: string | undefined;
-  /** Hours and days that begin at or after this. */
+  /** Includes hours and days that begin at or after this. */
   readonly fromMs: number;
-  /** Hours and days that begin before this. */
+  /** Includes hours and days that begin before this. */
   readonly toMs: number;
 }
 
-/** What rows are added up by. */
+/** Dimension by which rows are summed. */
 export const LedgerGrouping = { customer: 'customer', job: 'job', reason: 'reason' } as const;
 
 /** One of the values of {@link LedgerGrouping}. */
@@ -36,10 +36,10 @@
 const DAY_MS = ledgerEntry.HOUR_MS * ledgerEntry.HOURS_PER_DAY;
 
 /**
- * Leaves out hours that a day already has: rolling up writes the day before it deletes the hours.
+ * Omits hours that a day already includes: the roll-up writes the day before it deletes its hours.
  *
- * @param books - as read from the store
- * @returns the books with each hour once
+ * @param books - the ledger as read from the store
+ * @returns the ledger with each hour once
  */
 export const distinct = (books: CellBooks): CellBooks => {
   const rolled = new Set(books.days.flatMap((it) => it.hours.map(({ hour }) => hour)));
@@ -47,9 +47,9 @@
 };
 
 /**
- * @param books - books of a cell
- * @param filter - which rows are wanted
- * @returns the rows in the order of time
+ * @param books - ledger of a cell
+ * @param filter - selects the rows
+ * @returns the rows, days first
  */
 export const rowsOf = (books: CellBooks, filter: LedgerFilter): readonly LedgerRow[] => {
   const { cell, days, hours } = distinct(books);
@@ -69,7 +69,7 @@
     .filter((it) => filter.customerId === undefined || it.customerId === filter.customerId);
 };
 
-/** Time added up under one heading. */
+/** Summed time of one group. */
 export interface LedgerSum {
   readonly cell: string;
   readonly customerId: string;
@@ -81,7 +81,7 @@
 
 /**
  * @param rows - rows of any cells
- * @param grouping - customer, job or reason; the reason and rule always stay apart
+ * @param grouping - customer, job or reason; always also by cell, reason and rule
  * @returns the sums, the largest first
  */
 export const sumBy = (
--- a/src/coordination/common/ledgerTime.ts
+++ b/src/coordination/common/ledgerTime.ts
@@ -1,52 +1,53 @@
 /**
- * Which time is to be booked next, from a wall clock that may jump and a monotonic one that may not.
+ * Determines the next time span to record in the ledger, from a wall clock that may jump and a
+ * monotonic clock that doesn't.
  *
- * Time that is booked is never booked again: when the wall clock steps back, booking waits until it
- * has caught up. When it steps forward, only the time that the monotonic clock also saw is booked to
- * whoever holds the accelerators; of the rest nobody can say. A step beyond {@link MAX_JUMP_MS} is
- * not believed, so that one wrong clock does not fill the books with years.
+ * Time is never recorded twice: when the wall clock steps back, recording pauses until it has
+ * caught up. When it steps forward, only the time that the monotonic clock also measured counts for
+ * the current allocations; those during the rest are unknown. Beyond {@link MAX_JUMP_MS} a step is
+ * ignored, so that one wrong clock does not fill the ledger with years.
  */
 
-/** Where booking stands. */
+/** Progress of recording. */
 export interface LedgerTime {
-  /** Everything before is booked. */
+  /** All time before this is recorded. */
   readonly bookedUntilMs: number;
-  /** Reading of the monotonic clock at the last step. */
+  /** Monotonic time of the last step. */
   readonly monotonicMs: number;
 }
 
-/** A step of booking. */
+/** One recording step. */
 export interface LedgerStep {
   readonly next: LedgerTime;
-  /** Up to here nobody can say what was held. */
+  /** The allocations up to this time are unknown. */
   readonly unwitnessedUntilMs: number;
-  /** What the clock did, where that is to be reported. */
+  /** Clock anomaly to report. */
   readonly anomaly: 'none' | 'back' | 'forward' | 'refused';
 }
 
-/** Differences below this are the clocks' own slewing. */
+/** Smaller differences are attributed to clock slewing. */
 export const JUMP_TOLERANCE_MS = 2000;
 
-/** A step forward beyond this is taken for a wrong clock. */
+/** A larger step forward is treated as a wrong clock. */
 export const MAX_JUMP_MS = 21_600_000;
 
 /**
- * @param time - where booking stands
- * @param wallMs - the wall clock now
- * @param monotonicMs - the monotonic clock now
- * @returns what to book: from `time.bookedUntilMs` unwitnessed, then witnessed up to `next`
+ * @param time - progress of recording
+ * @param wallMs - current wall time
+ * @param monotonicMs - current monotonic time
+ * @returns what to record: from `time.bookedUntilMs` as unknown, then as known up to `next`
  */
 export const step = (time: LedgerTime, wallMs: number, monotonicMs: number): LedgerStep => {
   const from = time.bookedUntilMs;
-  const livedMs = Math.max(0, Math.floor(monotonicMs - time.monotonicMs));
+  const elapsedMs = Math.max(0, Math.floor(monotonicMs - time.monotonicMs));
   const target = Math.floor(wallMs);
   if (target <= from) {
     const anomaly = from - target > JUMP_TOLERANCE_MS ? 'back' : 'none';
     return { next: { bookedUntilMs: from, monotonicMs }, unwitnessedUntilMs: from, anomaly };
   }
-  const surplusMs = target - from - livedMs;
+  const surplusMs = target - from - elapsedMs;
   if (surplusMs > MAX_JUMP_MS) {
-    const next = { bookedUntilMs: from + livedMs, monotonicMs };
+    const next = { bookedUntilMs: from + elapsedMs, monotonicMs };
     return { next, unwitnessedUntilMs: from, anomaly: 'refused' };
   }
   const isJump = surplusMs > JUMP_TOLERANCE_MS;
--- a/src/coordination/common/liveView.ts
+++ b/src/coordination/common/liveView.ts
@@ -1,5 +1,5 @@
 /**
- * Reads the records of the live prefix.
+ * Reads records from a snapshot of the store's live prefix.
  */
 import type * as Schema from 'effect/Schema';
 
@@ -12,7 +12,7 @@
 /** Entries of the live prefix by key. */
 export type LiveEntries = ReadonlyMap<string, store.StoreEntry>;
 
-/** A record that can't be read counts as absent: it must not stop a process that meets it. */
+/** An invalid record counts as absent, so that it does not stop a process that reads it. */
 const read = <T>(
   schema: Schema.Codec<T, unknown, never, never>,
   entry: store.StoreEntry | undefined,
@@ -28,7 +28,7 @@
 
 /**
  * @param entries - the live prefix
- * @returns the configuration in the store
+ * @returns the stored configuration; undefined where it is absent or invalid
  */
 export const configurationOf = (
   entries: LiveEntries,
@@ -38,7 +38,7 @@
 /**
  * @param entries - the live prefix
  * @param cell - availability zone
- * @returns who leads the cell, or led it last
+ * @returns the current or last leader of the cell
  */
 export const leaderOf = (
   entries: LiveEntries,
@@ -56,7 +56,7 @@
 
 /**
  * @param entries - the live prefix
- * @param role - which kind of process
+ * @param role - role of the processes
  * @returns the live processes of the role
  */
 export const processesOf = (
--- a/src/coordination/common/serviceLevelCounters.ts
+++ b/src/coordination/common/serviceLevelCounters.ts
@@ -1,30 +1,30 @@
 /**
- * Judges requests and job starts by the customers' objectives and counts them. Pure.
+ * Evaluates requests and job starts against the customers' objectives and counts the results. Pure.
  */
 import * as errorKinds from '../../base/common/errorKinds.js';
 import * as configuration from '../../state/common/configuration.js';
 import * as job from '../../state/common/job.js';
 import * as serviceLevel from '../../state/common/serviceLevel.js';
 
-/** One event judged by one objective. */
+/** Result of one event for one objective. */
 export interface Verdict {
   readonly objectiveId: string;
   readonly isGood: boolean;
 }
 
-/** A request that has ended. */
+/** A completed request. */
 export interface RequestEnd {
   readonly customerId: string;
   readonly tookMs: number;
-  /** Undefined where it was answered. */
+  /** Undefined where it succeeded. */
   readonly error: errorKinds.ErrorKind | undefined;
 }
 
-/** Counts of hours, by hour and objective. */
+/** Counts by hour and objective. */
 export type Counts = ReadonlyMap<number, ReadonlyMap<string, serviceLevel.ObjectiveHour>>;
 
-/** Refusals that the caller itself caused say nothing about the service. */
-const CALLERS_OWN: ReadonlySet<errorKinds.ErrorKind> = new Set([
+/** Errors caused by the caller don't count against the service. */
+const CALLER_ERRORS: ReadonlySet<errorKinds.ErrorKind> = new Set([
   'invalidRequest',
   'unauthenticated',
   'forbidden',
@@ -37,19 +37,19 @@
 ]);
 
 /**
- * A refusal counts against `notRefused` alone, so that one event is not held against a customer's
- * service twice; a request that ran without a whole answer counts against `answeredWithin`.
+ * A refusal counts against `notRefused` only, so that one event does not count against a customer's
+ * service twice; a request that ran without a complete answer counts against `answeredWithin`.
  *
- * @param objectives - all objectives in force
- * @param end - a request that has ended
- * @returns the verdict of each objective that the request concerns
+ * @param objectives - all active objectives
+ * @param end - a completed request
+ * @returns the result for each objective that applies to the request
  */
 export const judgeRequest = (
   objectives: readonly configuration.Objective[],
   end: RequestEnd,
 ): readonly Verdict[] => {
   const { error } = end;
-  if (error !== undefined && CALLERS_OWN.has(error)) return [];
+  if (error !== undefined && CALLER_ERRORS.has(error)) return [];
   const isRefused = error !== undefined && errorKinds.ERROR_TABLE[error].ran === errorKinds.Ran.no;
   return objectives
     .filter((it) => it.customerId === end.customerId)
@@ -63,14 +63,14 @@
 };
 
 /**
- * Counts a guaranteed job once: when it first runs, or when it ends without having run. The wait of
- * a job that was cancelled counts only where it was too long already.
+ * Evaluates a guaranteed job once: when it first runs, or when it ends without having run. A job
+ * that ended without running counts only if it had already waited too long.
  *
- * @param objectives - all objectives in force
- * @param before - a job before a change
- * @param after - and after it
+ * @param objectives - all active objectives
+ * @param before - the job before the change
+ * @param after - the job after the change
  * @param nowMs - wall time of the change
- * @returns the verdict of each objective that the change concerns
+ * @returns the result for each objective that applies to the change
  */
 export const judgeStart = (
   objectives: readonly configuration.Objective[],
@@ -101,7 +101,7 @@
 
 /**
  * @param atMs - wall time
- * @returns the hour, since the Unix epoch
+ * @returns hours since the Unix epoch
  */
 export const hourOf = (atMs: number): number => Math.floor(atMs / HOUR_MS);
 
@@ -110,9 +110,9 @@
 
 /**
  * @param counts - counts so far
- * @param verdicts - verdicts of one event
+ * @param verdicts - results of one event
  * @param atMs - wall time of the event
- * @returns the counts with the event in them; hours that are no longer kept are left out
+ * @returns the counts including the event
  */
 export const add = (counts: Counts, verdicts: readonly Verdict[], atMs: number): Counts => {
   const hour = hourOf(atMs);
--- a/src/coordination/common/serviceLevelReport.ts
+++ b/src/coordination/common/serviceLevelReport.ts
@@ -1,5 +1,5 @@
 /**
- * The service-level burn report: each objective with its windows, its budget and its history.
+ * The service-level burn report: each objective with its windows, error budget and history.
  */
 import type * as configuration from '../../state/common/configuration.js';
 import * as serviceLevel from '../../state/common/serviceLevel.js';
@@ -11,11 +11,11 @@
   readonly objective: configuration.Objective;
   readonly pairs: readonly burnRate.PairBurn[];
   readonly isBurning: boolean;
-  /** The objective's own window, or what is kept where that is shorter. */
+  /** Over the objective's window, or the retention period where that is shorter. */
   readonly budget: burnRate.WindowBurn;
-  /** Part of the budget of that window that is left; below 0 the objective is missed. */
+  /** Fraction of that error budget that remains; below 0 the objective is missed. */
   readonly budgetLeftShare: number;
-  /** Hours with events, in their order. */
+  /** Hours with events, in chronological order. */
   readonly history: readonly burnRate.Bucket[];
 }
 
@@ -27,7 +27,7 @@
 }
 
 const HOUR_MS = serviceLevel.BUCKET_MS * serviceLevel.BUCKETS_PER_HOUR;
-const KEPT_MS = (serviceLevel.KEPT_HOURS - 1) * HOUR_MS;
+const RETAINED_MS = (serviceLevel.KEPT_HOURS - 1) * HOUR_MS;
 
 const bucketsOf = (
   hours: readonly serviceLevel.ServiceLevelHour[],
@@ -65,7 +65,7 @@
   const buckets = bucketsOf(hours, objective.objectiveId);
   const { target, windowMs } = objective;
   const pairs = burnRate.burnOfPairs(buckets, target, nowMs);
-  const budget = burnRate.burnOver(buckets, Math.min(windowMs, KEPT_MS), target, nowMs);
+  const budget = burnRate.burnOver(buckets, Math.min(windowMs, RETAINED_MS), target, nowMs);
   return {
     objective,
     pairs,
@@ -77,7 +77,7 @@
 };
 
 /**
- * @param record - the configuration in force
+ * @param record - the active configuration
  * @param hours - counts of all processes
  * @param nowMs - wall time
  * @returns the report
