--- a/src/coordination/common/test/admission.test.ts
+++ b/src/coordination/common/test/admission.test.ts
@@ -1,5 +1,5 @@
 /**
- * Admission in front of one upstream, put through loads without sockets.
+ * Tests of admission control for one upstream under simulated loads, without sockets.
  */
 import * as assert from 'node:assert/strict';
 import * as test from 'node:test';
@@ -19,9 +19,9 @@
 });
 
 const FIFO = limitsOf(8, 'fifo');
-const FAR_MS = 1_000_000;
+const LATE_DEADLINE_MS = 1_000_000;
 
-const ticket = (requestId: string, deadlineAtMs = FAR_MS): admission.Ticket => ({
+const ticket = (requestId: string, deadlineAtMs = LATE_DEADLINE_MS): admission.Ticket => ({
   requestId,
   customerId: requestId.split('-')[0] ?? '',
   deadlineAtMs,
@@ -37,7 +37,7 @@
 const names = (customer: string, count: number): readonly string[] =>
   Array.from({ length: count }, (_, index) => `${customer}-${index}`);
 
-/** Ends the oldest running request again and again, and tells who was started in which order. */
+/** Repeatedly ends the oldest running request and returns the requests in order of their start. */
 const drain = (from: admission.AdmissionState, limits = FIFO): readonly string[] => {
   const order: string[] = [];
   for (let state = from; state.running.length > 0;) {
@@ -57,7 +57,7 @@
 for (const { order, expected } of ORDER_CASES) {
   test.test(`requests of one customer are served in the order ${order}`, () => {
     const limits = limitsOf(8, order);
-    const deadlines = [FAR_MS, 9000, 5000, 7000];
+    const deadlines = [LATE_DEADLINE_MS, 9000, 5000, 7000];
     const state = deadlines.reduce(
       (now, at, index) => admission.offer(now, limits, ticket(`x-${index}`, at), 0).next,
       admission.idle(1),
@@ -66,7 +66,7 @@
   });
 }
 
-test.test('skewed demand: customers get slots by weight, and nobody is starved', () => {
+test.test('skewed demand: customers get slots by weight, and none is starved', () => {
   const state = offerAll(admission.idle(1), [
     'other-0',
     ...names('heavy', 5).slice(1),
@@ -76,21 +76,21 @@
   assert.equal(firstFive.filter((it) => it.startsWith('light')).length, 1);
 });
 
-test.test('a customer below its guaranteed slots goes before everyone else', () => {
-  // A customer that holds two slots asks while others fill the upstream and its queue: it must not
-  // wait behind them, since it pays for slots that it can have at any time.
+test.test('a customer below its guaranteed slots goes before all others', () => {
+  // A customer with two guaranteed slots sends requests while others fill the upstream and its
+  // queue. It must not wait behind them, since it pays for slots that it can use at any time.
   const state = offerAll(admission.idle(2), [...names('heavy', 6), 'holder-0', 'holder-1']);
   assert.deepEqual(drain(state).slice(0, 2), ['holder-0', 'holder-1']);
 });
 
-test.test('a full queue makes room for a customer below its share, and only then', () => {
+test.test('a full queue displaces a request only for a customer below its share', () => {
   const full = offerAll(admission.idle(1), names('light', 9));
   const heavy = admission.offer(full, FIFO, ticket('heavy-0'), 0);
   assert.equal(heavy.decision.type, 'queue');
   assert.equal(
     heavy.decision.type === 'queue' && heavy.decision.displaced?.requestId,
     'light-8',
-    'the newest request of the customer above its share gives way',
+    'the newest request of the customer above its share is displaced',
   );
   const light = admission.offer(full, FIFO, ticket('light-9'), 0);
   assert.equal(light.decision.type === 'refuse' && light.decision.kind, 'overloaded');
@@ -102,7 +102,7 @@
 ] as const;
 
 for (const { name, deadlineAtMs, kind } of REFUSALS) {
-  test.test(`refused early with the time to come back: ${name}`, () => {
+  test.test(`early refusal with a retry time: ${name}`, () => {
     const state = offerAll(admission.idle(1), names('light', 4));
     const { decision } = admission.offer(state, FIFO, ticket('light-9', deadlineAtMs), 0);
     assert.equal(decision.type === 'refuse' ? decision.kind : undefined, kind);
@@ -110,7 +110,7 @@
   });
 }
 
-test.test('a request that can not be in time any more is given up before it takes a slot', () => {
+test.test('a request that can no longer be in time is abandoned before it takes a slot', () => {
   const waiting = [ticket('x-1', 200), ticket('x-2', 500)];
   const state = waiting.reduce(
     (now, it) => admission.offer(now, FIFO, it, 0).next,
@@ -120,7 +120,7 @@
   assert.deepEqual([step.expired[0]?.requestId, step.started[0]?.requestId], ['x-1', 'x-2']);
 });
 
-test.test('full saturation: never more than the slots run, never more than the bound wait', () => {
+test.test('full saturation: slots bound the running requests, the limit the queued ones', () => {
   const state = offerAll(admission.idle(4), names('light', 100));
   assert.equal(state.running.length, 4);
   assert.equal(state.queue.length, 8);
--- a/src/coordination/common/test/blame.test.ts
+++ b/src/coordination/common/test/blame.test.ts
@@ -1,5 +1,5 @@
 /**
- * Telling bad workers from bad jobs, and what is learned of run times.
+ * Tests of failure attribution to workers or jobs, and of run time estimates.
  */
 import * as assert from 'node:assert/strict';
 import * as test from 'node:test';
@@ -23,16 +23,16 @@
   );
 
 const CASES = [
-  { name: 'two failures are too few', failed: [[0], [0]], quarantined: [] },
-  { name: 'three jobs that fail there alone', failed: [[0], [0], [0]], quarantined: ['w0'] },
+  { name: 'two failures are not enough', failed: [[0], [0]], quarantined: [] },
+  { name: 'three jobs that fail only there', failed: [[0], [0], [0]], quarantined: ['w0'] },
   {
-    name: 'jobs that fail elsewhere too clear the worker',
+    name: 'jobs that also fail on other workers clear the worker',
     failed: [[0], [0, 1], [0, 2], [0, 3]],
     quarantined: [],
   },
   { name: 'one job that fails three times', failed: [[0, 0, 0]], quarantined: [] },
   {
-    name: 'a common cause beyond the cap quarantines nobody',
+    name: 'a common cause beyond the cap quarantines no worker',
     failed: [0, 1, 2].flatMap((it) => [[it], [it], [it]]),
     quarantined: [],
     warning: /common cause/,
@@ -40,7 +40,7 @@
 ] as const;
 
 for (const it of CASES) {
-  test.test(`blame: ${it.name}`, () => {
+  test.test(`failure attribution: ${it.name}`, () => {
     const jobs = it.failed.map((workers, index) => failedOn(`j${index}`, ...workers));
     const verdict = blame.judge(viewOf(documentOf(8), workersOf(8), jobs));
     assert.deepEqual(
@@ -52,8 +52,8 @@
 }
 
 test.test('a quarantined worker is probed with one job, then released or kept', () => {
-  // Users see: a repaired worker stays idle for ever, or a broken one eats the queue again. The
-  // probe must be one small job that never failed, and its good run must end the quarantine.
+  // Guards against a repaired worker that stays idle, or a broken one that fails the queue again:
+  // the probe must be one small job without failures, and its success must end the quarantine.
   const jobs = [0, 1, 2].map((it) => failedOn(`j${it}`, 0));
   const held = (sinceMs: number) =>
     workersOf(4).map((it, index) =>
@@ -61,13 +61,13 @@
     );
   const fresh = jobOf('fresh');
   const early = viewOf(documentOf(4), held(NOW_MS - 1000), [...jobs, fresh]);
-  const onBad = (plan: ReturnType<typeof placement.planRound>): string[] =>
+  const placedOnSuspect = (plan: ReturnType<typeof placement.planRound>): string[] =>
     plan.placements
       .filter((it) => it.placement.some((at) => at.workerId === 'w0'))
       .map((it) => it.jobId);
-  assert.deepEqual(onBad(placement.planRound(early)), []);
+  assert.deepEqual(placedOnSuspect(placement.planRound(early)), []);
   const due = { ...early, nowMs: NOW_MS + blame.PROBE_AFTER_MS };
-  assert.deepEqual(onBad(placement.planRound(due)), ['fresh']);
+  assert.deepEqual(placedOnSuspect(placement.planRound(due)), ['fresh']);
   const good = jobOf('fresh', {}, running([[0, 0, 1]], blame.PROBE_GOOD_MS));
   const after = viewOf(documentOf(4), held(NOW_MS - 1000), [...jobs, good]);
   assert.deepEqual(
@@ -76,7 +76,7 @@
   );
 });
 
-test.test('run times are learned from what finished, not from what was declared', () => {
+test.test('run times are estimated from finished jobs, not from declared run times', () => {
   let estimates = runEstimates.NO_ESTIMATES;
   const { spec } = jobOf('next', { declaredRunMs: 600_000 });
   for (const [index, runMs] of [40_000, 60_000, 50_000].entries()) {
@@ -86,6 +86,6 @@
   }
   assert.equal(runEstimates.runMsOf(estimates, spec, 0.5), 50_000);
   assert.equal(runEstimates.runMsOf(estimates, spec, 0.9), 60_000);
-  const outlived = jobOf('long', {}, running([[0, 0, 1]], 100_000));
-  assert.equal(runEstimates.remainingMs(estimates, outlived, NOW_MS, 0.9), 50_000);
+  const overrun = jobOf('long', {}, running([[0, 0, 1]], 100_000));
+  assert.equal(runEstimates.remainingMs(estimates, overrun, NOW_MS, 0.9), 50_000);
 });
--- a/src/coordination/common/test/jobMachine.test.ts
+++ b/src/coordination/common/test/jobMachine.test.ts
@@ -1,5 +1,6 @@
 /**
- * The life of a job as a table: what every event does in every state, for a gang of two.
+ * Transition table of the job state machine: the effect of every event in every state, for a gang
+ * of two.
  */
 import * as assert from 'node:assert/strict';
 import * as nodeTest from 'node:test';
@@ -70,7 +71,7 @@
 
 const NONE = 'same';
 
-/** Next state, its members' phases, and the effects; `same` where the event changes nothing. */
+/** Next state, its members' phases, and the effects; `same` where the event has no effect. */
 const TABLE: readonly [string, jobMachine.JobRuntime, Partial<Record<EventName, string>>][] = [
   [
     'queued',
@@ -188,9 +189,9 @@
   });
 }
 
-nodeTest.test('cancel wins over a stop for another cause that is under way', () => {
-  // A borrowed job is reclaimed; while it checkpoints, its customer cancels it. It must end and not
-  // go back to the queue when the last member has stopped.
+nodeTest.test('cancel overrides a stop for another cause that is in progress', () => {
+  // A customer cancels a borrowing job that is checkpointing because it is being reclaimed. It must
+  // end and not be requeued when the last member has stopped.
   const running = placed('running', ['running', 'running']);
   const events = [
     EVENTS.stop,
@@ -207,9 +208,8 @@
 });
 
 nodeTest.test('failures on quarantined workers do not make a job unrunnable', () => {
-  // A worker with a broken device fails all it is given. A customer's job has met it and two others
-  // like it, all quarantined since: it must go on waiting for a good worker, and only failures on
-  // good workers may end it.
+  // A job failed on a worker with a broken device and on two others like it, all quarantined since.
+  // It must keep waiting for a healthy worker; only failures on healthy workers may end it.
   const failedOn = (workerIds: readonly string[], bad: readonly string[]): job.JobState => {
     const failures = workerIds.map((workerId) => ({ atMs: 1, workerId, reason: 'r' }));
     const runtime: jobMachine.JobRuntime = {
--- a/src/coordination/common/test/ledgerBook.test.ts
+++ b/src/coordination/common/test/ledgerBook.test.ts
@@ -1,5 +1,5 @@
 /**
- * Booking, checking and telling the time of the ledger, without any input or output.
+ * Tests of recording, checking and clock handling of the ledger, without I/O.
  */
 import * as assert from 'node:assert/strict';
 import * as test from 'node:test';
@@ -43,7 +43,7 @@
     capacity: 4,
   },
   {
-    name: 'a lost worker stays on the books while its capacity is configured',
+    name: 'a lost worker still counts while its capacity is configured',
     workers: [workerOf('w1', 4), workerOf('w2', 4, 'unreachable')],
     jobs: [],
     configuredAccelerators: 8,
@@ -51,7 +51,7 @@
     capacity: 8,
   },
   {
-    name: 'a lost worker leaves the books when another replaced it',
+    name: 'a lost worker no longer counts when another replaced it',
     workers: [workerOf('w1', 4), workerOf('w2', 4, 'unreachable'), workerOf('w3', 4)],
     jobs: [],
     configuredAccelerators: 8,
@@ -59,7 +59,7 @@
     capacity: 8,
   },
   {
-    name: 'a worker that never came counts as unreachable',
+    name: 'a worker that never registered counts as unreachable',
     workers: [workerOf('w1', 4, 'quarantined')],
     jobs: [],
     configuredAccelerators: 8,
@@ -67,7 +67,7 @@
     capacity: 8,
   },
   {
-    name: 'more workers than configured are all on the books',
+    name: 'more workers than configured all count',
     workers: [workerOf('w1', 4), workerOf('w2', 4, 'leaving')],
     jobs: [],
     configuredAccelerators: 4,
@@ -75,7 +75,7 @@
     capacity: 8,
   },
   {
-    name: 'the second job on one accelerator is a conflict, not a second booking',
+    name: 'the second job on one accelerator is a conflict and not counted',
     workers: [workerOf('w1', 4)],
     jobs: [jobOf('a', [['w1', [0, 1]]]), jobOf('b', [['w1', [1, 2]]])],
     expected: { guarantee: 3, idle: 1 },
@@ -83,14 +83,14 @@
     conflicts: 1,
   },
   {
-    name: 'a job on a worker that nobody knows is booked all the same',
+    name: 'a job on an unknown worker is still counted',
     workers: [],
     jobs: [jobOf('a', [['gone', [0]]])],
     expected: { guarantee: 1 },
     capacity: 1,
   },
   {
-    name: 'stopping has the reason of its cause',
+    name: 'the reason of a stopping job follows from its cause',
     workers: [workerOf('w1', 4)],
     jobs: [
       jobOf('a', [['w1', [0]]], { state: 'stopping', stopCause: 'reclaimed' }),
@@ -103,7 +103,7 @@
 ];
 
 for (const it of COUNT_CASES) {
-  test.test(`holdings: ${it.name}`, () => {
+  test.test(`allocations: ${it.name}`, () => {
     const { workers, jobs, configuredAccelerators } = it;
     const configured = configuredAccelerators === undefined ? {} : { configuredAccelerators };
     const count = ledgerHoldings.countHoldings({ workers, jobs, configVersion: 3, ...configured });
@@ -139,7 +139,7 @@
   assert.deepEqual(ledgerCheck.checkHours(hours), []);
 });
 
-test.test('booking a span again changes nothing', () => {
+test.test('recording a span again changes nothing', () => {
   const span = {
     ...ledgerFixtures.OWNER,
     fromMs: 1000,
@@ -152,7 +152,7 @@
   assert.deepEqual(ledgerBook.bookSpan(once, span), once);
 });
 
-test.test('a time without a leader is booked to the jobs of the store from their start', () => {
+test.test('a time without a leader is attributed to the stored jobs from their start', () => {
   const book = ledgerBook.bookUnwitnessed(new Map(), {
     ...ledgerFixtures.OWNER,
     fromMs: 0,
@@ -169,9 +169,9 @@
   ]);
 });
 
-test.test('an hour of a burst stays below the store limit and still balances', () => {
-  // A customer submits and cancels thousands of short jobs within an hour. Each is a heading of its
-  // own, and the record would outgrow the store's megabyte, so that no write succeeds any more.
+test.test('an hour with a burst of jobs stays below the store limit and still balances', () => {
+  // A customer submits and cancels thousands of short jobs within an hour. Each has its own
+  // heading; unbounded, the record would exceed the store's megabyte and no write would succeed.
   let book: ledgerBook.Book = new Map();
   for (let index = 0; index < 2 * ledgerBook.MAX_ENTRIES; index += 1) {
     const id = `${'j'.repeat(122)}${String(index).padStart(6, '0')}`;
@@ -240,14 +240,14 @@
 
 const MAX = ledgerTime.MAX_JUMP_MS;
 
-/** From 1000 booked and 0 monotonic: wall, monotonic, then what is expected. */
+/** Starting at 1000 recorded and 0 monotonic: wall, monotonic, then the expected result. */
 const TIME_CASES: readonly (readonly [string, number, number, number, number, string])[] = [
   ['a normal step', 1500, 500, 1000, 1500, 'none'],
   ['slewing is followed', 1600, 500, 1000, 1600, 'none'],
   ['a small step back waits', 900, 500, 1000, 1000, 'none'],
   ['a large step back waits and is reported', -9000, 500, 1000, 1000, 'back'],
-  ['a step forward is booked as unwitnessed', 101_500, 500, 101_000, 101_500, 'forward'],
-  ['an absurd step is not believed', 2000 + MAX + 500, 500, 1000, 1500, 'refused'],
+  ['a step forward is recorded as unknown', 101_500, 500, 101_000, 101_500, 'forward'],
+  ['an excessive step is ignored', 2000 + MAX + 500, 500, 1000, 1500, 'refused'],
 ];
 
 for (const [name, wallMs, monotonicMs, unwitnessedUntilMs, untilMs, anomaly] of TIME_CASES) {
--- a/src/coordination/common/test/ledgerFixtures.ts
+++ b/src/coordination/common/test/ledgerFixtures.ts
@@ -5,10 +5,10 @@
 import type * as worker from '../../../state/common/worker.js';
 import type * as ledgerHoldings from '../ledgerHoldings.js';
 
-/** Who keeps the books in most cases. */
+/** Cell and leader epoch of most cases. */
 export const OWNER = { cell: 'zone-a', epoch: 1 };
 
-/** Heading of accelerators that nobody holds. */
+/** Heading of unallocated accelerators. */
 export const IDLE: ledgerHoldings.Heading = {
   customerId: '',
   jobId: '',
@@ -21,7 +21,7 @@
 /**
  * @param workerId - its id
  * @param accelerators - its capacity
- * @param health - ready unless given
+ * @param health - its health, by default ready
  * @returns the worker
  */
 export const workerOf = (
@@ -30,7 +30,7 @@
   health: worker.WorkerHealth = 'ready',
 ): ledgerHoldings.BookWorker => ({ workerId, accelerators, health });
 
-/** What differs from a running guaranteed job of customer `acme`. */
+/** Changes to a running guaranteed job of customer `acme`. */
 export interface JobChanges {
   readonly customerId?: string;
   readonly claim?: job.Claim;
@@ -43,8 +43,8 @@
 
 /**
  * @param jobId - its id
- * @param places - workers with the accelerators held there
- * @param changes - what differs from a running guaranteed job
+ * @param places - workers with the accelerators allocated there
+ * @param changes - changes to a running guaranteed job
  * @returns its record
  */
 export const jobOf = (
--- a/src/coordination/common/test/placement.test.ts
+++ b/src/coordination/common/test/placement.test.ts
@@ -1,5 +1,5 @@
 /**
- * Decisions of a planning round: tables of cases on claims, reclaim, shares, large jobs.
+ * Tests of the decisions of a planning round: claims, reclaim, shares, large jobs.
  */
 import * as assert from 'node:assert/strict';
 import * as test from 'node:test';
@@ -25,8 +25,8 @@
     adjacency: members > 1 ? 'rack' : 'worker',
   });
 
-/** One borrower on each whole worker, by how long ago it started. */
-const fullWorkers = (startedMinutesAgo: readonly number[], isCheckpointable: boolean) =>
+/** One borrower on each complete worker, by minutes since its start. */
+const fullyBorrowedWorkers = (startedMinutesAgo: readonly number[], isCheckpointable: boolean) =>
   startedMinutesAgo.map((minutes, worker) =>
     jobOf(
       `b${worker}`,
@@ -49,21 +49,21 @@
 
 const CASES: readonly Case[] = [
   {
-    name: 'a claim takes back the borrower that loses least, not any',
+    name: 'a claim preempts the borrower that loses least',
     document: documentOf(3, [['s', 8, 'worker', 1]]),
-    jobs: [...fullWorkers([50, 10, 30], false), claimOf('claim', 's', 1, 8)],
+    jobs: [...fullyBorrowedWorkers([50, 10, 30], false), claimOf('claim', 's', 1, 8)],
     placed: [],
     stopped: ['b1'],
   },
   {
-    name: 'a claim with adjacency takes back neighbours, though others would lose less',
+    name: 'a claim with adjacency preempts neighbours, though others would lose less',
     document: documentOf(4, [['s', 16, 'rack', 1]]),
-    jobs: [...fullWorkers([50, 10, 30, 1], false), claimOf('claim', 's', 2, 8)],
+    jobs: [...fullyBorrowedWorkers([50, 10, 30, 1], false), claimOf('claim', 's', 2, 8)],
     placed: [],
     stopped: ['b1', 'b2'],
   },
   {
-    name: 'a borrower that can checkpoint goes before a younger one that would lose its work',
+    name: 'a borrower that can checkpoint is preempted before a younger one that would lose its work',
     document: documentOf(2, [['s', 8, 'worker', 1]]),
     jobs: [
       jobOf('old', { acceleratorsPerMember: 8 }, running([[0, 0, 8]], 60 * MINUTE_MS)),
@@ -78,7 +78,7 @@
     stopped: ['old'],
   },
   {
-    name: 'a claim waits for a borrower that leaves already and stops no other',
+    name: 'a claim waits for a borrower that is already stopping and stops no other',
     document: documentOf(2, [['s', 8, 'worker', 1]]),
     jobs: [
       jobOf(
@@ -93,7 +93,7 @@
     stopped: [],
   },
   {
-    name: 'what a waiting claim needs is not lent, the rest is',
+    name: 'the capacity that a waiting claim needs is not lent, the rest is',
     document: documentOf(2, [['s', 8, 'worker', 1]]),
     jobs: [
       jobOf('part', { acceleratorsPerMember: 2 }, running([[0, 0, 2]], 0)),
@@ -114,20 +114,20 @@
     stopped: [],
   },
   {
-    name: 'a gang that does not fit whole is not placed at all',
+    name: 'a gang that does not fit completely is not placed at all',
     document: documentOf(3),
     jobs: [
-      ...fullWorkers([1], true),
+      ...fullyBorrowedWorkers([1], true),
       jobOf('gang', { members: 3, acceleratorsPerMember: 8, adjacency: 'rack' }),
     ],
     placed: [],
     stopped: [],
   },
   {
-    name: 'a large job that has waited makes small ones beneath it yield',
+    name: 'a large job that has waited makes small backfill jobs yield',
     document: documentOf(2),
     jobs: [
-      ...fullWorkers([5, 5], true),
+      ...fullyBorrowedWorkers([5, 5], true),
       jobOf(
         'large',
         { members: 2, acceleratorsPerMember: 8, adjacency: 'rack' },
@@ -138,17 +138,17 @@
     stopped: ['b0', 'b1'],
   },
   {
-    name: 'a large job that has not waited stops nobody',
+    name: 'a large job that has not waited stops no job',
     document: documentOf(2),
     jobs: [
-      ...fullWorkers([5, 5], true),
+      ...fullyBorrowedWorkers([5, 5], true),
       jobOf('large', { members: 2, acceleratorsPerMember: 8, adjacency: 'rack' }),
     ],
     placed: [],
     stopped: [],
   },
   {
-    name: 'a job is not tried again on the worker that it failed on',
+    name: 'a job is not placed again on the worker where it failed',
     document: documentOf(1),
     workers: workersOf(2),
     jobs: [
@@ -181,24 +181,27 @@
   assert.equal(heavy, 12);
 });
 
-test.test('lost workers that break a guarantee are told, and only movable jobs borrow then', () => {
-  // Users see: a rack fails, and the shape that they pay for no longer fits. Lending to a job that
-  // can't checkpoint would then cost its work as soon as the rack returns and the claim comes.
-  const document = documentOf(3, [['whole-rack', 24, 'rack', 1]]);
-  const workers = workersOf(3).map((it, index) =>
-    index === 2 ? { ...it, health: 'unreachable' as const } : it,
-  );
-  const jobs = [jobOf('fixed', { isCheckpointable: false }), jobOf('movable')];
-  const plan = placement.planRound(viewOf(document, workers, jobs));
-  assert.match(plan.warnings[0] ?? '', /shape whole-rack/);
-  assert.deepEqual(ids(plan.placements), ['movable']);
-});
+test.test(
+  'lost workers that break a guarantee cause a warning, and only movable jobs may borrow',
+  () => {
+    // A rack fails and a customer's shape no longer fits. Lending to a job that can't checkpoint
+    // would then lose its work as soon as the rack returns and the claim comes.
+    const document = documentOf(3, [['whole-rack', 24, 'rack', 1]]);
+    const workers = workersOf(3).map((it, index) =>
+      index === 2 ? { ...it, health: 'unreachable' as const } : it,
+    );
+    const jobs = [jobOf('fixed', { isCheckpointable: false }), jobOf('movable')];
+    const plan = placement.planRound(viewOf(document, workers, jobs));
+    assert.match(plan.warnings[0] ?? '', /shape whole-rack/);
+    assert.deepEqual(ids(plan.placements), ['movable']);
+  },
+);
 
-test.test('a job that always outlives its estimate is not stopped for ever', () => {
-  // Users see: one job starts and stops all day and never ends. It can't checkpoint and runs longer
-  // than declared, so each reservation of a large job stopped it and it began anew. Found by the
-  // mixed workload of the measurement, where such jobs used up two thirds of a cell.
-  const stubborn = (attempt: number): job.JobRecord =>
+test.test('a job that always exceeds its estimate is not stopped forever', () => {
+  // Guards against a job that is started and stopped all day and never ends. It can't checkpoint
+  // and runs longer than declared, so each reservation of a large job stopped it and it started
+  // over. In a mixed workload such jobs used up two thirds of a cell.
+  const overrunning = (attempt: number): job.JobRecord =>
     jobOf(
       'stubborn',
       { acceleratorsPerMember: 8, isCheckpointable: false, declaredRunMs: 1000 },
@@ -210,14 +213,16 @@
     { submittedAtMs: planFixtures.NOW_MS - 11 * MINUTE_MS },
   );
   const stopsAt = (attempt: number): string[] =>
-    ids(placement.planRound(viewOf(documentOf(2), workersOf(2), [stubborn(attempt), large])).stops);
+    ids(
+      placement.planRound(viewOf(documentOf(2), workersOf(2), [overrunning(attempt), large])).stops,
+    );
   assert.deepEqual(stopsAt(1), ['stubborn']);
   assert.deepEqual(stopsAt(3), []);
 });
 
-test.test('small jobs give up their rule to a large one only where that is enough', () => {
-  // Users see: a customer's large job never starts, though the cell has room, since its own small
-  // jobs always use up the rule; or they are stopped for it although one that can't move blocks it.
+test.test('small jobs return their allowance to a large one only where that is enough', () => {
+  // Guards against a large job that never starts, since its customer's small jobs always use up the
+  // rule, and against stopping them in vain because one that can't move blocks it.
   const document = documentOf(4);
   const rules = document.rules.map((it) => ({ ...it, maxAccelerators: 16 }));
   const small = (jobId: string, worker: number, isCheckpointable: boolean): job.JobRecord =>
@@ -240,11 +245,11 @@
 });
 
 test.test(
-  'a gang that failed on most of a small cell is tried again, the oldest failures first',
+  'a gang that failed on most of a small cell is placed again, on the oldest failures first',
   () => {
-    // Users see: a job that can never run waits for ever instead of being given up. It had failed on
-    // two of a rack's three workers, was never put there again, and no rack had two others. Found by
-    // the burst workload of the measurement.
+    // Guards against a job that can never run and waits forever instead of becoming unrunnable. It
+    // had failed on two of a rack's three workers, was never placed there again, and no rack had
+    // two others.
     const gang = jobOf(
       'gang',
       { members: 2, acceleratorsPerMember: 8, adjacency: 'rack' },
@@ -256,8 +261,8 @@
   },
 );
 
-/** A large job waits for one that can't be moved; `run` would borrow the worker beside it. */
-const beneathReservation = (run: Partial<job.JobSpec>): string[] => {
+/** A large job waits for one that can't be moved; `run` could borrow the worker beside it. */
+const placedUnderReservation = (run: Partial<job.JobSpec>): string[] => {
   const fixed = jobOf(
     'fixed',
     { acceleratorsPerMember: 8, isCheckpointable: false, declaredRunMs: 40 * MINUTE_MS },
@@ -279,8 +284,8 @@
 ];
 
 for (const { name, isPlaced, ...spec } of BACKFILL_CASES) {
-  test.test(`a job that ${name} ${isPlaced ? 'runs' : 'waits'} beneath a reservation`, () => {
-    assert.deepEqual(beneathReservation(spec), isPlaced ? ['run'] : []);
+  test.test(`a job that ${name} ${isPlaced ? 'runs' : 'waits'} under a reservation`, () => {
+    assert.deepEqual(placedUnderReservation(spec), isPlaced ? ['run'] : []);
   });
 }
 
@@ -294,17 +299,20 @@
 ] as const;
 
 for (const { members, per, adjacency, fits } of FORM_CASES) {
-  test.test(`${members}x${per} in one ${adjacency} ${fits ? 'fits' : 'misses'} a rack's 16`, () => {
-    const [shape] = documentOf(3, [['s', 16, 'rack', 1]]).shapes;
-    const { spec } = jobOf('claim', { members, acceleratorsPerMember: per, adjacency });
-    assert.ok(shape !== undefined);
-    assert.equal(guaranteeCheck.fitsShape(spec, shape, planFixtures.PER_WORKER), fits);
-  });
+  test.test(
+    `${members}x${per} in one ${adjacency} ${fits ? 'fits' : 'exceeds'} a rack's 16`,
+    () => {
+      const [shape] = documentOf(3, [['s', 16, 'rack', 1]]).shapes;
+      const { spec } = jobOf('claim', { members, acceleratorsPerMember: per, adjacency });
+      assert.ok(shape !== undefined);
+      assert.equal(guaranteeCheck.fitsShape(spec, shape, planFixtures.PER_WORKER), fits);
+    },
+  );
 }
 
-test.test('a small job moves out of the way of a large one where it finds room elsewhere', () => {
-  // Two racks, each with one worker that small jobs hold in part; the racks' other workers are held
-  // by jobs that can't be moved. One of the small jobs fits beside the other.
+test.test('a small job is moved for a large one where it fits elsewhere', () => {
+  // Two racks, each with one worker partly occupied by a small job; jobs that can't be moved occupy
+  // the other workers. One of the small jobs fits beside the other.
   const fixed = [1, 2, 4, 5].map((worker) =>
     jobOf(
       `fixed-${worker}`,
--- a/src/coordination/common/test/placementProperties.test.ts
+++ b/src/coordination/common/test/placementProperties.test.ts
@@ -1,5 +1,5 @@
 /**
- * What must hold in every planning round, over random cells and random courses of events.
+ * Invariants of every planning round, over random cells and random sequences of events.
  */
 import * as assert from 'node:assert/strict';
 import * as test from 'node:test';
@@ -23,7 +23,7 @@
 const STEP_MS = 60_000;
 const WORKERS = 7;
 
-/** Exact search for places of all unclaimed shapes, independent of the planner's own check. */
+/** Exact search for slots of all unclaimed shapes, independent of the planner's check. */
 const canPlaceAll = (
   left: readonly number[],
   forms: readonly { readonly wholes: number; readonly part: number; readonly isPair: boolean }[],
@@ -31,16 +31,16 @@
   const [form, ...rest] = forms;
   if (form === undefined) return true;
   const options = form.isPair
-    ? left.flatMap((_room, a) =>
+    ? left.flatMap((_left, a) =>
         left.flatMap((_other, b) =>
           a < b && Math.floor(a / 3) === Math.floor(b / 3) ? [[a, b]] : [],
         ),
       )
-    : left.map((_room, a) => [a]);
+    : left.map((_left, a) => [a]);
   return options.some((option) => {
     const need = form.wholes > 0 ? planFixtures.PER_WORKER : form.part;
     if (option.some((it) => (left[it] ?? 0) < need)) return false;
-    const next = left.map((room, index) => (option.includes(index) ? room - need : room));
+    const next = left.map((free, index) => (option.includes(index) ? free - need : free));
     return canPlaceAll(next, rest);
   });
 };
@@ -54,17 +54,17 @@
     return Array.from({ length: Math.max(0, count - claimed) }, () => form);
   });
 
-interface Course {
+interface Simulation {
   readonly workers: planTypes.PlanWorker[];
   jobs: job.JobRecord[];
   nowMs: number;
-  made: number;
+  createdJobs: number;
 }
 
-const newJob = (course: Course, next: random.Random): job.JobRecord => {
-  course.made += 1;
-  const jobId = `j${course.made}`;
-  const submittedAtMs = course.nowMs;
+const newJob = (simulation: Simulation, next: random.Random): job.JobRecord => {
+  simulation.createdJobs += 1;
+  const jobId = `j${simulation.createdJobs}`;
+  const submittedAtMs = simulation.nowMs;
   if (next() < 0.2) {
     const [shapeId, size] = SHAPES[random.integerBelow(next, SHAPES.length)] ?? ['one', 8];
     const members = size > 8 ? 2 : 1;
@@ -95,21 +95,21 @@
 
 const checkPlan = (view: planTypes.PlanView, plan: planTypes.Plan): void => {
   const held = new Set<string>();
-  const hold = (members: readonly job.MemberPlacement[]): void => {
+  const allocate = (members: readonly job.MemberPlacement[]): void => {
     for (const { workerId, accelerators } of members) {
       for (const index of accelerators) {
         const key = `${workerId}/${index}`;
-        assert.ok(!held.has(key), `${key} is given twice`);
+        assert.ok(!held.has(key), `${key} is allocated twice`);
         held.add(key);
       }
     }
   };
-  view.jobs.forEach((it) => hold(it.placement));
+  view.jobs.forEach((it) => allocate(it.placement));
   for (const { jobId, placement: members } of plan.placements) {
-    hold(members);
+    allocate(members);
     const record = view.jobs.find((it) => it.spec.jobId === jobId);
     assert.ok(record?.state === 'queued');
-    assert.equal(members.length, record.spec.members, 'a gang is placed whole');
+    assert.equal(members.length, record.spec.members, 'a gang is placed completely');
     members.forEach((it) => {
       assert.equal(it.accelerators.length, record.spec.acceleratorsPerMember);
     });
@@ -122,35 +122,35 @@
   }
   for (const { jobId } of plan.stops) {
     const victim = view.jobs.find((it) => it.spec.jobId === jobId);
-    assert.equal(victim?.spec.claim, 'spare', 'only borrowers give back');
+    assert.equal(victim?.spec.claim, 'spare', 'only borrowers are preempted');
   }
 };
 
-const checkGuarantees = (course: Course, plan: planTypes.Plan): void => {
-  const left = course.workers.map((it) => (it.health === 'ready' ? it.accelerators : 0));
-  for (const record of course.jobs) {
+const checkGuarantees = (simulation: Simulation, plan: planTypes.Plan): void => {
+  const left = simulation.workers.map((it) => (it.health === 'ready' ? it.accelerators : 0));
+  for (const record of simulation.jobs) {
     if (record.spec.claim !== 'guaranteed') continue;
     for (const { workerId, accelerators } of record.placement) {
-      const index = course.workers.findIndex((it) => it.workerId === workerId);
+      const index = simulation.workers.findIndex((it) => it.workerId === workerId);
       left[index] = Math.max(0, (left[index] ?? 0) - accelerators.length);
     }
   }
   const isReported = plan.warnings.some((it) => it.includes('shape'));
-  const isPlaceable = canPlaceAll(left, unclaimedForms(course.jobs));
+  const isPlaceable = canPlaceAll(left, unclaimedForms(simulation.jobs));
   assert.ok(isPlaceable || isReported, 'guarantees that do not fit are reported');
 };
 
-const carryOut = (course: Course, plan: planTypes.Plan, next: random.Random): void => {
+const applyPlan = (simulation: Simulation, plan: planTypes.Plan, next: random.Random): void => {
   const placed = new Map(plan.placements.map((it) => [it.jobId, it]));
   const stopped = new Set(plan.stops.map((it) => it.jobId));
-  course.jobs = course.jobs.map((record) => {
+  simulation.jobs = simulation.jobs.map((record) => {
     const planned = placed.get(record.spec.jobId);
     if (planned !== undefined) {
       return {
         ...record,
         state: 'running' as const,
         attempt: record.attempt + 1,
-        startedAtMs: course.nowMs,
+        startedAtMs: simulation.nowMs,
         placement: planned.placement,
         ...(planned.ruleId === undefined ? {} : { ruleId: planned.ruleId }),
       };
@@ -162,38 +162,46 @@
   });
 };
 
-const checkBookkeeping = (course: Course): void => {
+const checkClaimCounts = (simulation: Simulation): void => {
   for (const [shapeId, , , count] of SHAPES) {
-    const claimed = course.jobs.filter(
+    const claimed = simulation.jobs.filter(
       (it) => it.placement.length > 0 && it.spec.shapeId === shapeId,
     );
-    assert.ok(claimed.length <= count, 'no more instances are claimed than are held');
+    assert.ok(claimed.length <= count, 'no more instances are claimed than exist');
   }
 };
 
-test.test('no double booking, whole gangs and guarantees over random courses', () => {
+test.test('no double allocation, complete gangs and guarantees over random events', () => {
   fc.assert(
     fc.property(fc.integer(), fc.constantFrom(0.2, 1, 4), (seed, pressure) => {
       const next = random.createRandom(seed);
       const document = documentOf(WORKERS, SHAPES);
-      const course: Course = { workers: workersOf(WORKERS), jobs: [], nowMs: NOW_MS, made: 0 };
+      const simulation: Simulation = {
+        workers: workersOf(WORKERS),
+        jobs: [],
+        nowMs: NOW_MS,
+        createdJobs: 0,
+      };
       for (let step = 0; step < 25; step += 1) {
-        course.nowMs += STEP_MS;
+        simulation.nowMs += STEP_MS;
         const burst = Math.floor(next() * 8 * pressure);
-        for (let at = 0; at < burst; at += 1) course.jobs.push(newJob(course, next));
-        course.jobs = course.jobs.filter((it) => it.state !== 'running' || next() > 0.15);
+        for (let at = 0; at < burst; at += 1) simulation.jobs.push(newJob(simulation, next));
+        simulation.jobs = simulation.jobs.filter((it) => it.state !== 'running' || next() > 0.15);
         if (next() < 0.15) {
           const index = random.integerBelow(next, WORKERS);
-          const it = course.workers[index];
+          const it = simulation.workers[index];
           const health = it?.health === 'ready' ? 'unreachable' : 'ready';
-          if (it !== undefined) course.workers[index] = { ...it, health };
+          if (it !== undefined) simulation.workers[index] = { ...it, health };
         }
-        const view = { ...viewOf(document, course.workers, course.jobs), nowMs: course.nowMs };
+        const view = {
+          ...viewOf(document, simulation.workers, simulation.jobs),
+          nowMs: simulation.nowMs,
+        };
         const plan = placement.planRound(view);
         checkPlan(view, plan);
-        carryOut(course, plan, next);
-        checkGuarantees(course, placement.planRound({ ...view, jobs: course.jobs }));
-        checkBookkeeping(course);
+        applyPlan(simulation, plan, next);
+        checkGuarantees(simulation, placement.planRound({ ...view, jobs: simulation.jobs }));
+        checkClaimCounts(simulation);
       }
     }),
     { seed: 5, numRuns: 60 },
@@ -201,22 +209,27 @@
 });
 
 test.test(
-  'a claim on a cell full of borrowers starts once they have left, whatever lies there',
+  'a claim on a cell full of borrowers starts once they have stopped, whatever their layout',
   () => {
     fc.assert(
       fc.property(fc.integer(), fc.constantFrom(...SHAPES), (seed, shape) => {
         const next = random.createRandom(seed);
         const document = documentOf(WORKERS, SHAPES);
-        const course: Course = { workers: workersOf(WORKERS), jobs: [], nowMs: NOW_MS, made: 0 };
-        course.jobs = Array.from({ length: 40 }, () => newJob(course, next)).filter(
+        const simulation: Simulation = {
+          workers: workersOf(WORKERS),
+          jobs: [],
+          nowMs: NOW_MS,
+          createdJobs: 0,
+        };
+        simulation.jobs = Array.from({ length: 40 }, () => newJob(simulation, next)).filter(
           (it) => it.spec.claim === 'spare',
         );
         const round = (): planTypes.Plan =>
           placement.planRound({
-            ...viewOf(document, course.workers, course.jobs),
-            nowMs: course.nowMs,
+            ...viewOf(document, simulation.workers, simulation.jobs),
+            nowMs: simulation.nowMs,
           });
-        carryOut(course, round(), () => 1);
+        applyPlan(simulation, round(), () => 1);
         const [shapeId, size] = shape;
         const members = size > 8 ? 2 : 1;
         const claim = jobOf('claim', {
@@ -227,11 +240,11 @@
           acceleratorsPerMember: size / members,
           adjacency: size > 8 ? 'rack' : 'worker',
         });
-        course.jobs.push(claim);
+        simulation.jobs.push(claim);
         const first = round();
-        carryOut(course, first, () => 1);
-        // The borrowers that were stopped have left by now.
-        carryOut(course, { ...first, placements: [], stops: [] }, () => 1);
+        applyPlan(simulation, first, () => 1);
+        // By now the stopped borrowers have released their accelerators.
+        applyPlan(simulation, { ...first, placements: [], stops: [] }, () => 1);
         const second = round();
         const isPlaced = [first, second].some((plan) =>
           plan.placements.some((it) => it.jobId === 'claim'),
--- a/src/coordination/common/test/planFixtures.ts
+++ b/src/coordination/common/test/planFixtures.ts
@@ -1,13 +1,13 @@
 /**
- * Views of a cell for the tests of planning.
+ * Cells, workers and jobs for tests of planning.
  */
 import type * as configuration from '../../../state/common/configuration.js';
 import type * as job from '../../../state/common/job.js';
 import type * as planTypes from '../planTypes.js';
 
-/** Accelerators of every worker of the fixture. */
+/** Accelerators of every worker. */
 export const PER_WORKER = 8;
-/** The moment of the round. */
+/** Time of the round. */
 export const NOW_MS = 100_000_000;
 
 /** Shape by id, size, adjacency, count; `holder` holds it. */
@@ -115,13 +115,13 @@
   ...record,
 });
 
-/** Where a member runs: worker index, first accelerator, how many. */
+/** Allocation of a member: worker index, first accelerator, count. */
 export type Held = readonly [number, number, number];
 
 /**
- * @param held - where the members run
- * @param startedMsAgo - how long ago
- * @returns what a running job's record has
+ * @param held - allocations of the members
+ * @param startedMsAgo - time since the start
+ * @returns fields of a running job's record
  */
 export const running = (held: readonly Held[], startedMsAgo: number): Partial<job.JobRecord> => ({
   state: 'running',
--- a/src/coordination/common/test/routing.test.ts
+++ b/src/coordination/common/test/routing.test.ts
@@ -1,5 +1,5 @@
 /**
- * Choice of the upstream, health of agents and the directory, without sockets.
+ * Tests of upstream choice, agent health and the directory, without sockets.
  */
 import * as assert from 'node:assert/strict';
 import * as test from 'node:test';
@@ -62,16 +62,20 @@
 };
 
 const busy = { running: 8, queued: 20 };
-const flooded = { running: 8, queued: 80 };
-const far = { region: 'far', zone: 'f' };
+const overloaded = { running: 8, queued: 80 };
+const remote = { region: 'far', zone: 'f' };
 
 const CHOICES = [
   { name: 'its own zone first', agents: [{}, { zone: 'b' }], chosen: [1000, 0] },
   { name: 'its region when the zone is full', agents: [busy, { zone: 'b' }], chosen: [0, 1000] },
-  { name: 'home while the wait is below the price', agents: [busy, far], chosen: [1000, 0] },
-  { name: 'another region above the price', agents: [flooded, far], chosen: [0, 1000] },
-  { name: 'never one that leaves', agents: [{ isLeaving: true }, {}], chosen: [0, 1000] },
-  { name: 'hardly a slow one', agents: [{ serviceMs: 400 }, {}, {}], chosen: [0, 489, 511] },
+  {
+    name: 'its region while the wait is below the price',
+    agents: [busy, remote],
+    chosen: [1000, 0],
+  },
+  { name: 'another region above the price', agents: [overloaded, remote], chosen: [0, 1000] },
+  { name: 'no upstream that is draining', agents: [{ isLeaving: true }, {}], chosen: [0, 1000] },
+  { name: 'a slow upstream rarely', agents: [{ serviceMs: 400 }, {}, {}], chosen: [0, 489, 511] },
 ] as const;
 
 for (const { name, agents, chosen } of CHOICES) {
@@ -87,23 +91,23 @@
   });
 }
 
-test.test('without credit for other regions a request stays at home', () => {
+test.test('without credit for other regions a request stays in its region', () => {
   const directory = agentDirectory.createAgentDirectory();
-  directory.register(registrationOf('u0', flooded), 0);
-  directory.register(registrationOf('u1', far), 0);
+  directory.register(registrationOf('u0', overloaded), 0);
+  directory.register(registrationOf('u1', remote), 0);
   assert.equal(chooseMany(directory, 60_000, false).get('u0'), 1000);
 });
 
-test.test('a region link that is down for minutes keeps requests at home', () => {
-  // Home is full and the link to the other region is down. Each agent there stays silent once; from
-  // then on requests wait at home, and the link is tried again only now and then.
+test.test('a region link that is down for minutes keeps requests in their region', () => {
+  // The local region is full and the link to the other one is down. Each agent there fails to
+  // respond once; from then on requests wait locally, and the link is retried only occasionally.
   const directory = agentDirectory.createAgentDirectory();
-  directory.register(registrationOf('u0', flooded), 0);
-  directory.register(registrationOf('u1', far), 0);
+  directory.register(registrationOf('u0', overloaded), 0);
+  directory.register(registrationOf('u1', remote), 0);
   let lost = 0;
   for (let nowMs = 60_000; nowMs < 300_000; nowMs += 100) {
-    directory.register(registrationOf('u0', flooded), nowMs);
-    directory.register(registrationOf('u1', far), nowMs);
+    directory.register(registrationOf('u0', overloaded), nowMs);
+    directory.register(registrationOf('u1', remote), nowMs);
     if ((chooseMany(directory, nowMs).get('u1') ?? 0) > 0) {
       directory.noteSilence('http://u1:1', nowMs);
       lost += 1;
@@ -112,8 +116,8 @@
   assert.ok(lost > 0 && lost <= 13, String(lost));
 });
 
-test.test('an upstream that fails everything is ejected, but not all of them at once', () => {
-  // A bad release reaches every upstream: with all ejected, callers would get nothing at all.
+test.test('an upstream that fails everything is ejected, but not all upstreams together', () => {
+  // A faulty release reaches every upstream: with all ejected, callers would get no answer at all.
   const directory = agentDirectory.createAgentDirectory();
   const urls = ['u0', 'u1', 'u2', 'u3', 'u4', 'u5'].map((name) => {
     directory.register(registrationOf(name), 0);
@@ -127,9 +131,9 @@
   assert.equal(directory.candidates(70_000).filter((it) => it.isAvoided).length, 0);
 });
 
-test.test('a silent agent is avoided at once, stays known and is tried again', () => {
-  // The entry has lost its way to an agent that is alive for others. Forgetting it would lose it
-  // until its next registration; it comes back by itself after a growing time.
+test.test('an unreachable agent is avoided immediately, stays known and is retried', () => {
+  // The entry has lost its connection to an agent that others can reach. Removing it would lose it
+  // until its next registration; it must be retried by itself after a growing delay.
   const directory = agentDirectory.createAgentDirectory();
   ['u0', 'u1'].forEach((name) => directory.register(registrationOf(name), 0));
   directory.noteSilence('http://u0:1', 60_000);
@@ -145,19 +149,19 @@
   assert.ok((chooseMany(directory, 70_000).get('u0') ?? 0) > 250);
 });
 
-test.test('slowness that no answer confirms is forgiven', () => {
+test.test('slowness that no answer confirms decays', () => {
   const directory = agentDirectory.createAgentDirectory();
   ['u0', 'u1'].forEach((name) => directory.register(registrationOf(name), 0));
   const note = { running: 0, queued: 0, isLeaving: false, bootId: 'boot-1', clockMs: 0 };
   directory.noteAnswer('http://u1:1', { ...note, serviceMs: 40 }, 60_000);
   directory.noteAnswer('http://u0:1', { ...note, serviceMs: 400 }, 60_000);
-  const beliefs = [60_000, 65_000, 120_000].map((nowMs) =>
+  const decayed = [60_000, 65_000, 120_000].map((nowMs) =>
     Math.round(directory.candidates(nowMs)[0]?.serviceMs ?? 0),
   );
-  assert.ok((beliefs[0] ?? 0) > 390 && (beliefs[1] ?? 0) < 230 && (beliefs[2] ?? 0) < 50);
+  assert.ok((decayed[0] ?? 0) > 390 && (decayed[1] ?? 0) < 230 && (decayed[2] ?? 0) < 50);
 });
 
-test.test('an attempt is meant for the boot that answered last', () => {
+test.test('an attempt is addressed to the boot that answered last', () => {
   const directory = agentDirectory.createAgentDirectory();
   directory.register(registrationOf('u0', { clockMs: 500 }), 100);
   assert.deepEqual(directory.bootOf('http://u0:1', 200), { bootId: 'boot-1', clockMs: 600 });
@@ -166,7 +170,7 @@
   assert.deepEqual(directory.bootOf('http://u0:1', 300), { bootId: 'boot-2', clockMs: 10 });
 });
 
-test.test('an agent that is not renewed is forgotten', () => {
+test.test('an agent that does not renew its registration is removed', () => {
   const directory = agentDirectory.createAgentDirectory();
   directory.register(registrationOf('u0'), 0);
   directory.expire(2.5 * agentDirectory.REGISTER_MS);
--- a/src/coordination/common/test/serviceLevels.test.ts
+++ b/src/coordination/common/test/serviceLevels.test.ts
@@ -1,5 +1,5 @@
 /**
- * Judging events, counting them and burn rates.
+ * Tests of objective evaluation, counting and burn rates.
  */
 import * as assert from 'node:assert/strict';
 import * as test from 'node:test';
@@ -35,7 +35,7 @@
   objectiveOf('notRefused', 'other'),
 ];
 
-/** Error and time, then the verdicts of `answeredWithin` and `notRefused`. */
+/** Error and time, then the results for `answeredWithin` and `notRefused`. */
 const REQUEST_CASES: readonly (readonly [
   errorKinds.ErrorKind | undefined,
   number,
