--- a/src/coordination/common/test/forwardOnly.test.ts
+++ b/src/coordination/common/test/forwardOnly.test.ts
@@ -1,12 +1,12 @@
 /**
- * Forward-only at each hop, explored exhaustively at small scope.
+ * Exhaustive exploration, at small scope: configuration versions only increase at each hop.
  *
- * Two processes that watch the store (entries, which also write; schedulers take versions alike) and
- * an agent; up to three versions; one restoration of the store from any earlier state and one
- * restart of a process. Everything on its way may be late: a watch may give any state that the
- * store ever had, a peer's answer anything that the peer ever had. What a process or the store was
- * answering is lost when it restarts or is restored. The decisions are the real ones
- * (`configurationHolder`, `configurationOrder`).
+ * The model has two processes that watch the store (entries, which also write; schedulers apply
+ * versions in the same way) and an agent, up to three versions, one restore of the store from any
+ * earlier state and one restart of a process. All messages may be delayed: a watch may deliver any
+ * state that the store ever had, a peer's answer any version that the peer ever had. Answers in
+ * flight are lost when their sender restarts or is restored. The decisions are those of the
+ * production code.
  */
 import * as assert from 'node:assert/strict';
 import * as test from 'node:test';
@@ -17,20 +17,20 @@
 
 type Mark = configurationOrder.VersionMark;
 
-/** Index of a process; the agent hears of versions only from the others. */
+/** Processes by index; the agent receives versions only from the others. */
 const PROCESSES = ['entry-1', 'entry-2', 'agent'] as const;
 const ENTRIES = [0, 1] as const;
 const AGENT = 2;
-const EVERYBODY = [0, 1, 2] as const;
+const ALL_PROCESSES = [0, 1, 2] as const;
 const MAX_VERSION = 3;
 
-interface World {
+interface ModelState {
   readonly store: string;
-  /** All that the store ever held, and so may still be on its way in a watch. */
-  readonly storePast: readonly string[];
+  /** All versions that the store ever had, which a watch may still deliver. */
+  readonly storeHistory: readonly string[];
   readonly held: readonly string[];
-  /** All that each process ever held, and so may still be on its way in an answer. */
-  readonly past: readonly (readonly string[])[];
+  /** All versions that each process ever had, which an answer may still deliver. */
+  readonly history: readonly (readonly string[])[];
   readonly canRestore: boolean;
   readonly canRestart: boolean;
   readonly writes: number;
@@ -51,7 +51,7 @@
   document: configurationSample.SAMPLE,
 });
 
-/** What a holder that has `held` has after `offered`, by the real holder. */
+/** Result of offering `offered` to a process with the active version `held`. */
 const decide = (held: string, offered: string): string => {
   const holder = configurationHolder.createConfigurationHolder();
   for (const text of [held, offered]) {
@@ -77,65 +77,65 @@
 const include = (list: readonly string[], text: string): readonly string[] =>
   list.includes(text) ? list : [...list, text].sort();
 
-const offer = (world: World, to: number, text: string): World => {
-  const held = afterOffer(world.held[to] ?? NOTHING, text);
+const offer = (state: ModelState, to: number, text: string): ModelState => {
+  const held = afterOffer(state.held[to] ?? NOTHING, text);
   return {
-    ...world,
-    held: withAt(world.held, to, held),
-    past: withAt(world.past, to, include(world.past[to] ?? [], held)),
+    ...state,
+    held: withAt(state.held, to, held),
+    history: withAt(state.history, to, include(state.history[to] ?? [], held)),
   };
 };
 
 /**
- * An entry asks everybody whom it knows for their versions and writes on top of what the store
- * holds, unless it then knows that the store went back.
+ * An entry asks all processes for their versions and writes on top of the stored version, unless it
+ * then finds that the store was restored.
  */
-const write = (before: World, entry: number): World | undefined => {
-  const world = EVERYBODY.reduce(
+const write = (before: ModelState, entry: number): ModelState | undefined => {
+  const state = ALL_PROCESSES.reduce(
     (asked, from) => offer(asked, entry, before.held[from] ?? NOTHING),
     before,
   );
-  const known = toMark(world.held[entry] ?? NOTHING);
-  const stored = toMark(world.store);
+  const known = toMark(state.held[entry] ?? NOTHING);
+  const stored = toMark(state.store);
   if (known !== undefined && configurationOrder.isRestored(stored, known)) return undefined;
   const version = (stored?.version ?? 0) + 1;
   if (version > MAX_VERSION) return undefined;
-  const text = `${version}:w${world.writes}`;
-  const written = { ...world, store: text, storePast: include(world.storePast, text) };
-  return offer({ ...written, writes: world.writes + 1 }, entry, text);
+  const text = `${version}:w${state.writes}`;
+  const written = { ...state, store: text, storeHistory: include(state.storeHistory, text) };
+  return offer({ ...written, writes: state.writes + 1 }, entry, text);
 };
 
-const stepsOf = (world: World): readonly World[] => {
-  const steps: World[] = [];
+const stepsOf = (state: ModelState): readonly ModelState[] => {
+  const steps: ModelState[] = [];
   for (const entry of ENTRIES) {
-    const written = write(world, entry);
+    const written = write(state, entry);
     if (written !== undefined) steps.push(written);
   }
   PROCESSES.forEach((_name, to) => {
-    if (to !== AGENT) world.storePast.forEach((text) => steps.push(offer(world, to, text)));
-    world.past.forEach((texts, from) => {
+    if (to !== AGENT) state.storeHistory.forEach((text) => steps.push(offer(state, to, text)));
+    state.history.forEach((texts, from) => {
       if (from !== to && from !== AGENT) {
-        texts.forEach((text) => steps.push(offer(world, to, text)));
+        texts.forEach((text) => steps.push(offer(state, to, text)));
       }
     });
-    if (world.canRestart && world.held[to] !== NOTHING) {
-      const held = withAt(world.held, to, NOTHING);
-      // What a process was answering is lost with it.
-      const past = withAt(world.past, to, []);
-      steps.push({ ...world, held, past, canRestart: false });
+    if (state.canRestart && state.held[to] !== NOTHING) {
+      const held = withAt(state.held, to, NOTHING);
+      // Its answers in flight are lost.
+      const history = withAt(state.history, to, []);
+      steps.push({ ...state, held, history, canRestart: false });
     }
   });
-  if (world.canRestore) {
-    const older = world.storePast.filter((it) => it !== world.store);
-    // Watches that were being answered are lost with the service that is restored.
+  if (state.canRestore) {
+    const older = state.storeHistory.filter((it) => it !== state.store);
+    // Watch answers in flight are lost by the restore.
     older.forEach((text) =>
-      steps.push({ ...world, store: text, storePast: [text], canRestore: false }),
+      steps.push({ ...state, store: text, storeHistory: [text], canRestore: false }),
     );
   }
   return steps;
 };
 
-const assertForward = (before: World, after: World): void => {
+const assertForward = (before: ModelState, after: ModelState): void => {
   const isRestart = before.canRestart && !after.canRestart;
   before.held.forEach((held, index) => {
     const now = after.held[index] ?? NOTHING;
@@ -145,39 +145,39 @@
   });
 };
 
-/** No two processes have one version with different contents. */
-const assertNoFork = (world: World): void => {
-  const held = new Set(world.held.filter((it) => it !== NOTHING));
+/** No two processes have the same version with different contents. */
+const assertNoFork = (state: ModelState): void => {
+  const held = new Set(state.held.filter((it) => it !== NOTHING));
   const versions = new Set([...held].map((it) => it.split(':')[0]));
-  assert.equal(held.size, versions.size, JSON.stringify(world));
+  assert.equal(held.size, versions.size, JSON.stringify(state));
 };
 
-/** What stands after each process has had its news from the store and from everybody. */
-const exchange = (world: World): World =>
-  EVERYBODY.reduce((all, to) => {
-    const told = to === AGENT ? all : offer(all, to, all.store);
-    return EVERYBODY.reduce((it, from) => offer(it, to, it.held[from] ?? NOTHING), told);
-  }, world);
+/** State after each process has received updates from the store and from all others. */
+const exchange = (state: ModelState): ModelState =>
+  ALL_PROCESSES.reduce((all, to) => {
+    const updated = to === AGENT ? all : offer(all, to, all.store);
+    return ALL_PROCESSES.reduce((it, from) => offer(it, to, it.held[from] ?? NOTHING), updated);
+  }, state);
 
-/** In the end nobody is below what any process has in force. */
-const assertConverges = (world: World): void => {
-  const settled = exchange(exchange(world));
+/** After the exchange all processes have the highest version of any process or the store. */
+const assertConverges = (state: ModelState): void => {
+  const settled = exchange(exchange(state));
   const versions = settled.held.map((it) => toMark(it)?.version ?? 0);
-  const highest = Math.max(...versions, toMark(world.store)?.version ?? 0);
+  const highest = Math.max(...versions, toMark(state.store)?.version ?? 0);
   assert.ok(
     versions.every((it) => it === highest),
-    JSON.stringify({ world, settled }),
+    JSON.stringify({ state, settled }),
   );
 };
 
-test.test('no process goes back, and all meet at the highest version', (context) => {
-  // A change is accepted and takes effect; later an operator sees the old value again at one
-  // process. The cause is a late watch, a late answer of a peer, or a store restored from a backup.
-  const first: World = {
+test.test('no process goes back, and all converge on the highest version', (context) => {
+  // Guards against an accepted change that later appears undone at one process. The cause is a
+  // delayed watch, a delayed answer of a peer, or a store restored from a backup.
+  const first: ModelState = {
     store: NOTHING,
-    storePast: [NOTHING],
+    storeHistory: [NOTHING],
     held: PROCESSES.map(() => NOTHING),
-    past: PROCESSES.map(() => []),
+    history: PROCESSES.map(() => []),
     canRestore: true,
     canRestart: true,
     writes: 0,
@@ -186,13 +186,13 @@
   let frontier = [first];
   let steps = 0;
   while (frontier.length > 0) {
-    const next: World[] = [];
-    for (const world of frontier) {
-      assertConverges(world);
-      assertNoFork(world);
-      for (const after of stepsOf(world)) {
+    const next: ModelState[] = [];
+    for (const state of frontier) {
+      assertConverges(state);
+      assertNoFork(state);
+      for (const after of stepsOf(state)) {
         steps += 1;
-        assertForward(world, after);
+        assertForward(state, after);
         const key = JSON.stringify(after);
         if (!seen.has(key)) {
           seen.add(key);
--- a/src/coordination/common/test/takeOverChecks.ts
+++ b/src/coordination/common/test/takeOverChecks.ts
@@ -1,5 +1,5 @@
 /**
- * What must never be in the small world of `takeOverModel`, and which of its states are the same.
+ * Invariants of the leadership model, and the keys that identify equivalent states.
  */
 import * as job from '../../../state/common/job.js';
 import * as task from '../../../state/common/task.js';
@@ -11,7 +11,7 @@
 const forgetBefore = (atMs: number, limitMs: number): number =>
   atMs > limitMs ? atMs : Number.NEGATIVE_INFINITY;
 
-/** What lies too far back to decide anything is the same as never. */
+/** Times too far in the past to affect a decision are equivalent to never. */
 const settledEntry = (it: roster.RosterEntry, nowMs: number): roster.RosterEntry => ({
   ...it,
   leaseUntilMs: forgetBefore(it.leaseUntilMs, nowMs),
@@ -20,7 +20,7 @@
 
 const keyOfEntry = (it: roster.RosterEntry, index: number, leader: number): string => {
   const isWorker = index < 2;
-  // The second leader holds the store's lease throughout, so confirmations decide nothing for it.
+  // The second leader always holds the store's lease, so confirmations do not affect it.
   const confirmedAtMs = leader === 0 ? it.confirmedAtMs : 0;
   const leaseUntilMs = isWorker && (leader === 1 || index === 0) ? it.leaseUntilMs : 0;
   return `${it.isFenced ? it.bootId : '-'},${leaseUntilMs},${confirmedAtMs},${it.commandCount}`;
@@ -57,63 +57,63 @@
   ].join(';');
 
 /**
- * @param world - a state
- * @returns a text that is the same for states that differ in nothing that decides
+ * @param state - a state
+ * @returns a key that is equal for states without a difference that affects decisions
  */
-export const keyOf = (world: model.World): string =>
+export const keyOf = (state: model.ModelState): string =>
   [
-    world.nowMs,
-    keyOfRecord(world.stored),
-    world.writerEpoch,
-    ...world.leaders.map((it, at) => keyOfLeader(it, world.nowMs, at)),
-    ...world.agents.map((it, at) => keyOfAgent(it, world.nowMs, at)),
-    world.commands
+    state.nowMs,
+    keyOfRecord(state.stored),
+    state.writerEpoch,
+    ...state.leaders.map((it, at) => keyOfLeader(it, state.nowMs, at)),
+    ...state.agents.map((it, at) => keyOfAgent(it, state.nowMs, at)),
+    state.commands
       .map(
         (it) =>
           `${it.leader}${it.agent}${it.boot}${it.attempt}${it.effect.type}${it.effect.member}`,
       )
       .sort()
       .join(),
-    world.isCancelled,
-    world.restarts,
-    world.violation,
+    state.isCancelled,
+    state.restarts,
+    state.violation,
   ].join('|');
 
 /**
- * @param world - now
- * @returns what is broken, or an empty text
+ * @param state - the current state
+ * @returns the violated invariant, or an empty text
  */
-export const violationOf = (world: model.World): string => {
-  if (world.violation !== '') return world.violation;
-  const running = world.agents.flatMap((it) => it.running);
-  if (new Set(running.map((it) => it.token.attempt)).size > 1) return 'two attempts run at once';
+export const violationOf = (state: model.ModelState): string => {
+  if (state.violation !== '') return state.violation;
+  const running = state.agents.flatMap((it) => it.running);
+  if (new Set(running.map((it) => it.token.attempt)).size > 1) return 'two attempts overlap';
   if (new Set(running.map((it) => it.token.member)).size < running.length) {
     return 'a member runs twice';
   }
-  if (world.agents.some((it) => it.running.length > 1)) return 'an accelerator is booked twice';
-  const writer = world.leaders[world.writerEpoch - 1];
-  const ended = [world.stored, ...(writer?.isActive === true ? [writer.runtime.record] : [])];
+  if (state.agents.some((it) => it.running.length > 1)) return 'an accelerator is allocated twice';
+  const writer = state.leaders[state.writerEpoch - 1];
+  const ended = [state.stored, ...(writer?.isActive === true ? [writer.runtime.record] : [])];
   const isEnded = ended.some((it) => job.isTerminal(it.state));
   if (isEnded && running.length > 0) return 'an ended job runs';
-  const isPart = world.leaders.some(
+  const isIncomplete = state.leaders.some(
     ({ runtime }) =>
       runtime.record.state === job.JobState.running && runtime.members.some((it) => it === 'gone'),
   );
-  return isPart ? 'a gang runs in part' : '';
+  return isIncomplete ? 'a running gang is incomplete' : '';
 };
 
 /**
- * Where the first placement was committed at the beginning and only one attempt follows it, two
- * attempts can meet only as long as the first still runs or holds a reservation.
+ * Where the first placement is committed initially and only one attempt follows it, two attempts
+ * can overlap only while the first still runs or has a reservation.
  *
- * @param world - now
+ * @param state - the current state
  * @param scenario - bounds
- * @returns whether nothing that is looked for can happen any more
+ * @returns whether no violation can occur any more
  */
-export const isSettled = (world: model.World, scenario: scenarios.Scenario): boolean => {
+export const isSettled = (state: model.ModelState, scenario: scenarios.Scenario): boolean => {
   if (!scenario.isCommitted) return false;
   const isFirst = (token: task.TaskToken): boolean => token.attempt === 1;
-  return !world.agents.some(
+  return !state.agents.some(
     (agent) =>
       agent.running.some((it) => isFirst(it.token)) ||
       [...agent.tasks.held.values()].some((it) => isFirst(it.token) && it.phase === 'reserved'),
--- a/src/coordination/common/test/takeOverExploration.test.ts
+++ b/src/coordination/common/test/takeOverExploration.test.ts
@@ -1,7 +1,6 @@
 /**
- * Exhaustive exploration of leadership in a small world: every order of events within the bounds of
- * a scenario, with lost, late and repeated messages and a pause of anybody anywhere. `takeOverModel`
- * says what the world is, `takeOverSteps` what can happen, `takeOverChecks` what must not.
+ * Exhaustive exploration of leadership in a small model: every order of events within the bounds of
+ * a scenario, with lost, delayed and duplicate messages and a pause of any process at any time.
  */
 import * as assert from 'node:assert/strict';
 import * as nodeTest from 'node:test';
@@ -12,7 +11,7 @@
 import * as steps from './takeOverSteps.js';
 
 interface Node {
-  readonly world: model.World;
+  readonly state: model.ModelState;
   readonly name: string;
   readonly parent: Node | undefined;
 }
@@ -23,24 +22,24 @@
   readonly trace: string;
 }
 
-/** Stops an exploration whose bounds were set too wide, as a failure. */
+/** Fails an exploration whose bounds are too wide. */
 const MAX_STATES = 60_000;
 
 const traceOf = (node: Node): string =>
   node.parent === undefined ? '' : `${traceOf(node.parent)} > ${node.name}`;
 
 const explore = (scenario: scenarios.Scenario): Found => {
-  const world = steps.beginningOf(scenario);
-  const seen = new Set([checks.keyOf(world)]);
-  let frontier: Node[] = [{ world, name: '', parent: undefined }];
+  const state = steps.initialStateOf(scenario);
+  const seen = new Set([checks.keyOf(state)]);
+  let frontier: Node[] = [{ state, name: '', parent: undefined }];
   while (frontier.length > 0) {
     const next: Node[] = [];
     for (const parent of frontier) {
-      for (const { name, after } of steps.movesOf(parent.world, scenario)) {
+      for (const { name, after } of steps.transitionsOf(parent.state, scenario)) {
         const key = checks.keyOf(after);
         if (seen.has(key)) continue;
         seen.add(key);
-        const node = { world: after, name, parent };
+        const node = { state: after, name, parent };
         const violation = checks.violationOf(after);
         if (violation !== '') return { states: seen.size, violation, trace: traceOf(node) };
         if (!checks.isSettled(after, scenario)) next.push(node);
@@ -55,7 +54,7 @@
 const GUARDS: scenarios.Guards = {
   isFencing: true,
   isMajorityNeeded: true,
-  isFormerLeaseAwaited: true,
+  isPreviousLeaseAwaited: true,
 };
 
 const ONE_JOB: scenarios.Scenario = {
@@ -79,17 +78,17 @@
   hasTakeOver: false,
 };
 
-const WHOLE: readonly [string, scenarios.Scenario][] = [
-  ['take-over and lease lapse, answers to reports lost', { ...ONE_JOB, hasLostReports: true }],
-  ['take-over and cancel', { ...ONE_JOB, maxTicks: 3, hasCancel: true }],
-  ['take-over and a restart of any agent', { ...ONE_JOB, maxTicks: 2, maxRestarts: 1 }],
-  ['start, lapse and cancel of a gang', { ...GANG, hasCancel: true }],
-  ['take-over of a gang that is being started', { ...GANG, isCommitted: true, hasTakeOver: true }],
+const SCENARIOS: readonly [string, scenarios.Scenario][] = [
+  ['takeover and lease expiry, answers to reports lost', { ...ONE_JOB, hasLostReports: true }],
+  ['takeover and cancel', { ...ONE_JOB, maxTicks: 3, hasCancel: true }],
+  ['takeover and a restart of any agent', { ...ONE_JOB, maxTicks: 2, maxRestarts: 1 }],
+  ['start, expiry and cancel of a gang', { ...GANG, hasCancel: true }],
+  ['takeover of a gang that is being started', { ...GANG, isCommitted: true, hasTakeOver: true }],
   ['start, cancel and start again', { ...GANG, members: 1, maxAttempts: 2, hasCancel: true }],
 ];
 
 nodeTest.describe('exhaustive exploration finds no violation', () => {
-  for (const [name, scenario] of WHOLE) {
+  for (const [name, scenario] of SCENARIOS) {
     nodeTest.test(name, (context) => {
       const found = explore(scenario);
       assert.equal(found.violation, '', found.trace);
@@ -101,26 +100,26 @@
 
 const FROM_QUEUE: scenarios.Scenario = { ...ONE_JOB, isCommitted: false, maxTicks: 1 };
 
-const PLANTED: readonly [string, scenarios.Scenario, string][] = [
+const WITHOUT_GUARD: readonly [string, scenarios.Scenario, string][] = [
   [
-    'agents that take any epoch',
+    'agents that accept any epoch',
     { ...FROM_QUEUE, guards: { ...GUARDS, isFencing: false } },
-    'an old leader started a task',
+    'a previous leader started a task',
   ],
   [
     'a leader that grants without a majority',
     { ...ONE_JOB, guards: { ...GUARDS, isMajorityNeeded: false } },
-    'two attempts run at once',
+    'two attempts overlap',
   ],
   [
-    'a leader that does not await the leases of the former one',
-    { ...ONE_JOB, guards: { ...GUARDS, isFormerLeaseAwaited: false } },
-    'two attempts run at once',
+    "a leader that does not wait for the expiry of the previous leader's leases",
+    { ...ONE_JOB, guards: { ...GUARDS, isPreviousLeaseAwaited: false } },
+    'two attempts overlap',
   ],
 ];
 
-nodeTest.describe('exploration catches a planted fault', () => {
-  for (const [name, scenario, violation] of PLANTED) {
+nodeTest.describe('exploration finds the violation when a guard is disabled', () => {
+  for (const [name, scenario, violation] of WITHOUT_GUARD) {
     nodeTest.test(name, (context) => {
       const found = explore(scenario);
       assert.equal(found.violation, violation);
--- a/src/coordination/common/test/takeOverModel.ts
+++ b/src/coordination/common/test/takeOverModel.ts
@@ -1,11 +1,10 @@
 /**
- * A small world for the exploration of leadership: two leaders, two workers with one accelerator
- * each, a third agent that only confirms epochs, and one job. What leaders and agents decide is
- * decided by the very functions that the programs run; the model adds the network, the store, the
- * workers and the time.
+ * A small model for the exploration of leadership: two leaders, two workers with one accelerator
+ * each, a third agent that only confirms epochs, and one job. Decisions are those of the production
+ * code; the model adds the network, the store, the workers and the time.
  *
- * One tick is one lease. Messages stay in the network for ever: each may be delivered late, again or
- * never. A leader that takes no step for a while is a paused one.
+ * One tick is one lease. Messages stay in the network forever: each may be delivered late,
+ * repeatedly or never. A leader that takes no step for a while models a paused one.
  */
 import * as job from '../../../state/common/job.js';
 import * as task from '../../../state/common/task.js';
@@ -17,7 +16,7 @@
 
 import type * as scenarios from './takeOverScenario.js';
 
-/** One tick of the model. */
+/** Duration of one tick. */
 export const LEASE_MS = 10_000;
 
 /** One agent with its worker. */
@@ -28,13 +27,13 @@
   readonly leaseUntilMs: number;
   readonly stampMs: number | undefined;
   readonly commandCount: number;
-  /** What the worker really runs, with the end of its lease. */
+  /** Tasks that actually run on the worker, with the end of their leases. */
   readonly running: readonly { readonly token: task.TaskToken; readonly untilMs: number }[];
-  /** Highest epoch that any boot of the agent accepted: the model's own memory. */
+  /** Highest epoch that any boot of the agent accepted, known only to the model. */
   readonly highestEpoch: number;
 }
 
-/** A report under way. */
+/** A report in flight. */
 export interface Report {
   readonly agent: number;
   readonly boot: number;
@@ -46,7 +45,7 @@
   readonly tasks: readonly task.TaskReport[];
 }
 
-/** A command under way. */
+/** A command in flight. */
 export interface Command {
   readonly leader: number;
   readonly agent: number;
@@ -55,7 +54,7 @@
   readonly effect: memberOutcome.MemberEffect;
 }
 
-/** One leader; epochs are 1 and 2. */
+/** One leader; the epochs are 1 and 2. */
 export interface Leader {
   readonly isActive: boolean;
   readonly runtime: jobMachine.JobRuntime;
@@ -64,8 +63,8 @@
   readonly majorityFencedAtMs: number | undefined;
 }
 
-/** The whole world. */
-export interface World {
+/** The complete model state. */
+export interface ModelState {
   readonly nowMs: number;
   readonly stored: job.JobRecord;
   readonly writerEpoch: number;
@@ -74,14 +73,14 @@
   readonly commands: readonly Command[];
   readonly isCancelled: boolean;
   readonly restarts: number;
-  /** Set by the model when something happened that must not. */
+  /** Violation that the model detected in a transition. */
   readonly violation: string;
 }
 
 const JOB_ID = 'job';
 const AGENTS = [0, 1, 2];
 const VOTERS: ReadonlySet<string> = new Set(['w0', 'w1', 'w2']);
-const LONG_UP_MS = 1_000_000;
+const INITIAL_UPTIME_MS = 1_000_000;
 
 const contextOf = (leader: number): jobMachine.JobContext => ({
   nowMs: 0,
@@ -92,8 +91,8 @@
   reclaimGraceMs: 0,
 });
 
-/** Texts for people and counts of failures don't decide anything here and would only multiply states. */
-const bare = (runtime: jobMachine.JobRuntime): jobMachine.JobRuntime => ({
+/** Drops decision texts and failures, which affect nothing here and would multiply states. */
+const withoutHistory = (runtime: jobMachine.JobRuntime): jobMachine.JobRuntime => ({
   ...runtime,
   record: { ...runtime.record, decisions: [], failures: [] },
 });
@@ -101,28 +100,28 @@
 const replace = <T>(items: readonly T[], at: number, item: T): readonly T[] =>
   items.map((it, index) => (index === at ? item : it));
 
-const withLeader = (world: World, at: number, change: Partial<Leader>): World => {
-  const before = world.leaders[at];
-  if (before === undefined) return world;
-  return { ...world, leaders: replace(world.leaders, at, { ...before, ...change }) };
+const withLeader = (state: ModelState, at: number, change: Partial<Leader>): ModelState => {
+  const before = state.leaders[at];
+  if (before === undefined) return state;
+  return { ...state, leaders: replace(state.leaders, at, { ...before, ...change }) };
 };
 
-const withAgent = (world: World, at: number, change: Partial<Agent>): World => {
-  const before = world.agents[at];
-  if (before === undefined) return world;
-  return { ...world, agents: replace(world.agents, at, { ...before, ...change }) };
+const withAgent = (state: ModelState, at: number, change: Partial<Agent>): ModelState => {
+  const before = state.agents[at];
+  if (before === undefined) return state;
+  return { ...state, agents: replace(state.agents, at, { ...before, ...change }) };
 };
 
 const withEntry = (
-  world: World,
+  state: ModelState,
   leader: number,
   agent: number,
   change: Partial<roster.RosterEntry>,
-): World => {
-  const entries = world.leaders[leader]?.entries ?? [];
+): ModelState => {
+  const entries = state.leaders[leader]?.entries ?? [];
   const before = entries[agent];
-  if (before === undefined) return world;
-  return withLeader(world, leader, { entries: replace(entries, agent, { ...before, ...change }) });
+  if (before === undefined) return state;
+  return withLeader(state, leader, { entries: replace(entries, agent, { ...before, ...change }) });
 };
 
 const entryOf = (agent: number, isFenced: boolean): roster.RosterEntry => ({
@@ -149,10 +148,10 @@
 
 /**
  * @param scenario - bounds
- * @returns the first leader leads and has fenced all agents; the job is queued
+ * @returns the state in which the first leader has fenced all agents and the job is queued
  */
-export const firstWorld = (scenario: scenarios.Scenario): World => {
-  const runtime = bare(
+export const initialState = (scenario: scenarios.Scenario): ModelState => {
+  const runtime = withoutHistory(
     jobMachine.accept(
       {
         jobId: JOB_ID,
@@ -184,7 +183,7 @@
     leaders: [leader(true), leader(false)],
     agents: AGENTS.map(() => ({
       boot: 1,
-      bootedAtMs: -LONG_UP_MS,
+      bootedAtMs: -INITIAL_UPTIME_MS,
       tasks: { ...agentTasks.empty(1), acceptedEpoch: 1 },
       leaseUntilMs: LEASE_MS,
       stampMs: 0,
@@ -208,31 +207,35 @@
 };
 
 const send = (
-  world: World,
+  state: ModelState,
   leader: number,
   record: job.JobRecord,
   effect: memberOutcome.MemberEffect,
-): World => {
+): ModelState => {
   const agent = agentOfMember(record, effect.member);
-  const boot = Number(world.leaders[leader]?.entries[agent]?.bootId ?? 0);
+  const boot = Number(state.leaders[leader]?.entries[agent]?.bootId ?? 0);
   const command: Command = { leader, agent, boot, attempt: record.attempt, effect };
-  return includes(world.commands, command)
-    ? world
-    : { ...world, commands: [...world.commands, command] };
+  return includes(state.commands, command)
+    ? state
+    : { ...state, commands: [...state.commands, command] };
 };
 
 /**
- * @param world - before
- * @param leader - whose job it is
- * @param event - what happened to the job
- * @returns the world after the leader's step, with what it sends
+ * @param state - the state before the event
+ * @param leader - index of the leader
+ * @param event - a job event
+ * @returns the state after the leader's step, with the commands that it sends
  */
-export const dispatch = (world: World, leader: number, event: jobMachine.JobEvent): World => {
-  const before = world.leaders[leader]?.runtime;
-  if (before === undefined) return world;
+export const dispatch = (
+  state: ModelState,
+  leader: number,
+  event: jobMachine.JobEvent,
+): ModelState => {
+  const before = state.leaders[leader]?.runtime;
+  if (before === undefined) return state;
   const { next, effects } = jobMachine.step(before, event, contextOf(leader));
   const placed = next.record.placement.length > 0 ? next.record : before.record;
-  let after = withLeader(world, leader, { runtime: bare(next) });
+  let after = withLeader(state, leader, { runtime: withoutHistory(next) });
   for (const effect of effects) {
     if (effect.type === 'commit') after = withLeader(after, leader, { isCommitting: true });
     else if (effect.type !== 'persist') after = send(after, leader, placed, effect);
@@ -240,29 +243,29 @@
   return after;
 };
 
-const miss = (
-  world: World,
+const loseMissing = (
+  state: ModelState,
   leader: number,
   agent: number,
   tasks: readonly task.TaskReport[],
-): World => {
-  const runtime = world.leaders[leader]?.runtime;
-  if (runtime === undefined) return world;
+): ModelState => {
+  const runtime = state.leaders[leader]?.runtime;
+  if (runtime === undefined) return state;
   return reportIntake
     .missingMembers([runtime], `w${agent}`, tasks)
     .reduce(
       (after, { member }) => dispatch(after, leader, { type: 'memberLost', member, reason: '' }),
-      world,
+      state,
     );
 };
 
-const takeTasks = (
-  world: World,
+const processTasks = (
+  state: ModelState,
   leader: number,
   report: Pick<Report, 'agent' | 'boot' | 'commandCount' | 'tasks'>,
   isTakeOver: boolean,
-): World => {
-  let after = world;
+): ModelState => {
+  let after = state;
   for (const it of report.tasks) {
     const runtime = after.leaders[leader]?.runtime;
     if (runtime === undefined) break;
@@ -286,32 +289,37 @@
   }
   const known = after.leaders[leader]?.entries[report.agent];
   const isOutdated = known !== undefined && report.commandCount < known.commandCount;
-  return isOutdated ? after : miss(after, leader, report.agent, report.tasks);
+  return isOutdated ? after : loseMissing(after, leader, report.agent, report.tasks);
 };
 
-const rosterOf = (leader: Leader): roster.Roster =>
+const registryOf = (leader: Leader): roster.Roster =>
   new Map(leader.entries.map((it) => [it.info.workerId, it]));
 
-const noteMajority = (world: World, leader: number): World => {
-  const state = world.leaders[leader];
-  if (state === undefined || state.majorityFencedAtMs !== undefined) return world;
+const recordMajority = (state: ModelState, leader: number): ModelState => {
+  const current = state.leaders[leader];
+  if (current === undefined || current.majorityFencedAtMs !== undefined) return state;
   const authority = { isStoreLeaseHeld: true, voterSets: [VOTERS] };
-  const isFenced = roster.hasFencedMajority(rosterOf(state), authority);
-  return isFenced ? withLeader(world, leader, { majorityFencedAtMs: world.nowMs }) : world;
+  const isFenced = roster.hasFencedMajority(registryOf(current), authority);
+  return isFenced ? withLeader(state, leader, { majorityFencedAtMs: state.nowMs }) : state;
 };
 
 /**
- * A leader makes its epoch known to an agent and takes what the agent holds.
+ * A leader fences an agent with its epoch and processes the tasks that the agent reports.
  *
  * @param isAnswered - whether the agent's answer reaches the leader
  */
-export const fence = (world: World, leader: number, agent: number, isAnswered: boolean): World => {
-  const target = world.agents[agent];
-  if (target === undefined) return world;
+export const fence = (
+  state: ModelState,
+  leader: number,
+  agent: number,
+  isAnswered: boolean,
+): ModelState => {
+  const target = state.agents[agent];
+  if (target === undefined) return state;
   const tasks = agentTasks.fence(target.tasks, leader + 1);
-  if (tasks === undefined) return withLeader(world, leader, { isActive: false });
+  if (tasks === undefined) return withLeader(state, leader, { isActive: false });
   const isNew = tasks !== target.tasks;
-  const fenced = withAgent(world, agent, {
+  const fenced = withAgent(state, agent, {
     tasks,
     stampMs: isNew ? undefined : target.stampMs,
     highestEpoch: Math.max(target.highestEpoch, leader + 1),
@@ -319,73 +327,77 @@
   if (!isAnswered) return fenced;
   const known = fenced.leaders[leader]?.entries[agent];
   const isSameBoot = known?.bootId === String(target.boot);
-  const enrolled = withEntry(fenced, leader, agent, {
+  const registered = withEntry(fenced, leader, agent, {
     bootId: String(target.boot),
     isFenced: true,
     commandCount: isSameBoot ? known.commandCount : 0,
-    leaseUntilMs: isSameBoot ? known.leaseUntilMs : world.nowMs + roster.certainLapseMs(LEASE_MS),
+    leaseUntilMs: isSameBoot ? known.leaseUntilMs : state.nowMs + roster.certainLapseMs(LEASE_MS),
     confirmedAtMs: isSameBoot ? known.confirmedAtMs : Number.NEGATIVE_INFINITY,
   });
   const held = [...tasks.held.values()].map(agentTasks.toReport);
-  const statement = { agent, boot: target.boot, commandCount: target.commandCount, tasks: held };
-  return takeTasks(noteMajority(enrolled, leader), leader, statement, true);
+  const report = { agent, boot: target.boot, commandCount: target.commandCount, tasks: held };
+  return processTasks(recordMajority(registered, leader), leader, report, true);
 };
 
-const mayGrant = (world: World, leader: number, guards: scenarios.Guards): boolean => {
-  const state = world.leaders[leader];
-  if (state === undefined) return false;
+const mayGrant = (state: ModelState, leader: number, guards: scenarios.Guards): boolean => {
+  const current = state.leaders[leader];
+  if (current === undefined) return false;
   if (!guards.isMajorityNeeded) return true;
-  // The first leader never reaches the store again; its lease lapses within the first tick.
-  const isStoreLeaseHeld = leader === 1 || world.nowMs < LEASE_MS;
+  // The first leader never reaches the store again; its lease expires within the first tick.
+  const isStoreLeaseHeld = leader === 1 || state.nowMs < LEASE_MS;
   const authority = { isStoreLeaseHeld, voterSets: [VOTERS] };
-  return roster.mayGrant(rosterOf(state), authority, world.nowMs, LEASE_MS);
+  return roster.mayGrant(registryOf(current), authority, state.nowMs, LEASE_MS);
 };
 
-/** What a leader's answer gives to the agent that reported. */
+/** Answer of a leader to a report. */
 export interface Answer {
   readonly leaseUntilMs: number;
   readonly stampMs: number;
 }
 
 /**
- * A leader takes a report from an agent that it has fenced.
+ * A leader processes a report of an agent that it has fenced.
  *
- * @returns the world and the answer that goes back; undefined where the leader does not take it
+ * @returns the state and the answer; undefined where the leader ignores the report
  */
-export const takeReport = (
-  world: World,
+export const processReport = (
+  state: ModelState,
   leader: number,
   report: Report,
   guards: scenarios.Guards,
-): { readonly after: World; readonly answer: Answer } | undefined => {
-  const known = world.leaders[leader]?.entries[report.agent];
+): { readonly after: ModelState; readonly answer: Answer } | undefined => {
+  const known = state.leaders[leader]?.entries[report.agent];
   const isKnown = known?.isFenced === true && known.bootId === String(report.boot);
   if (report.epoch !== leader + 1 || !isKnown) return undefined;
   const isVote = report.uptimeMs >= roster.votingDelayMs(LEASE_MS);
-  const confirmed = withEntry(world, leader, report.agent, {
+  const confirmed = withEntry(state, leader, report.agent, {
     confirmedAtMs: Math.max(known.confirmedAtMs, isVote ? (report.stampMs ?? -1) : -1),
   });
-  const taken = takeTasks(confirmed, leader, report, false);
+  const taken = processTasks(confirmed, leader, report, false);
   const isGranted = mayGrant(taken, leader, guards);
-  const leaseUntilMs = world.nowMs + roster.certainLapseMs(LEASE_MS);
+  const leaseUntilMs = state.nowMs + roster.certainLapseMs(LEASE_MS);
   const after = isGranted ? withEntry(taken, leader, report.agent, { leaseUntilMs }) : taken;
-  // Only the first worker runs anything for the first leader; the others confirm its epoch.
+  // Only the first worker runs tasks for the first leader; the others confirm its epoch.
   const isLeaseWanted = leader === 1 || report.agent === 0 || report.tasks.length > 0;
   const grantedUntilMs =
     isGranted && isLeaseWanted ? report.sentAtMs + LEASE_MS : Number.NEGATIVE_INFINITY;
-  return { after, answer: { leaseUntilMs: grantedUntilMs, stampMs: world.nowMs } };
+  return { after, answer: { leaseUntilMs: grantedUntilMs, stampMs: state.nowMs } };
 };
 
-/** A leader looks for workers whose leases have certainly lapsed. */
-export const loseLapsed = (world: World, leader: number, guards: scenarios.Guards): World => {
-  const state = world.leaders[leader];
-  if (state === undefined) return world;
-  const formerEndMs = guards.isFormerLeaseAwaited
-    ? roster.formerLeasesEndMs(state.majorityFencedAtMs, LEASE_MS)
+/** A leader declares the tasks lost on workers whose leases have certainly expired. */
+export const loseExpired = (
+  state: ModelState,
+  leader: number,
+  guards: scenarios.Guards,
+): ModelState => {
+  const current = state.leaders[leader];
+  if (current === undefined) return state;
+  const previousEndMs = guards.isPreviousLeaseAwaited
+    ? roster.formerLeasesEndMs(current.majorityFencedAtMs, LEASE_MS)
     : Number.NEGATIVE_INFINITY;
   return AGENTS.reduce((after, agent) => {
     const entry = after.leaders[leader]?.entries[agent];
-    const isLapsed = entry !== undefined && roster.isLapsed(entry, formerEndMs, world.nowMs);
-    return isLapsed ? miss(after, leader, agent, []) : after;
-  }, world);
+    const isExpired = entry !== undefined && roster.isLapsed(entry, previousEndMs, state.nowMs);
+    return isExpired ? loseMissing(after, leader, agent, []) : after;
+  }, state);
 };
--- a/src/coordination/common/test/takeOverScenario.ts
+++ b/src/coordination/common/test/takeOverScenario.ts
@@ -2,20 +2,20 @@
  * Bounds and guards of one exploration of leadership.
  */
 
-/** What is left out of the guards, so that the exploration shows that it would find the fault. */
+/** Guards of the protocol. Disabling one shows that the exploration would find the fault. */
 export interface Guards {
   readonly isFencing: boolean;
   readonly isMajorityNeeded: boolean;
-  readonly isFormerLeaseAwaited: boolean;
+  readonly isPreviousLeaseAwaited: boolean;
 }
 
 /** Bounds of one exploration. */
 export interface Scenario {
   readonly members: number;
   readonly maxTicks: number;
-  /** Whether the first placement is committed and its starts are under way at the beginning. */
+  /** Whether the first placement is initially committed, with its starts in flight. */
   readonly isCommitted: boolean;
-  /** Whether a second leader may take over once the store's lease of the first has lapsed. */
+  /** Whether a second leader may take over once the first one's lease in the store has expired. */
   readonly hasTakeOver: boolean;
   readonly maxAttempts: number;
   readonly maxRestarts: number;
