--- a/src/protocol/common/agentEntryMessages.ts
+++ b/src/protocol/common/agentEntryMessages.ts
@@ -7,13 +7,13 @@
 import * as units from '../../state/common/units.js';
 import * as envelope from './envelope.js';
 
-/** An agent's upstream as the entries route to it. */
+/** State of an agent's upstream, from which entries route requests. */
 export const UpstreamState = Schema.Struct({
   upstreamId: units.Id,
   slots: units.integerBetween(1, 4096),
   connections: units.integerBetween(1, 65_536),
   isLeaving: Schema.Boolean,
-  /** Requests on slots now. */
+  /** Requests that occupy a slot now. */
   running: units.Count,
   /** Requests waiting for a slot. */
   queued: units.Count,
@@ -24,17 +24,17 @@
 /** See {@link UpstreamState}. */
 export type UpstreamState = typeof UpstreamState.Type;
 
-/** An agent makes itself known, or renews what the entry knows of it. */
+/** Registers an agent with an entry, or updates its registration. */
 export const RegisterRequest = Schema.Struct({
   from: envelope.Sender,
-  /** Changes when the agent restarts: what it held before is gone. */
+  /** Changes when the agent restarts, which loses its in-memory state. */
   bootId: units.CallerKey,
-  /** The agent's monotonic clock, from which entries work out when an attempt is too late. */
+  /** The agent's monotonic clock, from which entries compute an attempt's latest start. */
   clockMs: units.Count,
   url: units.Url,
   zone: units.Id,
   region: units.Id,
-  /** Absent where no upstream has announced itself on the VM. */
+  /** Absent if no upstream has announced itself on the VM. */
   upstream: Schema.optionalKey(UpstreamState),
   isLeaving: Schema.Boolean,
 });
@@ -42,12 +42,12 @@
 /** See {@link RegisterRequest}. */
 export type RegisterRequest = typeof RegisterRequest.Type;
 
-/** What the entry knows that the agent needs. */
+/** The entry's reply to a registration: addresses of other entries and of the cell's leader. */
 export const RegisterReply = Schema.Struct({
   from: envelope.Sender,
   /** All live entries of the region. */
   entryUrls: Schema.Array(units.Url),
-  /** Leader of the agent's cell, where one is known. */
+  /** Leader of the agent's cell, if known. */
   leader: Schema.optionalKey(Schema.Struct({ url: units.Url, epoch: units.Count })),
   /** Time until the next registration is due. */
   nextAfterMs: units.DurationMs,
@@ -56,13 +56,13 @@
 /** See {@link RegisterReply}. */
 export type RegisterReply = typeof RegisterReply.Type;
 
-/** Asks for the configuration in force. */
+/** Requests the active configuration. */
 export const ConfigurationRequest = Schema.Struct({ from: envelope.Sender });
 
 /** See {@link ConfigurationRequest}. */
 export type ConfigurationRequest = typeof ConfigurationRequest.Type;
 
-/** The configuration in force at the answering process, where it has one. */
+/** The active configuration of the replying process, if it has one. */
 export const ConfigurationReply = Schema.Struct({
   from: envelope.Sender,
   record: Schema.optionalKey(configuration.ConfigurationRecord),
@@ -71,17 +71,17 @@
 /** See {@link ConfigurationReply}. */
 export type ConfigurationReply = typeof ConfigurationReply.Type;
 
-/** Asks an entry for the agents that it knows, as they registered. */
+/** Requests the agents registered with an entry. */
 export const DirectoryRequest = Schema.Struct({
   from: envelope.Sender,
-  /** The emptiest ones only, so that an answer to another region stays small. */
+  /** Only the least loaded agents are returned, to keep replies to other regions small. */
   maxAgents: units.integerBetween(1, 4096),
 });
 
 /** See {@link DirectoryRequest}. */
 export type DirectoryRequest = typeof DirectoryRequest.Type;
 
-/** An agent of the answering entry's region that is alive. */
+/** A live agent in the replying entry's region. */
 export const AgentState = Schema.Struct({
   agentId: units.Id,
   bootId: units.CallerKey,
@@ -95,7 +95,7 @@
 /** See {@link AgentState}. */
 export type AgentState = typeof AgentState.Type;
 
-/** What the entry knows, without agents that are leaving or avoided. */
+/** The registered agents, without those that are draining or excluded from routing. */
 export const DirectoryReply = Schema.Struct({
   from: envelope.Sender,
   agents: Schema.Array(AgentState),
@@ -104,13 +104,13 @@
 /** See {@link DirectoryReply}. */
 export type DirectoryReply = typeof DirectoryReply.Type;
 
-/** Agents that an entry knows in one zone, for a new leader of the cell. */
+/** Requests the agents that an entry knows in one zone, for a new leader of the cell. */
 export const AgentsRequest = Schema.Struct({ from: envelope.Sender, zone: units.Id });
 
 /** See {@link AgentsRequest}. */
 export type AgentsRequest = typeof AgentsRequest.Type;
 
-/** Where those agents listen. */
+/** URLs of those agents. */
 export const AgentsReply = Schema.Struct({
   from: envelope.Sender,
   agentUrls: Schema.Array(units.Url),
--- a/src/protocol/common/agentSchedulerMessages.ts
+++ b/src/protocol/common/agentSchedulerMessages.ts
@@ -8,27 +8,27 @@
 import * as worker from '../../state/common/worker.js';
 import * as envelope from './envelope.js';
 
-/** A leader makes its epoch known; the agent refuses every lower one from then on. */
+/** Announces a leader's epoch; from then on the agent rejects every lower epoch. */
 export const FenceRequest = Schema.Struct({
   from: envelope.Sender,
   cell: units.Id,
   epoch: units.Count,
-  /** Where the agent reports from now on. */
+  /** URL to which the agent reports from now on. */
   leaderUrl: units.Url,
 });
 
 /** See {@link FenceRequest}. */
 export type FenceRequest = typeof FenceRequest.Type;
 
-/** What the agent holds, as of the moment at which it accepted the epoch. */
+/** The agent's tasks at the instant when it accepted the epoch. */
 export const FenceReply = Schema.Struct({
   from: envelope.Sender,
   bootId: units.CallerKey,
   acceptedEpoch: units.Count,
-  /** How long the agent's process has been up. */
+  /** Uptime of the agent's process. */
   uptimeMs: units.Count,
   worker: Schema.optionalKey(worker.WorkerInfo),
-  /** Counts the command messages that the agent has handled since its boot. */
+  /** Number of command messages that the agent has handled since its boot. */
   commandCount: units.Count,
   tasks: Schema.Array(task.TaskReport),
 });
@@ -41,7 +41,7 @@
   from: envelope.Sender,
   cell: units.Id,
   epoch: units.Count,
-  /** Boot of the agent that the leader has fenced: a command that outlived it is refused. */
+  /** Boot of the agent that the leader has fenced; commands for an earlier boot are rejected. */
   bootId: units.CallerKey,
   commands: Schema.Array(task.TaskCommand),
 });
@@ -49,12 +49,12 @@
 /** See {@link CommandRequest}. */
 export type CommandRequest = typeof CommandRequest.Type;
 
-/** What became of one command. */
+/** Result of one command. */
 export const CommandResult = Schema.Struct({
   isAccepted: Schema.Boolean,
-  /** Nothing of the token runs, and nothing of it ever will. */
+  /** The task with this token does not run and never will. */
   isGone: Schema.Boolean,
-  /** Why it was refused. */
+  /** Why the command was rejected. */
   reason: Schema.optionalKey(units.ShortText),
 });
 
@@ -65,7 +65,7 @@
 export const CommandReply = Schema.Struct({
   from: envelope.Sender,
   bootId: units.CallerKey,
-  /** Counts the command messages that the agent has handled since its boot. */
+  /** Number of command messages that the agent has handled since its boot. */
   commandCount: units.Count,
   results: Schema.Array(CommandResult),
 });
@@ -78,17 +78,17 @@
   from: envelope.Sender,
   cell: units.Id,
   bootId: units.CallerKey,
-  /** Epoch that the agent has accepted. */
+  /** Highest epoch that the agent has accepted. */
   epoch: units.Count,
-  /** How long the agent's process has been up. */
+  /** Uptime of the agent's process. */
   uptimeMs: units.Count,
-  /** Stamp of the last answer from the leader of the epoch. */
+  /** Stamp of the last reply from the leader of the epoch. */
   stampMs: Schema.optionalKey(units.Count),
   worker: worker.WorkerInfo,
   isLeaving: Schema.Boolean,
-  /** All tasks, or only those that changed since the last acknowledged report. */
+  /** Whether `tasks` has all tasks, or only those changed since the last acknowledged report. */
   isFull: Schema.Boolean,
-  /** Counts the command messages that the agent has handled since its boot. */
+  /** Number of command messages that the agent has handled since its boot. */
   commandCount: units.Count,
   tasks: Schema.Array(task.TaskReport),
 });
@@ -96,22 +96,22 @@
 /** See {@link ReportRequest}. */
 export type ReportRequest = typeof ReportRequest.Type;
 
-/** The leader's answer to a heartbeat. */
+/** The leader's reply to a heartbeat. */
 export const ReportReply = Schema.Struct({
   from: envelope.Sender,
   epoch: units.Count,
   /**
-   * From the sending of the report on, the worker's tasks may run this long without another. 0 where
-   * the leader may not grant: what was granted before stands.
+   * Lease of the worker's tasks, counted from when the report was sent. 0 if the leader may not
+   * grant leases now; the previous lease then stays valid until it expires.
    */
   leaseMs: units.DurationMs,
-  /** The leader's monotonic time, to be sent back with the next report. */
+  /** The leader's monotonic time; the agent returns it with the next report. */
   stampMs: units.Count,
-  /** Period of the next reports while nothing happens. */
+  /** Period of reports while no task changes. */
   reportMs: units.DurationMs,
-  /** The leader wants to be told everything. */
+  /** The leader requests a full report. */
   wantsFull: Schema.Boolean,
-  /** Ended tasks whose end is durable; the agent may forget them. */
+  /** Ended tasks whose end is durable; the agent may drop them. */
   acknowledged: Schema.Array(task.TaskToken),
 });
 
--- a/src/protocol/common/attemptSteps.ts
+++ b/src/protocol/common/attemptSteps.ts
@@ -1,40 +1,40 @@
 /**
- * What an entry does after an exchange with an agent: the entry's half of at-most-once.
+ * Decides what an entry does after an exchange with an agent: the entry's half of at-most-once.
  *
- * The one rule: a request that is not idempotent goes elsewhere only after proof that it never ran
- * and never will. Proof is a typed refusal, the agent's word on a question, or a connection that
- * was never made. Silence, a cut answer or an agent that restarted prove nothing.
+ * A request that is not idempotent is retried on another agent only after proof that it never ran
+ * and never will. Proof is a typed rejection, the agent's reply to a settle message, or a failure
+ * to connect. A timeout, a truncated reply or a restart of the agent proves nothing.
  */
 import * as errorKinds from '../../base/common/errorKinds.js';
 import * as errors from '../../base/common/errors.js';
 import type * as exchange from './exchange.js';
 
-/** What came of one exchange. */
+/** Result of one exchange. */
 export type ExchangeResult =
   | { readonly type: 'answer'; readonly answer: exchange.Answer }
-  /** The agent's own word, of a kind that says whether the request ran. */
+  /** An error reported by the agent, whose kind says whether the request ran. */
   | { readonly type: 'error'; readonly error: errors.AuburnliftError }
-  /** No connection was made: the agent saw nothing of this message. */
+  /** No connection was established, so the agent did not receive this message. */
   | { readonly type: 'notSent'; readonly error: errors.AuburnliftError }
-  /** Silence, a cut answer, or one that belongs to another attempt. */
+  /** A timeout, a truncated reply, or the reply to another attempt. */
   | { readonly type: 'noWord'; readonly error: errors.AuburnliftError };
 
-/** What the entry does next. */
+/** The entry's next step. */
 export type NextStep =
   | { readonly type: 'answer'; readonly answer: exchange.Answer }
   | { readonly type: 'fail'; readonly error: errors.AuburnliftError }
-  /** It did not run there and never will, or may run again: another agent may have it. */
+  /** It did not run there and never will, or is idempotent: retry on another agent. */
   | { readonly type: 'elsewhere'; readonly error: errors.AuburnliftError }
-  /** Ask the same agent over a connection that no exchange used before. */
+  /** Ask the same agent for the outcome, over a new connection. */
   | { readonly type: 'settle' };
 
-const afterWord = (error: errors.AuburnliftError, isIdempotent: boolean): NextStep => {
+const afterAgentError = (error: errors.AuburnliftError, isIdempotent: boolean): NextStep => {
   const didNotRun = errorKinds.ERROR_TABLE[error.kind].ran === errorKinds.Ran.no;
   return didNotRun || isIdempotent ? { type: 'elsewhere', error } : { type: 'fail', error };
 };
 
 /**
- * @param result - what came of the message that may start the request
+ * @param result - result of the `run` message
  * @param isIdempotent - whether a second run does no harm
  * @returns the next step
  */
@@ -43,7 +43,7 @@
     case 'answer':
       return result;
     case 'error':
-      return afterWord(result.error, isIdempotent);
+      return afterAgentError(result.error, isIdempotent);
     case 'notSent':
       return { type: 'elsewhere', error: result.error };
     default:
@@ -52,28 +52,31 @@
 };
 
 /**
- * A question that was not sent proves nothing: the message before it may have run.
+ * A settle message that was not sent proves nothing: the earlier `run` message may have run.
  *
- * @param result - what came of the question
+ * @param result - result of the `settle` message
  * @param isIdempotent - whether a second run does no harm
  * @returns the next step
  */
 export const afterSettle = (result: ExchangeResult, isIdempotent: boolean): NextStep => {
   if (result.type === 'answer') return result;
-  if (result.type === 'error') return afterWord(result.error, isIdempotent);
-  const error = errors.fail('outcomeUnknown', 'the agent does not say what became of it');
+  if (result.type === 'error') return afterAgentError(result.error, isIdempotent);
+  const error = errors.fail(
+    'outcomeUnknown',
+    'the agent did not report the outcome of the request',
+  );
   return isIdempotent ? { type: 'elsewhere', error } : { type: 'fail', error };
 };
 
 /**
- * Keeps a later refusal from hiding an earlier run: an idempotent request that may have run at one
- * agent and was then refused by another has not "not run".
+ * Keeps a later rejection from hiding an earlier run: an idempotent request that may have run on
+ * one agent and was then rejected by another must not be reported as "did not run".
  *
- * @param before - why the request went on from earlier agents; undefined at first
- * @param latest - why it ended or goes on from this one
- * @returns the error that the caller gets if nothing better comes
+ * @param before - error from the agents tried before; undefined at first
+ * @param latest - error from the latest agent
+ * @returns the error for the caller unless a later attempt succeeds
  */
-export const worstOf = (
+export const errorToReport = (
   before: errors.AuburnliftError | undefined,
   latest: errors.AuburnliftError,
 ): errors.AuburnliftError => {
--- a/src/protocol/common/entrySchedulerMessages.ts
+++ b/src/protocol/common/entrySchedulerMessages.ts
@@ -8,19 +8,19 @@
 import * as worker from '../../state/common/worker.js';
 import * as envelope from './envelope.js';
 
-/** Submits a job; the same job id again is the same job. */
+/** Submits a job; idempotent by job id. */
 export const SubmitRequest = Schema.Struct({ from: envelope.Sender, spec: job.JobSpec });
 
 /** See {@link SubmitRequest}. */
 export type SubmitRequest = typeof SubmitRequest.Type;
 
-/** The job as it is kept; it is durable when this is sent. */
+/** The job as stored; it is durable when this reply is sent. */
 export const JobReply = Schema.Struct({ from: envelope.Sender, job: job.JobRecord });
 
 /** See {@link JobReply}. */
 export type JobReply = typeof JobReply.Type;
 
-/** Names one job of one cell. */
+/** Identifies one job of one cell. */
 export const JobRequest = Schema.Struct({
   from: envelope.Sender,
   cell: units.Id,
@@ -30,7 +30,7 @@
 /** See {@link JobRequest}. */
 export type JobRequest = typeof JobRequest.Type;
 
-/** Cancels jobs, up to a whole wave in one message and one round of store writes. */
+/** Cancels jobs: a burst of cancellations takes one message and one round of store writes. */
 export const CancelRequest = Schema.Struct({
   from: envelope.Sender,
   cell: units.Id,
@@ -40,7 +40,7 @@
 /** See {@link CancelRequest}. */
 export type CancelRequest = typeof CancelRequest.Type;
 
-/** The jobs as they are kept; unknown ids are left out. */
+/** The jobs as stored; unknown ids are left out. */
 export const JobsReply = Schema.Struct({
   from: envelope.Sender,
   jobs: Schema.Array(job.JobRecord),
@@ -49,13 +49,13 @@
 /** See {@link JobsReply}. */
 export type JobsReply = typeof JobsReply.Type;
 
-/** Asks for a cell. */
+/** Requests the state of a cell. */
 export const CellRequest = Schema.Struct({ from: envelope.Sender, cell: units.Id });
 
 /** See {@link CellRequest}. */
 export type CellRequest = typeof CellRequest.Type;
 
-/** One worker of a cell as its leader sees it. */
+/** Status of one worker of a cell, as known to its leader. */
 export const WorkerView = Schema.Struct({
   worker: worker.WorkerInfo,
   health: Schema.Literals(['ready', 'unreachable', 'quarantined', 'leaving']),
@@ -65,7 +65,7 @@
 /** See {@link WorkerView}. */
 export type WorkerView = typeof WorkerView.Type;
 
-/** A whole cell. */
+/** State of a cell. */
 export const CellReply = Schema.Struct({
   from: envelope.Sender,
   cell: units.Id,
@@ -73,14 +73,14 @@
   leaderId: units.Id,
   workers: Schema.Array(WorkerView),
   jobs: Schema.Array(job.JobRecord),
-  /** What is wrong with the cell's guarantees now, for operators. */
+  /** Current problems with the cell's guarantees, for operators. */
   warnings: Schema.Array(units.ShortText),
 });
 
 /** See {@link CellReply}. */
 export type CellReply = typeof CellReply.Type;
 
-/** Puts a worker into quarantine or takes it out. */
+/** Quarantines a worker or releases it. */
 export const QuarantineRequest = Schema.Struct({
   from: envelope.Sender,
   cell: units.Id,
--- a/src/protocol/common/envelope.ts
+++ b/src/protocol/common/envelope.ts
@@ -1,15 +1,15 @@
 /**
- * What every message between processes carries.
+ * Fields common to all messages between processes.
  */
 import * as Schema from 'effect/Schema';
 
 import * as units from '../../state/common/units.js';
 
-/** Who sent a message and which configuration it acts on. */
+/** The sender of a message and its active configuration version. */
 export const Sender = Schema.Struct({
   processId: units.Id,
   role: Schema.Literals(['entry', 'scheduler', 'agent', 'client']),
-  /** Highest configuration version that the sender has in force. */
+  /** Version of the sender's active configuration. */
   configVersion: units.Count,
 });
 
--- a/src/protocol/common/exchange.ts
+++ b/src/protocol/common/exchange.ts
@@ -1,15 +1,15 @@
 /**
  * The exchange of one caller's request between entry and agent.
  *
- * It goes over plain HTTP and not over tRPC: bodies are bytes, and a tRPC call costs several times
- * the processor time of a plain one. The envelope travels as one JSON header, the body as it is.
+ * It uses plain HTTP instead of tRPC: bodies are bytes, and a tRPC call costs several times the
+ * processor time of a plain one. The envelope is one JSON header; the body is sent unchanged.
  */
 import * as Schema from 'effect/Schema';
 
 import * as units from '../../state/common/units.js';
 import * as envelope from './envelope.js';
 
-/** Path at the agent. */
+/** HTTP path on the agent. */
 export const EXCHANGE_PATH = '/exchange';
 
 /** Header that carries {@link ExchangeRequest}. */
@@ -18,32 +18,32 @@
 /** Header that carries {@link ExchangeReply}. */
 export const REPLY_HEADER = 'auburnlift-reply';
 
-/** Whether the agent may start the request or is only asked what became of it. */
+/** Whether the agent may start the request or is only asked for its outcome. */
 export const ExchangeMode = {
-  /** Start it, unless it is known already. */
+  /** Start the request, unless it is already known. */
   run: 'run',
-  /** Attach to it or take its answer; where it is unknown, make sure that it never runs. */
+  /** Wait for the run or return its answer; if it is unknown, ensure that it never runs. */
   settle: 'settle',
 } as const;
 
 /** One of the values of {@link ExchangeMode}. */
 export type ExchangeMode = (typeof ExchangeMode)[keyof typeof ExchangeMode];
 
-/** What goes with the body of a request. */
+/** Envelope of a request. */
 export const ExchangeRequest = Schema.Struct({
   from: envelope.Sender,
   mode: Schema.Literals(['run', 'settle']),
-  /** Unique for each request of each customer; the same id is the same request. */
+  /** Unique for each request of a customer; repeating the id repeats the same request. */
   requestId: units.CallerKey,
-  /** Unique for each time that an entry sends the request to an agent. */
+  /** Unique for each attempt of an entry to run the request on an agent. */
   attemptId: units.CallerKey,
-  /** Boot of the agent that the entry means; another boot can't know what this one ran. */
+  /** Boot of the agent that the attempt targets; another boot can't know what this one ran. */
   bootId: units.CallerKey,
-  /** Last moment on that boot's clock at which the attempt may start the request. */
+  /** Latest start of the request by this attempt, on that boot's clock. */
   startBeforeMs: units.Count,
   customerId: units.Id,
   isIdempotent: Schema.Boolean,
-  /** Time left when the entry sent it; the agent counts from its arrival. */
+  /** Time to the deadline when the entry sent it; the agent counts from its arrival. */
   remainingMs: units.DurationMs,
   method: Schema.String.check(Schema.isMaxLength(16)),
   path: Schema.String.check(Schema.isMaxLength(2048)),
@@ -53,22 +53,22 @@
 /** See {@link ExchangeRequest}. */
 export type ExchangeRequest = typeof ExchangeRequest.Type;
 
-/** What goes with the body of an answer. */
+/** Envelope of a reply. */
 export const ExchangeReply = Schema.Struct({
   from: envelope.Sender,
-  /** Echoed, so that an answer can never be taken for another request's. */
+  /** Echoed, so that a reply is never matched to another request. */
   requestId: units.CallerKey,
-  /** Echoed, so that a late answer to one attempt is never taken for the word on another. */
+  /** Echoed, so that a late reply to one attempt is never matched to another attempt. */
   attemptId: units.CallerKey,
   bootId: units.CallerKey,
-  /** The agent's clock, from which entries work out `startBeforeMs`. */
+  /** The agent's clock, from which entries compute `startBeforeMs`. */
   clockMs: units.Count,
-  /** `answer`: the body is the upstream's. `error`: the body is an `ErrorBody`. */
+  /** `answer`: the body is the upstream's response. `error`: the body is an `ErrorBody`. */
   kind: Schema.Literals(['answer', 'error']),
-  /** The upstream's status. */
+  /** HTTP status of the upstream's response. */
   status: units.integerBetween(0, 599),
   contentType: Schema.String.check(Schema.isMaxLength(200)),
-  /** Load of the upstream, so that entries need no separate report. */
+  /** Load of the upstream, sent here so that entries need no separate report. */
   running: units.Count,
   queued: units.Count,
   serviceMs: units.numberBetween(0, 3_600_000),
@@ -78,7 +78,7 @@
 /** See {@link ExchangeReply}. */
 export type ExchangeReply = typeof ExchangeReply.Type;
 
-/** An upstream's whole answer. */
+/** An upstream's complete response. */
 export interface Answer {
   readonly status: number;
   readonly contentType: string;
--- a/src/protocol/common/operatorMessages.ts
+++ b/src/protocol/common/operatorMessages.ts
@@ -7,25 +7,25 @@
 import * as agentEntryMessages from './agentEntryMessages.js';
 import * as envelope from './envelope.js';
 
-/** Asks an entry for the agents that it knows. */
+/** Requests the agents known to an entry. */
 export const OverviewRequest = Schema.Struct({ from: envelope.Sender });
 
 /** See {@link OverviewRequest}. */
 export type OverviewRequest = typeof OverviewRequest.Type;
 
-/** Asks a process which configuration version it has in force. */
+/** Requests a process's active configuration version. */
 export const VersionRequest = Schema.Struct({ from: envelope.Sender });
 
 /** See {@link VersionRequest}. */
 export type VersionRequest = typeof VersionRequest.Type;
 
-/** The sender carries the version. */
+/** The version is in `from.configVersion`. */
 export const VersionReply = Schema.Struct({ from: envelope.Sender });
 
 /** See {@link VersionReply}. */
 export type VersionReply = typeof VersionReply.Type;
 
-/** One agent as an entry of its region knows it. */
+/** Status of one agent, as known to an entry of its region. */
 export const AgentView = Schema.Struct({
   agentId: units.Id,
   url: units.Url,
@@ -38,7 +38,7 @@
 /** See {@link AgentView}. */
 export type AgentView = typeof AgentView.Type;
 
-/** The agents that the entry knows. */
+/** The agents known to the entry. */
 export const OverviewReply = Schema.Struct({
   from: envelope.Sender,
   agents: Schema.Array(AgentView),
@@ -53,7 +53,7 @@
 /** See {@link DrainRequest}. */
 export type DrainRequest = typeof DrainRequest.Type;
 
-/** The upstream as the agent has it now; absent where none has announced itself. */
+/** The upstream's current state; absent if no upstream has announced itself. */
 export const DrainReply = Schema.Struct({
   from: envelope.Sender,
   upstream: Schema.optionalKey(agentEntryMessages.UpstreamState),
--- a/src/protocol/common/outcomeTable.ts
+++ b/src/protocol/common/outcomeTable.ts
@@ -1,113 +1,113 @@
 /**
- * What an agent remembers of requests, bounded in memory. The decisions are in
- * {@link requestRecord}; this is the storage with its rules for what is dropped.
+ * An agent's in-memory records of requests, with bounded size. The decisions are in
+ * {@link requestRecord}; this module stores the records and evicts them.
  *
- * Dropped, in this order, and why that can't lead to a second run:
- * 1. what has passed its time: no message can start it any more (see `startBeforeMs`);
- * 2. the bytes of the oldest answers, when they exceed the budget: that the request ran stays;
- * 3. nothing else. When the records are full, a new request is refused and did not run; when the
- *    bars are full, a question gets no proof.
+ * What is evicted, and why that can't lead to a second run:
+ * 1. expired records: no message can start the request any more (see `startBeforeMs`);
+ * 2. the oldest answers, if they exceed the byte budget: the record that the request ran remains;
+ * 3. nothing else. If the records are full, a new request is rejected without running; if the
+ *    tombstones are full, a settle message gets no proof.
  */
 import type * as exchange from './exchange.js';
 import * as requestRecord from './requestRecord.js';
 
 /** Limits of the table. */
 export interface OutcomeLimits {
-  /** Requests that run or have ended. */
+  /** Running and ended requests. */
   readonly maxRecords: number;
-  /** Attempts that may not start any more. */
-  readonly maxBars: number;
-  /** Bytes of kept answers. */
+  /** Attempts that may no longer start. */
+  readonly maxTombstones: number;
+  /** Bytes of retained answers. */
   readonly maxAnswerBytes: number;
 }
 
-/** Limits of an agent, whose budget for control is 256 MB: about 64 MB at the most. */
+/** About 64 MB at most, of an agent's control-plane memory budget of 256 MB. */
 export const DEFAULT_LIMITS: OutcomeLimits = {
   maxRecords: 65_536,
-  maxBars: 65_536,
+  maxTombstones: 65_536,
   maxAnswerBytes: 33_554_432,
 };
 
-/** Which request and which attempt at it a message is about. */
-export interface AttemptHead extends requestRecord.ArrivalHead {
+/** The request and the attempt that a message refers to. */
+export interface AttemptHeader extends requestRecord.MessageHeader {
   readonly customerId: string;
   readonly requestId: string;
   readonly attemptId: string;
 }
 
-/** A message's arrival, or that there is no room to remember it. */
+/** How to handle a message, or that the table is full. */
 export type TableArrival = requestRecord.Arrival | { readonly type: 'full' };
 
-/** What the agent remembers. */
+/** An agent's records of requests. */
 export interface OutcomeTable {
-  /** Notes a message and says what to do; a request that may run is noted as running. */
-  readonly arrive: (head: AttemptHead, nowMs: number) => TableArrival;
-  /** Notes how a running request ended. */
-  readonly end: (head: AttemptHead, outcome: requestRecord.Outcome, nowMs: number) => void;
+  /** Decides how to handle a message; a request that may run is recorded as running. */
+  readonly handle: (header: AttemptHeader, nowMs: number) => TableArrival;
+  /** Records the outcome of a running request. */
+  readonly end: (header: AttemptHeader, outcome: requestRecord.Outcome, nowMs: number) => void;
   readonly sizes: () => TableSizes;
 }
 
-/** How full the table is. */
+/** Current sizes of the table. */
 export interface TableSizes {
   readonly records: number;
-  readonly bars: number;
+  readonly tombstones: number;
   readonly answerBytes: number;
 }
 
-/** What expires is looked for by whole seconds, so that one message costs a constant time. */
+/** Expiry works in buckets of one second, so that each message costs constant time. */
 const BUCKET_MS = 1000;
 
-/** Buckets that one message looks through at the most. */
+/** Most buckets that one message scans. */
 const MAX_BUCKETS_SWEPT = 64;
 
-interface Buckets {
+interface ExpiryBuckets {
   readonly add: (id: string, atMs: number) => void;
-  readonly takeDue: (nowMs: number) => readonly string[];
+  readonly takeExpired: (nowMs: number) => readonly string[];
 }
 
-const createBuckets = (): Buckets => {
+const createExpiryBuckets = (): ExpiryBuckets => {
   const buckets = new Map<number, string[]>();
-  let swept: number | undefined;
+  let lastSwept: number | undefined;
   return {
     add: (id, atMs) => {
-      const index = Math.max(Math.ceil(atMs / BUCKET_MS), (swept ?? -Infinity) + 1);
+      const index = Math.max(Math.ceil(atMs / BUCKET_MS), (lastSwept ?? -Infinity) + 1);
       const bucket = buckets.get(index) ?? [];
       bucket.push(id);
       buckets.set(index, bucket);
     },
-    takeDue: (nowMs) => {
+    takeExpired: (nowMs) => {
       const last = Math.floor(nowMs / BUCKET_MS) - 1;
-      const first = swept ?? last - MAX_BUCKETS_SWEPT;
-      const due: string[] = [];
+      const first = lastSwept ?? last - MAX_BUCKETS_SWEPT;
+      const expired: string[] = [];
       const until = Math.min(last, first + MAX_BUCKETS_SWEPT);
       for (let index = first + 1; index <= until; index += 1) {
-        due.push(...(buckets.get(index) ?? []));
+        expired.push(...(buckets.get(index) ?? []));
         buckets.delete(index);
       }
-      swept = Math.max(first, until);
-      return due;
+      lastSwept = Math.max(first, until);
+      return expired;
     },
   };
 };
 
 /**
- * @param head - which request
- * @returns the key; customers can't see each other's requests, since the customer is part of it
+ * @param header - the request
+ * @returns the key; it includes the customer, so customers can't see each other's requests
  */
-export const keyOf = (head: Pick<AttemptHead, 'customerId' | 'requestId'>): string =>
-  `${head.customerId}/${head.requestId}`;
+export const keyOf = (header: Pick<AttemptHeader, 'customerId' | 'requestId'>): string =>
+  `${header.customerId}/${header.requestId}`;
 
-/** Ids hold no blanks, so that a blank keeps the two parts apart. */
-const barOf = (head: AttemptHead): string => `${keyOf(head)} ${head.attemptId}`;
+/** Ids contain no spaces, so a space separates the two parts. */
+const tombstoneKey = (header: AttemptHeader): string => `${keyOf(header)} ${header.attemptId}`;
 
 const bytesOf = (outcome: requestRecord.Outcome | undefined): number =>
   outcome?.type === 'answer' ? outcome.answer.body.byteLength : 0;
 
-const isRefusal = (outcome: requestRecord.Outcome): boolean =>
+const isRejection = (outcome: requestRecord.Outcome): boolean =>
   outcome.type === 'error' && outcome.error.ran === 'no';
 
 /**
- * @param bootId - the agent's boot, which the table lives no longer than
+ * @param bootId - the agent's boot; the table does not outlive it
  * @param limits - limits of the table
  * @returns a table without records
  */
@@ -116,82 +116,85 @@
   limits: OutcomeLimits = DEFAULT_LIMITS,
 ): OutcomeTable => {
   const records = new Map<string, requestRecord.RequestRecord>();
-  const bars = new Map<string, number>();
-  const recordTimes = createBuckets();
-  const barTimes = createBuckets();
-  /** Keys of ends with bytes, oldest first. */
-  const kept = new Map<string, number>();
+  const tombstones = new Map<string, number>();
+  const recordExpiry = createExpiryBuckets();
+  const tombstoneExpiry = createExpiryBuckets();
+  /** Sizes of retained answers by request key, oldest first. */
+  const answerSizes = new Map<string, number>();
   let answerBytes = 0;
 
-  const forgetBytes = (key: string): void => {
-    answerBytes -= kept.get(key) ?? 0;
-    kept.delete(key);
+  const dropAnswer = (key: string): void => {
+    answerBytes -= answerSizes.get(key) ?? 0;
+    answerSizes.delete(key);
   };
   const expire = (nowMs: number): void => {
-    for (const key of recordTimes.takeDue(nowMs)) {
+    for (const key of recordExpiry.takeExpired(nowMs)) {
       const record = records.get(key);
       if (record?.type === 'ended' && record.untilMs < nowMs) {
         records.delete(key);
-        forgetBytes(key);
+        dropAnswer(key);
       }
     }
-    for (const id of barTimes.takeDue(nowMs)) {
-      if ((bars.get(id) ?? Infinity) < nowMs) bars.delete(id);
+    for (const id of tombstoneExpiry.takeExpired(nowMs)) {
+      if ((tombstones.get(id) ?? Infinity) < nowMs) tombstones.delete(id);
     }
   };
-  const bar = (head: AttemptHead): boolean => {
-    if (bars.size >= limits.maxBars) return false;
-    bars.set(barOf(head), head.startBeforeMs);
-    barTimes.add(barOf(head), head.startBeforeMs);
+  const addTombstone = (header: AttemptHeader): boolean => {
+    if (tombstones.size >= limits.maxTombstones) return false;
+    tombstones.set(tombstoneKey(header), header.startBeforeMs);
+    tombstoneExpiry.add(tombstoneKey(header), header.startBeforeMs);
     return true;
   };
-  const trim = (): void => {
-    for (const key of kept.keys()) {
+  const evictAnswers = (): void => {
+    for (const key of answerSizes.keys()) {
       if (answerBytes <= limits.maxAnswerBytes) return;
       const record = records.get(key);
       if (record?.type === 'ended') records.set(key, { ...record, outcome: undefined });
-      forgetBytes(key);
+      dropAnswer(key);
     }
   };
-  const settleOrRun = (
-    head: AttemptHead,
+  const applyArrival = (
+    header: AttemptHeader,
     step: requestRecord.ArrivalStep,
     mode: exchange.ExchangeMode,
   ): TableArrival => {
-    if (step.barsAttempt && !bar(head)) return { type: 'unknowable' };
+    if (step.addsTombstone && !addTombstone(header)) return { type: 'unknowable' };
     if (mode === 'run' && step.arrival.type === 'run') {
       if (records.size >= limits.maxRecords) {
-        bar(head);
+        addTombstone(header);
         return { type: 'full' };
       }
-      records.set(keyOf(head), { type: 'running', startBeforeMs: head.startBeforeMs });
+      records.set(keyOf(header), { type: 'running', startBeforeMs: header.startBeforeMs });
     }
     return step.arrival;
   };
   return {
-    arrive: (head, nowMs) => {
+    handle: (header, nowMs) => {
       expire(nowMs);
-      const isBarred = bars.has(barOf(head));
-      const step = requestRecord.meet(records.get(keyOf(head)), isBarred, head, { bootId, nowMs });
-      return settleOrRun(head, step, head.mode);
+      const isTombstoned = tombstones.has(tombstoneKey(header));
+      const step = requestRecord.decideArrival(records.get(keyOf(header)), isTombstoned, header, {
+        bootId,
+        nowMs,
+      });
+      return applyArrival(header, step, header.mode);
     },
-    end: (head, outcome, nowMs) => {
-      const key = keyOf(head);
-      if (isRefusal(outcome)) {
-        // The same request may come again when there is room, but not as this attempt. At the limit
-        // of bars only a copied message could profit, and the transport makes no copies.
+    end: (header, outcome, nowMs) => {
+      const key = keyOf(header);
+      if (isRejection(outcome)) {
+        // The request may be retried later, but not by this attempt. If the tombstones are full,
+        // only a duplicated message could run again, and the transport duplicates none.
         records.delete(key);
-        bar(head);
+        addTombstone(header);
         return;
       }
-      const untilMs = requestRecord.keepEndUntilMs(head.startBeforeMs, nowMs);
+      const untilMs = requestRecord.outcomeExpiryMs(header.startBeforeMs, nowMs);
       records.set(key, { type: 'ended', outcome, untilMs });
-      recordTimes.add(key, untilMs);
+      recordExpiry.add(key, untilMs);
       if (bytesOf(outcome) === 0) return;
-      kept.set(key, bytesOf(outcome));
+      answerSizes.set(key, bytesOf(outcome));
       answerBytes += bytesOf(outcome);
-      trim();
+      evictAnswers();
     },
-    sizes: () => ({ records: records.size, bars: bars.size, answerBytes }),
+    sizes: () => ({ records: records.size, tombstones: tombstones.size, answerBytes }),
   };
 };
--- a/src/protocol/common/poolMessages.ts
+++ b/src/protocol/common/poolMessages.ts
@@ -1,5 +1,5 @@
 /**
- * Messages between the processes that serve pools: the leader and the agents, entries and the leader.
+ * Messages between the processes that serve pools: schedulers with agents and with entries.
  */
 import * as Schema from 'effect/Schema';
 
@@ -7,7 +7,7 @@
 import * as units from '../../state/common/units.js';
 import * as envelope from './envelope.js';
 
-/** The leader renews its authority and the tasks' leases, and waits for news. */
+/** Renews the leader's authority and the tasks' leases, and waits for worker updates. */
 export const SyncMessage = Schema.Struct({
   from: envelope.Sender,
   sync: agentContract.SyncRequest,
@@ -16,13 +16,13 @@
 /** See {@link SyncMessage}. */
 export type SyncMessage = typeof SyncMessage.Type;
 
-/** What the agent knows of its worker. */
+/** The agent's updates on its worker. */
 export interface SyncAnswer {
   readonly from: envelope.Sender;
   readonly news: agentContract.WorkerNews;
 }
 
-/** The leader's orders. */
+/** Orders of the leader to an agent. */
 export const OrderMessage = Schema.Struct({
   from: envelope.Sender,
   order: agentContract.OrderRequest,
@@ -31,13 +31,13 @@
 /** See {@link OrderMessage}. */
 export type OrderMessage = typeof OrderMessage.Type;
 
-/** What became of the orders. */
+/** Results of the orders. */
 export interface OrderAnswer {
   readonly from: envelope.Sender;
   readonly reply: agentContract.OrderReply;
 }
 
-/** An entry tells the schedulers that it has stored a record of a job. */
+/** Notifies the schedulers that an entry has stored a record of a job. */
 export const JobChangedMessage = Schema.Struct({
   from: envelope.Sender,
   jobId: units.CallerKey,
@@ -47,61 +47,61 @@
 /** See {@link JobChangedMessage}. */
 export type JobChangedMessage = typeof JobChangedMessage.Type;
 
-/** The scheduler has heard of it. */
+/** Acknowledges the notification. */
 export interface JobChangedAnswer {
   readonly from: envelope.Sender;
 }
 
-/** A call of the store that a process makes through an entry, as bytes that neither of them looks into. */
+/** A store call that a process relays through an entry, which does not interpret the bytes. */
 export const RelayMessage = Schema.Struct({
   from: envelope.Sender,
   method: Schema.String,
   path: Schema.String,
-  /** In base64. */
+  /** Base64. */
   body: Schema.String,
   timeoutMs: units.DurationMs,
-  /** Of answers whose body is of no use to the caller. */
+  /** HTTP statuses of replies whose body the caller does not need. */
   unreadStatuses: Schema.Array(units.Count),
 });
 
 /** See {@link RelayMessage}. */
 export type RelayMessage = typeof RelayMessage.Type;
 
-/** The store's answer, passed on while it comes. */
+/** The store's reply, streamed as it arrives. */
 export interface RelayAnswer {
   readonly from: envelope.Sender;
   readonly status: number;
-  /** Pieces, each in base64; fails where the store's answer breaks off. */
+  /** Chunks, each in base64; the iteration fails if the store's reply is truncated. */
   readonly body: AsyncIterable<string>;
 }
 
-/** A scheduler asks the entry on its machine for a configuration later than the one it has. */
+/** Requests, from the entry on the scheduler's machine, a configuration later than its own. */
 export const ConfigurationMessage = Schema.Struct({
   from: envelope.Sender,
-  /** Everything up to this revision of the store is known. */
+  /** Store revision up to which the scheduler has seen all changes. */
   afterRevision: units.Count,
-  /** How long the entry waits for one. */
+  /** Longest time that the entry waits for a later configuration. */
   waitMs: units.DurationMs,
 });
 
 /** See {@link ConfigurationMessage}. */
 export type ConfigurationMessage = typeof ConfigurationMessage.Type;
 
-/** What the entry has; without a record where there is nothing later. */
+/** The entry's reply; without a record if there is no later configuration. */
 export interface ConfigurationAnswer {
   readonly from: envelope.Sender;
-  /** Revision of the store up to which the entry has seen all changes. */
+  /** Store revision up to which the entry has seen all changes. */
   readonly seenRevision: number;
   readonly record?: { readonly value: string; readonly revision: number };
 }
 
-/** An entry asks the leader how many jobs wait. */
+/** Requests the number of pending jobs from the leader. */
 export const PendingMessage = Schema.Struct({ from: envelope.Sender });
 
 /** See {@link PendingMessage}. */
 export type PendingMessage = typeof PendingMessage.Type;
 
-/** Accepted jobs by queue of which no task has started. */
+/** Number of accepted jobs without a started task, by queue. */
 export const PendingAnswer = Schema.Struct({
   from: envelope.Sender,
   pendingByQueue: Schema.Record(Schema.String, units.Count),
--- a/src/protocol/common/requestRecord.ts
+++ b/src/protocol/common/requestRecord.ts
@@ -1,114 +1,114 @@
 /**
- * What an agent does with a message about one request: the agent's half of at-most-once.
+ * Decides what an agent does with a message about one request: the agent's half of at-most-once.
  *
- * Everything is judged by the agent's own clock, so no agreement between clocks is needed. A `run`
- * message carries the last moment, on that clock, at which it may start something; what guards
- * against a late copy therefore needs to be kept only until that moment.
+ * All times are on the agent's own clock, so clocks need not be synchronized. A `run` message
+ * carries its latest start on that clock, so a tombstone against a delayed duplicate needs to be
+ * kept only until then.
  */
 import type * as errors from '../../base/common/errors.js';
 import type * as exchange from './exchange.js';
 
-/** How a request ended: the upstream's whole answer, or an error of a known kind. */
+/** How a request ended: the upstream's complete response, or an error of a known kind. */
 export type Outcome =
   | { readonly type: 'answer'; readonly answer: exchange.Answer }
   | { readonly type: 'error'; readonly error: errors.ErrorBody };
 
-/** What is known of one request of one customer. */
+/** Record of one request of one customer. */
 export type RequestRecord =
   | { readonly type: 'running'; readonly startBeforeMs: number }
-  /** The outcome is absent where its bytes had to go; that it ran stays known. */
+  /** The outcome is absent if it was evicted; the record that it ran remains. */
   | { readonly type: 'ended'; readonly outcome: Outcome | undefined; readonly untilMs: number };
 
-/** The agent as it is at the moment of the message. */
-export interface AgentMoment {
+/** Boot and clock of the agent when a message arrives. */
+export interface AgentClock {
   readonly bootId: string;
-  /** The agent's monotonic clock, which starts anew with each boot. */
+  /** The agent's monotonic clock, which restarts with each boot. */
   readonly nowMs: number;
 }
 
-/** The part of a message that decides. */
-export interface ArrivalHead {
+/** The fields of a message that the decision depends on. */
+export interface MessageHeader {
   readonly mode: exchange.ExchangeMode;
   /** Boot of the agent that the attempt was sent to. */
   readonly bootId: string;
-  /** Last moment on that boot's clock at which the attempt may start the request. */
+  /** Latest start of the request by this attempt, on that boot's clock. */
   readonly startBeforeMs: number;
 }
 
-/** What is to be done with a message. */
+/** How to handle a message. */
 export type Arrival =
-  /** New: admit and run it. */
+  /** A new request: admit and run it. */
   | { readonly type: 'run' }
-  /** It runs: wait for its end. */
+  /** The request is running: wait for its end. */
   | { readonly type: 'attach' }
   | { readonly type: 'replay'; readonly outcome: Outcome }
-  /** It ran; its answer is no longer kept. */
+  /** The request ran; its answer was evicted. */
   | { readonly type: 'answerDropped' }
-  /** This attempt has started nothing here and never will. */
+  /** This attempt has not run here and never will. */
   | { readonly type: 'neverRan' }
-  /** A `run` that came after its last moment. */
+  /** A `run` message that arrived after its latest start. */
   | { readonly type: 'tooLate' }
-  /** The memory that could tell is gone: another boot, or asked too late. */
+  /** The record is gone: the message is for another boot, or came too late. */
   | { readonly type: 'unknowable' };
 
-/** What to do, and whether the attempt must be barred from starting until its last moment. */
+/** How to handle the message, and whether the attempt needs a tombstone until its latest start. */
 export interface ArrivalStep {
   readonly arrival: Arrival;
-  readonly barsAttempt: boolean;
+  readonly addsTombstone: boolean;
 }
 
-/** Time after the last start in which the agent can still say that an attempt never ran. */
+/** Time after the latest start during which the agent can still prove that an attempt never ran. */
 export const SETTLE_WINDOW_MS = 60_000;
 
-/** Time that an end is kept for a caller that repeats its key. */
-export const OUTCOME_MEMORY_MS = 120_000;
+/** Time that an outcome is retained for a caller that repeats its key. */
+export const OUTCOME_RETENTION_MS = 120_000;
 
-const only = (arrival: Arrival): ArrivalStep => ({ arrival, barsAttempt: false });
+const withoutTombstone = (arrival: Arrival): ArrivalStep => ({ arrival, addsTombstone: false });
 
-const meetKnown = (record: RequestRecord): ArrivalStep => {
-  if (record.type === 'running') return only({ type: 'attach' });
-  if (record.outcome === undefined) return only({ type: 'answerDropped' });
-  return only({ type: 'replay', outcome: record.outcome });
+const decideForRecord = (record: RequestRecord): ArrivalStep => {
+  if (record.type === 'running') return withoutTombstone({ type: 'attach' });
+  if (record.outcome === undefined) return withoutTombstone({ type: 'answerDropped' });
+  return withoutTombstone({ type: 'replay', outcome: record.outcome });
 };
 
 /**
- * Decides on a message.
+ * Decides how to handle a message.
  *
- * Guards against, in this order: an agent that restarted and forgot a run (the entry would hear
- * "unknown here" and run it elsewhere; it hears "unknowable" instead); a repeat of what runs or
- * ended; a `run` that overtakes nothing because it was settled or refused first (barred); a `run`
- * that comes after the bar was dropped (its own last moment has passed by then); any message that
- * comes after the end was dropped (it gets no proof).
+ * Guards against, in this order: an agent that restarted and lost the record of a run (a reply of
+ * "never ran" would make the entry run it elsewhere, so it replies "unknowable"); a repeat of a
+ * running or ended request; a `run` that arrives after its attempt was settled or rejected
+ * (tombstone); a `run` that arrives after the tombstone was dropped (its latest start has passed by
+ * then); any message that arrives after the outcome was dropped (no proof is given).
  *
- * @param record - what is known of the request
- * @param isBarred - whether this attempt was settled or refused before
- * @param head - the message
+ * @param record - record of the request, if any
+ * @param isTombstoned - whether this attempt was settled or rejected before
+ * @param header - the message
  * @param agent - boot and clock of the agent
- * @returns what to do
+ * @returns how to handle the message
  */
-export const meet = (
+export const decideArrival = (
   record: RequestRecord | undefined,
-  isBarred: boolean,
-  head: ArrivalHead,
-  agent: AgentMoment,
+  isTombstoned: boolean,
+  header: MessageHeader,
+  agent: AgentClock,
 ): ArrivalStep => {
-  if (head.bootId !== agent.bootId) return only({ type: 'unknowable' });
-  if (record !== undefined) return meetKnown(record);
-  if (isBarred) return only({ type: 'neverRan' });
-  const isStartable = agent.nowMs <= head.startBeforeMs;
-  if (head.mode === 'run' && isStartable) return only({ type: 'run' });
-  // An end may have been dropped by now: a copy of this message may have run.
-  const isProof = agent.nowMs <= head.startBeforeMs + SETTLE_WINDOW_MS;
-  if (!isProof) return only({ type: 'unknowable' });
-  if (head.mode === 'run') return only({ type: 'tooLate' });
-  return { arrival: { type: 'neverRan' }, barsAttempt: isStartable };
+  if (header.bootId !== agent.bootId) return withoutTombstone({ type: 'unknowable' });
+  if (record !== undefined) return decideForRecord(record);
+  if (isTombstoned) return withoutTombstone({ type: 'neverRan' });
+  const isStartable = agent.nowMs <= header.startBeforeMs;
+  if (header.mode === 'run' && isStartable) return withoutTombstone({ type: 'run' });
+  // The outcome may have been dropped by now, and a duplicate of this message may have run.
+  const canProve = agent.nowMs <= header.startBeforeMs + SETTLE_WINDOW_MS;
+  if (!canProve) return withoutTombstone({ type: 'unknowable' });
+  if (header.mode === 'run') return withoutTombstone({ type: 'tooLate' });
+  return { arrival: { type: 'neverRan' }, addsTombstone: isStartable };
 };
 
 /**
- * @param startBeforeMs - last start of the attempt that ran
+ * @param startBeforeMs - latest start of the attempt that ran
  * @param nowMs - the agent's clock
- * @returns how long its end must be kept: while any entry may still ask for proof, and while a
+ * @returns until when its outcome is retained: while an entry may still ask for proof, and while a
  *   caller may repeat its key
  */
-export const keepEndUntilMs = (startBeforeMs: number, nowMs: number): number =>
-  Math.max(startBeforeMs + SETTLE_WINDOW_MS, nowMs + OUTCOME_MEMORY_MS);
+export const outcomeExpiryMs = (startBeforeMs: number, nowMs: number): number =>
+  Math.max(startBeforeMs + SETTLE_WINDOW_MS, nowMs + OUTCOME_RETENTION_MS);
--- a/src/protocol/common/test/requestExploration.ts
+++ b/src/protocol/common/test/requestExploration.ts
@@ -1,7 +1,7 @@
 /**
  * Explores every interleaving of the request protocol at small scope: one request, one entry, two
- * agents with their upstreams, and a network that loses, delays, reorders, copies and misdelivers.
- * A pause is an event that does not happen for long, so every pause is among the interleavings.
+ * agents with their upstreams, and a network that loses, delays, reorders, duplicates and misroutes
+ * messages. A pause is a long time without an event of a process, so the interleavings include it.
  */
 import * as errors from '../../../base/common/errors.js';
 import * as attemptSteps from '../attemptSteps.js';
@@ -9,64 +9,64 @@
 import * as requestRecord from '../requestRecord.js';
 
 type Mode = exchange.ExchangeMode;
-type Word = 'answer' | 'refused' | 'unknown';
+type AgentReply = 'answer' | 'refused' | 'unknown';
 
-/** The protocol's decisions, so that a test can plant a fault in one of them. */
+/** The protocol's decisions, each of which a test can replace by a faulty one. */
 export interface Rules {
-  readonly meet: typeof requestRecord.meet;
+  readonly decideArrival: typeof requestRecord.decideArrival;
   readonly afterRun: typeof attemptSteps.afterRun;
   readonly afterSettle: typeof attemptSteps.afterSettle;
-  readonly worstOf: typeof attemptSteps.worstOf;
-  readonly checksEcho: boolean;
-  readonly barsRefusals: boolean;
+  readonly errorToReport: typeof attemptSteps.errorToReport;
+  readonly checksAttemptId: boolean;
+  readonly tombstonesRejections: boolean;
 }
 
-/** The decisions as they are. */
-export const SOUND: Rules = {
+/** The real decisions. */
+export const REAL_RULES: Rules = {
   ...attemptSteps,
-  meet: requestRecord.meet,
-  checksEcho: true,
-  barsRefusals: true,
+  decideArrival: requestRecord.decideArrival,
+  checksAttemptId: true,
+  tombstonesRejections: true,
 };
 
-/** How much may go wrong in one history. */
+/** Number of faults in one history. */
 export interface Scope {
   readonly isIdempotent: boolean;
-  readonly copies: number;
+  readonly duplicates: number;
   readonly agentCrashes: number;
-  /** How far an agent's memory ages: 1 is past the last start, 2 past everything. */
+  /** How far an agent's clock advances: 1 is past the latest start, 2 past all retention times. */
   readonly maxPhase?: number;
 }
 
 type Message =
   | { to: 'agent'; agent: number; boot: number; attempt: number; mode: Mode }
-  | { to: 'entry'; agent: number; attempt: number; mode: Mode; word: Word }
+  | { to: 'entry'; agent: number; attempt: number; mode: Mode; reply: AgentReply }
   | { to: 'upstream'; agent: number; boot: number }
   | { to: 'result'; agent: number; boot: number };
 
 interface AgentModel {
   boot: number;
-  /** 0: attempts may start; 1: they may not; 2: ends are dropped as well. */
+  /** 0: attempts may start; 1: they may not; 2: outcomes are dropped as well. */
   phase: number;
-  record: 'none' | 'waiting' | 'running' | Word;
-  bars: number[];
+  record: 'none' | 'waiting' | 'running' | AgentReply;
+  tombstones: number[];
   waiters: { attempt: number; mode: Mode }[];
 }
 
-interface World {
+interface ModelState {
   entry: {
     stage: Mode | 'between' | 'done' | 'dead';
     attempt: number;
     boot: number;
-    worst: 'none' | 'refused' | 'unknown';
-    result: 'none' | Word;
+    errorSoFar: 'none' | 'refused' | 'unknown';
+    result: 'none' | AgentReply;
   };
   agents: AgentModel[];
-  net: Message[];
+  inFlight: Message[];
   executions: number;
-  /** An answer that came without its own run, or another attempt's word taken for one's own. */
-  wrongWord: boolean;
-  copies: number;
+  /** Whether the entry accepted the reply to another attempt. */
+  tookForeignReply: boolean;
+  duplicates: number;
   crashes: number;
 }
 
@@ -80,73 +80,79 @@
 };
 const ANSWER = { status: 200, contentType: 'text/plain', body: new Uint8Array() };
 
-const toResult = (word: Word): attemptSteps.ExchangeResult =>
-  word === 'answer' ? { type: 'answer', answer: ANSWER } : { type: 'error', error: ERRORS[word] };
+const toResult = (reply: AgentReply): attemptSteps.ExchangeResult =>
+  reply === 'answer' ? { type: 'answer', answer: ANSWER } : { type: 'error', error: ERRORS[reply] };
 
-const initial = (scope: Scope): World => ({
-  entry: { stage: 'between', attempt: -1, boot: 0, worst: 'none', result: 'none' },
+const initial = (scope: Scope): ModelState => ({
+  entry: { stage: 'between', attempt: -1, boot: 0, errorSoFar: 'none', result: 'none' },
   agents: Array.from({ length: AGENTS }, () => ({
     boot: 0,
     phase: 0,
     record: 'none',
-    bars: [],
+    tombstones: [],
     waiters: [],
   })),
-  net: [],
+  inFlight: [],
   executions: 0,
-  wrongWord: false,
-  copies: scope.copies,
+  tookForeignReply: false,
+  duplicates: scope.duplicates,
   crashes: scope.agentCrashes,
 });
 
-const finish = (world: World, result: Word): void => {
-  world.entry.stage = 'done';
-  world.entry.result = result;
+const finish = (state: ModelState, result: AgentReply): void => {
+  state.entry.stage = 'done';
+  state.entry.result = result;
 };
 
-const apply = (rules: Rules, world: World, step: attemptSteps.NextStep): void => {
-  const { entry } = world;
-  if (step.type === 'answer') return finish(world, 'answer');
-  if (step.type === 'fail') return finish(world, 'unknown');
+const applyStep = (rules: Rules, state: ModelState, step: attemptSteps.NextStep): void => {
+  const { entry } = state;
+  if (step.type === 'answer') return finish(state, 'answer');
+  if (step.type === 'fail') return finish(state, 'unknown');
   if (step.type === 'settle') {
     entry.stage = 'settle';
     const { attempt, boot } = entry;
-    world.net.push({ to: 'agent', agent: attempt, boot, attempt, mode: 'settle' });
+    state.inFlight.push({ to: 'agent', agent: attempt, boot, attempt, mode: 'settle' });
     return undefined;
   }
-  const before = entry.worst === 'none' ? undefined : ERRORS[entry.worst];
-  const worst = rules.worstOf(before, step.error);
-  entry.worst = worst.kind === 'outcomeUnknown' ? 'unknown' : 'refused';
+  const before = entry.errorSoFar === 'none' ? undefined : ERRORS[entry.errorSoFar];
+  const errorSoFar = rules.errorToReport(before, step.error);
+  entry.errorSoFar = errorSoFar.kind === 'outcomeUnknown' ? 'unknown' : 'refused';
   entry.stage = 'between';
   return undefined;
 };
 
-const hear = (
+const apply = (
   rules: Rules,
   scope: Scope,
-  world: World,
+  state: ModelState,
   result: attemptSteps.ExchangeResult,
 ): void => {
-  const decide = world.entry.stage === 'run' ? rules.afterRun : rules.afterSettle;
-  apply(rules, world, decide(result, scope.isIdempotent));
+  const decide = state.entry.stage === 'run' ? rules.afterRun : rules.afterSettle;
+  applyStep(rules, state, decide(result, scope.isIdempotent));
 };
 
-/** A reply reaches whichever exchange is open: its own, or another's by a mix-up on the way. */
-const hearReply = (rules: Rules, scope: Scope, world: World, message: Message): void => {
+/** A reply reaches whichever exchange is open: its own, or another one if it is misrouted. */
+const receiveReply = (rules: Rules, scope: Scope, state: ModelState, message: Message): void => {
   if (message.to !== 'entry') return;
-  const { entry } = world;
+  const { entry } = state;
   if (entry.stage !== 'run' && entry.stage !== 'settle') return;
   const isOwn = message.attempt === entry.attempt;
-  if (rules.checksEcho && !isOwn) {
-    hear(rules, scope, world, { type: 'noWord', error: ERRORS.unknown });
+  if (rules.checksAttemptId && !isOwn) {
+    apply(rules, scope, state, { type: 'noWord', error: ERRORS.unknown });
     return;
   }
-  if (!isOwn) world.wrongWord = true;
-  hear(rules, scope, world, toResult(message.word));
+  if (!isOwn) state.tookForeignReply = true;
+  apply(rules, scope, state, toResult(message.reply));
 };
 
-const reply = (world: World, agent: number, attempt: number, mode: Mode, word: Word): void => {
-  world.net.push({ to: 'entry', agent, attempt, mode, word });
+const sendReply = (
+  state: ModelState,
+  agent: number,
+  attempt: number,
+  mode: Mode,
+  reply: AgentReply,
+): void => {
+  state.inFlight.push({ to: 'entry', agent, attempt, mode, reply });
 };
 
 const recordOf = (agent: AgentModel): requestRecord.RequestRecord | undefined => {
@@ -161,128 +167,143 @@
   return { type: 'ended', outcome, untilMs: Infinity };
 };
 
-const WORDS: Readonly<Record<string, Word>> = {
+const REPLIES: Readonly<Record<string, AgentReply>> = {
   neverRan: 'refused',
   tooLate: 'refused',
   unknowable: 'unknown',
   answerDropped: 'unknown',
 };
 
-const receive = (rules: Rules, world: World, message: Message): void => {
+const receiveAtAgent = (rules: Rules, state: ModelState, message: Message): void => {
   if (message.to !== 'agent') return;
-  const agent = world.agents[message.agent];
+  const agent = state.agents[message.agent];
   if (agent === undefined) return;
   const { attempt, mode } = message;
-  const isBarred = agent.bars.includes(attempt);
-  const head = { mode, bootId: String(message.boot), startBeforeMs: START_BEFORE_MS };
-  const moment = { bootId: String(agent.boot), nowMs: PHASE_MS[agent.phase] ?? 0 };
-  const { arrival, barsAttempt } = rules.meet(recordOf(agent), isBarred, head, moment);
-  if (barsAttempt) agent.bars.push(attempt);
+  const isTombstoned = agent.tombstones.includes(attempt);
+  const header = { mode, bootId: String(message.boot), startBeforeMs: START_BEFORE_MS };
+  const agentClock = { bootId: String(agent.boot), nowMs: PHASE_MS[agent.phase] ?? 0 };
+  const { arrival, addsTombstone } = rules.decideArrival(
+    recordOf(agent),
+    isTombstoned,
+    header,
+    agentClock,
+  );
+  if (addsTombstone) agent.tombstones.push(attempt);
   if (arrival.type === 'run') agent.record = 'waiting';
   if (arrival.type === 'run' || arrival.type === 'attach') {
     agent.waiters.push({ attempt, mode });
     return;
   }
   const known = agent.record === 'answer' ? 'answer' : 'unknown';
-  reply(world, message.agent, attempt, mode, WORDS[arrival.type] ?? known);
+  sendReply(state, message.agent, attempt, mode, REPLIES[arrival.type] ?? known);
 };
 
-const endRun = (rules: Rules, world: World, index: number, word: Word): void => {
-  const agent = world.agents[index];
+const endRun = (rules: Rules, state: ModelState, index: number, reply: AgentReply): void => {
+  const agent = state.agents[index];
   if (agent === undefined) return;
-  agent.record = word === 'refused' ? 'none' : word;
+  agent.record = reply === 'refused' ? 'none' : reply;
   agent.waiters.forEach((it) => {
-    if (word === 'refused' && rules.barsRefusals && !agent.bars.includes(it.attempt)) {
-      agent.bars.push(it.attempt);
+    if (
+      reply === 'refused' &&
+      rules.tombstonesRejections &&
+      !agent.tombstones.includes(it.attempt)
+    ) {
+      agent.tombstones.push(it.attempt);
     }
-    reply(world, index, it.attempt, it.mode, word);
+    sendReply(state, index, it.attempt, it.mode, reply);
   });
   agent.waiters = [];
 };
 
-const deliver = (rules: Rules, scope: Scope, world: World, message: Message): void => {
-  if (message.to === 'agent') receive(rules, world, message);
-  if (message.to === 'entry') hearReply(rules, scope, world, message);
+const deliver = (rules: Rules, scope: Scope, state: ModelState, message: Message): void => {
+  if (message.to === 'agent') receiveAtAgent(rules, state, message);
+  if (message.to === 'entry') receiveReply(rules, scope, state, message);
   if (message.to === 'upstream') {
-    world.executions += 1;
-    world.net.push({ to: 'result', agent: message.agent, boot: message.boot });
+    state.executions += 1;
+    state.inFlight.push({ to: 'result', agent: message.agent, boot: message.boot });
   }
   if (message.to === 'result') {
-    const agent = world.agents[message.agent];
+    const agent = state.agents[message.agent];
     const isAwaited = agent?.boot === message.boot && agent.record === 'running';
-    if (isAwaited) endRun(rules, world, message.agent, 'answer');
+    if (isAwaited) endRun(rules, state, message.agent, 'answer');
   }
 };
 
-type Event = (world: World) => void;
+type Event = (state: ModelState) => void;
 
 const sendRun =
   (isSent: boolean, rules: Rules, scope: Scope): Event =>
-  (world) => {
-    const { entry } = world;
+  (state) => {
+    const { entry } = state;
     entry.attempt += 1;
     const { attempt } = entry;
-    entry.boot = world.agents[attempt]?.boot ?? 0;
+    entry.boot = state.agents[attempt]?.boot ?? 0;
     entry.stage = 'run';
-    if (!isSent) return hear(rules, scope, world, { type: 'notSent', error: ERRORS.refused });
-    world.net.push({ to: 'agent', agent: attempt, boot: entry.boot, attempt, mode: 'run' });
+    if (!isSent) return apply(rules, scope, state, { type: 'notSent', error: ERRORS.refused });
+    state.inFlight.push({ to: 'agent', agent: attempt, boot: entry.boot, attempt, mode: 'run' });
     return undefined;
   };
 
-const entryEvents = (rules: Rules, scope: Scope, world: World): Event[] => {
-  const { entry } = world;
+const entryEvents = (rules: Rules, scope: Scope, state: ModelState): Event[] => {
+  const { entry } = state;
   if (entry.stage === 'done' || entry.stage === 'dead') return [];
-  const die: Event = (next) => {
+  const crashEntry: Event = (next) => {
     next.entry.stage = 'dead';
   };
   if (entry.stage === 'between') {
     if (entry.attempt + 1 < AGENTS) {
-      return [sendRun(true, rules, scope), sendRun(false, rules, scope), die];
+      return [sendRun(true, rules, scope), sendRun(false, rules, scope), crashEntry];
     }
-    const giveUp: Event = (next) =>
-      finish(next, next.entry.worst === 'unknown' ? 'unknown' : 'refused');
-    return [giveUp, die];
+    const abandon: Event = (next) =>
+      finish(next, next.entry.errorSoFar === 'unknown' ? 'unknown' : 'refused');
+    return [abandon, crashEntry];
   }
   const timeOut: Event = (next) =>
-    hear(rules, scope, next, { type: 'noWord', error: ERRORS.unknown });
-  return [timeOut, die];
+    apply(rules, scope, next, { type: 'noWord', error: ERRORS.unknown });
+  return [timeOut, crashEntry];
 };
 
 const crash =
   (index: number): Event =>
-  (world) => {
-    const agent = world.agents[index];
+  (state) => {
+    const agent = state.agents[index];
     if (agent === undefined) return;
-    world.crashes -= 1;
-    Object.assign(agent, { boot: agent.boot + 1, phase: 0, record: 'none', bars: [], waiters: [] });
+    state.crashes -= 1;
+    Object.assign(agent, {
+      boot: agent.boot + 1,
+      phase: 0,
+      record: 'none',
+      tombstones: [],
+      waiters: [],
+    });
   };
 
-const age =
+const advancePhase =
   (index: number): Event =>
-  (world) => {
-    const agent = world.agents[index];
+  (state) => {
+    const agent = state.agents[index];
     if (agent === undefined) return;
     agent.phase += 1;
-    // What the table may drop at this age is dropped.
-    agent.bars = [];
+    // Drop what the table may drop in this phase.
+    agent.tombstones = [];
     const isEnded = agent.record === 'answer' || agent.record === 'unknown';
     if (agent.phase === 2 && isEnded) agent.record = 'none';
   };
 
 const callUpstream =
   (index: number): Event =>
-  (world) => {
-    const agent = world.agents[index];
+  (state) => {
+    const agent = state.agents[index];
     if (agent === undefined) return;
     agent.record = 'running';
-    world.net.push({ to: 'upstream', agent: index, boot: agent.boot });
+    state.inFlight.push({ to: 'upstream', agent: index, boot: agent.boot });
   };
 
-const agentEvents = (rules: Rules, scope: Scope, world: World): Event[] =>
-  world.agents.flatMap((agent, index) => {
+const agentEvents = (rules: Rules, scope: Scope, state: ModelState): Event[] =>
+  state.agents.flatMap((agent, index) => {
     const events: Event[] = [];
-    if (agent.phase < (scope.maxPhase ?? 2)) events.push(age(index));
-    if (world.crashes > 0) events.push(crash(index));
+    if (agent.phase < (scope.maxPhase ?? 2)) events.push(advancePhase(index));
+    if (state.crashes > 0) events.push(crash(index));
     if (agent.record === 'waiting') {
       events.push(callUpstream(index), (next) => endRun(rules, next, index, 'refused'));
     }
@@ -290,90 +311,97 @@
     return events;
   });
 
-/** The way from agent to upstream stays on one VM and is one call; nothing copies it. */
-const isCopied = (message: Message): boolean => message.to === 'agent' || message.to === 'entry';
+/** A call from agent to upstream stays on one VM, so it is never duplicated. */
+const canBeDuplicated = (message: Message): boolean =>
+  message.to === 'agent' || message.to === 'entry';
 
-const networkEvents = (rules: Rules, scope: Scope, world: World): Event[] =>
-  world.net.flatMap((message, index) => {
-    const take: Event = (next) => {
-      next.net.splice(index, 1);
+const networkEvents = (rules: Rules, scope: Scope, state: ModelState): Event[] =>
+  state.inFlight.flatMap((message, index) => {
+    const deliverOnce: Event = (next) => {
+      next.inFlight.splice(index, 1);
       deliver(rules, scope, next, message);
     };
-    const copy: Event = (next) => {
-      next.copies -= 1;
+    const deliverDuplicate: Event = (next) => {
+      next.duplicates -= 1;
       deliver(rules, scope, next, message);
     };
-    return world.copies > 0 && isCopied(message) ? [take, copy] : [take];
+    return state.duplicates > 0 && canBeDuplicated(message)
+      ? [deliverOnce, deliverDuplicate]
+      : [deliverOnce];
   });
 
-const brokenPromise = (scope: Scope, world: World): string | undefined => {
-  const { result } = world.entry;
-  if (!scope.isIdempotent && world.executions > 1) return 'a request ran twice';
-  if (result === 'refused' && world.executions > 0) return 'a refusal hides a run';
-  if (result === 'answer' && world.executions === 0) return 'an answer without a run';
-  return world.wrongWord ? "another attempt's word was taken" : undefined;
+const violatedInvariant = (scope: Scope, state: ModelState): string | undefined => {
+  const { result } = state.entry;
+  if (!scope.isIdempotent && state.executions > 1) return 'a request ran twice';
+  if (result === 'refused' && state.executions > 0) return 'a rejection hides a run';
+  if (result === 'answer' && state.executions === 0) return 'an answer without a run';
+  return state.tookForeignReply ? "another attempt's reply was accepted" : undefined;
 };
 
-const cloneOf = (world: World): World => ({
-  ...world,
-  entry: { ...world.entry },
-  agents: world.agents.map((it) => ({ ...it, bars: [...it.bars], waiters: [...it.waiters] })),
-  net: [...world.net],
+const cloneOf = (state: ModelState): ModelState => ({
+  ...state,
+  entry: { ...state.entry },
+  agents: state.agents.map((it) => ({
+    ...it,
+    tombstones: [...it.tombstones],
+    waiters: [...it.waiters],
+  })),
+  inFlight: [...state.inFlight],
 });
 
 const keyOf = (message: Message): string => Object.values(message).join(',');
 
 const agentKey = (it: AgentModel): string => {
   const waiters = it.waiters.map((one) => one.mode + String(one.attempt)).sort();
-  return [it.boot, it.phase, it.record, it.bars.sort().join(''), waiters.join('')].join();
+  return [it.boot, it.phase, it.record, it.tombstones.sort().join(''), waiters.join('')].join();
 };
 
-/** Two worlds with the same key have the same futures; the order of messages on the way is none. */
-const canonical = (world: World): string =>
+/** States with equal keys have the same successors, whatever the order of messages in flight. */
+const stateKey = (state: ModelState): string =>
   [
-    Object.values(world.entry).join(),
-    ...world.agents.map(agentKey),
-    ...world.net.map(keyOf).sort(),
-    `${world.executions},${world.copies},${world.crashes},${String(world.wrongWord)}`,
+    Object.values(state.entry).join(),
+    ...state.agents.map(agentKey),
+    ...state.inFlight.map(keyOf).sort(),
+    `${state.executions},${state.duplicates},${state.crashes},${String(state.tookForeignReply)}`,
   ].join(';');
 
-/** What an exploration found. */
+/** Result of an exploration. */
 export interface Exploration {
   readonly states: number;
-  /** Promises that some interleaving broke. */
+  /** Invariants that some interleaving violates. */
   readonly broken: ReadonlySet<string>;
-  /** Ends that callers got in some interleaving. */
+  /** Results that callers get in some interleaving. */
   readonly results: ReadonlySet<string>;
 }
 
 /**
  * @param rules - the protocol's decisions
- * @param scope - how much may go wrong in one history
- * @param stopAt - a broken promise that is enough to end the exploration
- * @returns what all interleavings lead to
+ * @param scope - number of faults in one history
+ * @param stopAt - a violation that ends the exploration
+ * @returns the results of all interleavings
  */
 export const explore = (rules: Rules, scope: Scope, stopAt?: string): Exploration => {
   const seen = new Set<string>();
   const broken = new Set<string>();
   const results = new Set<string>();
-  const open: World[] = [initial(scope)];
-  for (let world = open.pop(); world !== undefined; world = open.pop()) {
-    const found = brokenPromise(scope, world);
+  const frontier: ModelState[] = [initial(scope)];
+  for (let state = frontier.pop(); state !== undefined; state = frontier.pop()) {
+    const found = violatedInvariant(scope, state);
     if (found !== undefined) broken.add(found);
     if (found !== undefined && found === stopAt) break;
-    if (world.entry.stage === 'done') results.add(world.entry.result);
+    if (state.entry.stage === 'done') results.add(state.entry.result);
     const events = [
-      ...entryEvents(rules, scope, world),
-      ...agentEvents(rules, scope, world),
-      ...networkEvents(rules, scope, world),
+      ...entryEvents(rules, scope, state),
+      ...agentEvents(rules, scope, state),
+      ...networkEvents(rules, scope, state),
     ];
     for (const event of found === undefined ? events : []) {
-      const next = cloneOf(world);
+      const next = cloneOf(state);
       event(next);
-      const key = canonical(next);
+      const key = stateKey(next);
       if (!seen.has(key)) {
         seen.add(key);
-        open.push(next);
+        frontier.push(next);
       }
     }
   }
--- a/src/protocol/common/test/requestProtocol.test.ts
+++ b/src/protocol/common/test/requestProtocol.test.ts
@@ -1,5 +1,5 @@
 /**
- * At-most-once, by exhaustive exploration of the protocol's decisions at small scope.
+ * Checks at-most-once by exhaustive exploration of the protocol's decisions at small scope.
  */
 import * as assert from 'node:assert/strict';
 import * as test from 'node:test';
@@ -9,127 +9,149 @@
 import * as requestRecord from '../requestRecord.js';
 import * as requestExploration from './requestExploration.js';
 
-const SOUND_SCOPES = [
-  { isIdempotent: false, copies: 0, agentCrashes: 1 },
-  { isIdempotent: false, copies: 1, agentCrashes: 0 },
-  { isIdempotent: true, copies: 0, agentCrashes: 0, maxPhase: 1 },
+const REAL_RULE_SCOPES = [
+  { isIdempotent: false, duplicates: 0, agentCrashes: 1 },
+  { isIdempotent: false, duplicates: 1, agentCrashes: 0 },
+  { isIdempotent: true, duplicates: 0, agentCrashes: 0, maxPhase: 1 },
 ];
 
-for (const scope of SOUND_SCOPES) {
-  test.test(`no interleaving breaks a promise: ${JSON.stringify(scope)}`, (context) => {
-    const found = requestExploration.explore(requestExploration.SOUND, scope);
+for (const scope of REAL_RULE_SCOPES) {
+  test.test(`no interleaving violates an invariant: ${JSON.stringify(scope)}`, (context) => {
+    const found = requestExploration.explore(requestExploration.REAL_RULES, scope);
     context.diagnostic(`states explored: ${found.states}`);
     assert.deepEqual([...found.broken], []);
     assert.deepEqual([...found.results].sort(), ['answer', 'refused', 'unknown']);
   });
 }
 
-const elsewhere = errors.fail('noUpstream', 'planted');
+const elsewhere = errors.fail('noUpstream', 'injected');
 
-interface PlantedFault {
+interface InjectedFault {
   readonly name: string;
-  /** What a user would see, and why. */
-  readonly story: string;
+  /** How the fault leads to the violation. */
+  readonly description: string;
   readonly rules: Partial<requestExploration.Rules>;
   readonly scope: requestExploration.Scope;
-  readonly breaks: string;
+  readonly violates: string;
 }
 
-const PLANTED: readonly PlantedFault[] = [
+const INJECTED_FAULTS: readonly InjectedFault[] = [
   {
     name: 'retry without asking',
-    story: 'Two crews are sent: a connection goes silent after the run and the entry tries another',
+    description:
+      'The connection times out after the run and the entry runs the request on another agent',
     rules: {
       afterRun: (it) => (it.type === 'answer' ? it : { type: 'elsewhere', error: elsewhere }),
     },
-    scope: { isIdempotent: false, copies: 0, agentCrashes: 0 },
-    breaks: 'a request ran twice',
+    scope: { isIdempotent: false, duplicates: 0, agentCrashes: 0 },
+    violates: 'a request ran twice',
   },
   {
-    name: 'a restarted agent says "never ran"',
-    story: 'The agent runs a request and dies; its next boot, asked, does not know it',
+    name: 'a restarted agent replies "never ran"',
+    description:
+      'The agent runs a request and crashes; after the restart it has no record of the run',
     rules: {
-      meet: (record, isBarred, head, agent) =>
-        requestRecord.meet(record, isBarred, { ...head, bootId: agent.bootId }, agent),
+      decideArrival: (record, isTombstoned, header, agent) =>
+        requestRecord.decideArrival(
+          record,
+          isTombstoned,
+          { ...header, bootId: agent.bootId },
+          agent,
+        ),
     },
-    scope: { isIdempotent: false, copies: 0, agentCrashes: 1 },
-    breaks: 'a request ran twice',
+    scope: { isIdempotent: false, duplicates: 0, agentCrashes: 1 },
+    violates: 'a request ran twice',
   },
   {
-    name: 'a late message is not refused',
-    story: 'The first message is held up until the bar that the question left has been dropped',
+    name: 'a late message is not rejected',
+    description:
+      'The run message is delayed until the tombstone of the settle message has been dropped',
     rules: {
-      meet: (record, isBarred, head, agent) =>
-        head.mode === 'run'
-          ? requestRecord.meet(record, isBarred, { ...head, startBeforeMs: Infinity }, agent)
-          : requestRecord.meet(record, isBarred, head, agent),
+      decideArrival: (record, isTombstoned, header, agent) =>
+        header.mode === 'run'
+          ? requestRecord.decideArrival(
+              record,
+              isTombstoned,
+              { ...header, startBeforeMs: Infinity },
+              agent,
+            )
+          : requestRecord.decideArrival(record, isTombstoned, header, agent),
     },
-    scope: { isIdempotent: false, copies: 0, agentCrashes: 0 },
-    breaks: 'a request ran twice',
+    scope: { isIdempotent: false, duplicates: 0, agentCrashes: 0 },
+    violates: 'a request ran twice',
   },
   {
-    name: 'a copy of a message is refused after ends were dropped',
-    story: 'The answer to the run is lost; a copy that comes when the end is dropped is refused',
+    name: 'a duplicate is rejected after outcomes were dropped',
+    description:
+      'The reply to the run is lost; a duplicate after the outcome was dropped is rejected',
     rules: {
-      meet: (record, isBarred, head, agent) =>
-        head.mode === 'run' && record === undefined && agent.nowMs > head.startBeforeMs
-          ? { arrival: { type: 'tooLate' }, barsAttempt: false }
-          : requestRecord.meet(record, isBarred, head, agent),
+      decideArrival: (record, isTombstoned, header, agent) =>
+        header.mode === 'run' && record === undefined && agent.nowMs > header.startBeforeMs
+          ? { arrival: { type: 'tooLate' }, addsTombstone: false }
+          : requestRecord.decideArrival(record, isTombstoned, header, agent),
     },
-    scope: { isIdempotent: false, copies: 1, agentCrashes: 0 },
-    breaks: 'a request ran twice',
+    scope: { isIdempotent: false, duplicates: 1, agentCrashes: 0 },
+    violates: 'a request ran twice',
   },
   {
-    name: 'a question is answered after ends were dropped',
-    story: 'The question comes when the end has been dropped, and "unknown" is taken for proof',
+    name: 'a settle message is answered after outcomes were dropped',
+    description:
+      'The settle message comes after the outcome was dropped; no record is taken for proof',
     rules: {
-      meet: (record, isBarred, head, agent) =>
-        head.mode === 'settle'
-          ? requestRecord.meet(record, isBarred, { ...head, startBeforeMs: Infinity }, agent)
-          : requestRecord.meet(record, isBarred, head, agent),
+      decideArrival: (record, isTombstoned, header, agent) =>
+        header.mode === 'settle'
+          ? requestRecord.decideArrival(
+              record,
+              isTombstoned,
+              { ...header, startBeforeMs: Infinity },
+              agent,
+            )
+          : requestRecord.decideArrival(record, isTombstoned, header, agent),
     },
-    scope: { isIdempotent: false, copies: 0, agentCrashes: 0 },
-    breaks: 'a request ran twice',
+    scope: { isIdempotent: false, duplicates: 0, agentCrashes: 0 },
+    violates: 'a request ran twice',
   },
   {
-    name: 'a refused attempt is not barred',
-    story: 'A copy of a refused message comes when there is room, after the retry ran elsewhere',
-    rules: { barsRefusals: false },
-    scope: { isIdempotent: false, copies: 1, agentCrashes: 0 },
-    breaks: 'a request ran twice',
+    name: 'a rejected attempt leaves no tombstone',
+    description:
+      'A duplicate of a rejected message is admitted after the retry ran on another agent',
+    rules: { tombstonesRejections: false },
+    scope: { isIdempotent: false, duplicates: 1, agentCrashes: 0 },
+    violates: 'a request ran twice',
   },
   {
-    name: 'an answer is not matched with its attempt',
-    story: 'A late answer to the first attempt is taken for the word on the second',
-    rules: { checksEcho: false },
-    scope: { isIdempotent: false, copies: 0, agentCrashes: 0 },
-    breaks: "another attempt's word was taken",
+    name: 'a reply is not matched with its attempt',
+    description: 'A late reply to the first attempt is accepted as the reply to the second',
+    rules: { checksAttemptId: false },
+    scope: { isIdempotent: false, duplicates: 0, agentCrashes: 0 },
+    violates: "another attempt's reply was accepted",
   },
   {
-    name: 'the last refusal is passed on',
-    story: 'An idempotent request runs, its answer is lost, the next agent refuses: "did not run"',
-    rules: { worstOf: (_, latest) => latest },
-    scope: { isIdempotent: true, copies: 0, agentCrashes: 0 },
-    breaks: 'a refusal hides a run',
+    name: 'the last rejection is returned to the caller',
+    description: 'An idempotent request runs, its answer is lost, and the next agent rejects it',
+    rules: { errorToReport: (_, latest) => latest },
+    scope: { isIdempotent: true, duplicates: 0, agentCrashes: 0 },
+    violates: 'a rejection hides a run',
   },
   {
-    name: 'an unsent question counts as proof',
-    story: 'The agent dies with the run under way; the connection for the question is refused',
+    name: 'an unsent settle message counts as proof',
+    description:
+      'The agent crashes during the run; the connection for the settle message is refused',
     rules: {
       afterSettle: (it, isIdempotent) =>
         it.type === 'noWord'
           ? { type: 'elsewhere', error: elsewhere }
           : attemptSteps.afterSettle(it, isIdempotent),
     },
-    scope: { isIdempotent: false, copies: 0, agentCrashes: 0 },
-    breaks: 'a request ran twice',
+    scope: { isIdempotent: false, duplicates: 0, agentCrashes: 0 },
+    violates: 'a request ran twice',
   },
 ];
 
-for (const fault of PLANTED) {
-  test.test(`the exploration finds a planted fault: ${fault.name}`, () => {
-    const rules = { ...requestExploration.SOUND, ...fault.rules };
-    const found = requestExploration.explore(rules, fault.scope, fault.breaks);
-    assert.ok(found.broken.has(fault.breaks), fault.story);
+for (const fault of INJECTED_FAULTS) {
+  test.test(`the exploration finds an injected fault: ${fault.name}`, () => {
+    const rules = { ...requestExploration.REAL_RULES, ...fault.rules };
+    const found = requestExploration.explore(rules, fault.scope, fault.violates);
+    assert.ok(found.broken.has(fault.violates), fault.description);
   });
 }
--- a/src/protocol/node/agentRouter.ts
+++ b/src/protocol/node/agentRouter.ts
@@ -1,5 +1,5 @@
 /**
- * What an agent answers to its cell's leader.
+ * RPC router of an agent, called by the cell's leader, by other processes and for operators.
  */
 import * as agentEntryMessages from '../common/agentEntryMessages.js';
 import type * as messages from '../common/agentSchedulerMessages.js';
@@ -9,15 +9,15 @@
 
 /** Handlers of the agent. */
 export interface AgentService {
-  /** Accepts a leader's epoch and tells everything that the agent holds. */
+  /** Accepts a leader's epoch and returns all tasks of the agent. */
   readonly fence: (request: messages.FenceRequest) => Promise<messages.FenceReply>;
-  /** Runs a leader's commands in their order. */
+  /** Runs a leader's commands in order. */
   readonly command: (request: messages.CommandRequest) => Promise<messages.CommandReply>;
-  /** Gives the configuration in force, to a process that has an older one. */
+  /** Returns the active configuration, to a process that has an older one. */
   readonly configuration: (
     request: agentEntryMessages.ConfigurationRequest,
   ) => Promise<agentEntryMessages.ConfigurationReply>;
-  /** Takes the upstream out of service or back, on behalf of operators. */
+  /** Takes the upstream out of service or back into it, on behalf of operators. */
   readonly drain: (request: operatorMessages.DrainRequest) => Promise<operatorMessages.DrainReply>;
 }
 
--- a/src/protocol/node/entryRouter.ts
+++ b/src/protocol/node/entryRouter.ts
@@ -1,5 +1,5 @@
 /**
- * What an entry answers to agents and schedulers.
+ * RPC router of an entry, called by agents, schedulers and other entries.
  */
 import type * as messages from '../common/agentEntryMessages.js';
 import * as schemas from '../common/agentEntryMessages.js';
@@ -8,21 +8,21 @@
 
 /** Handlers of the entry. */
 export interface EntryService {
-  /** Notes an agent, or renews what is known of it. */
+  /** Registers an agent, or updates its registration. */
   readonly register: (request: messages.RegisterRequest) => Promise<messages.RegisterReply>;
-  /** Gives the configuration in force. */
+  /** Returns the active configuration. */
   readonly configuration: (
     request: messages.ConfigurationRequest,
   ) => Promise<messages.ConfigurationReply>;
-  /** Gives the agents of the region to an entry that has just started, or of another region. */
+  /** Returns the region's agents, to an entry that has just started or is in another region. */
   readonly directory: (request: messages.DirectoryRequest) => Promise<messages.DirectoryReply>;
-  /** Gives the agents of a zone to a new leader. */
+  /** Returns the agents of a zone to a new leader. */
   readonly agents: (request: messages.AgentsRequest) => Promise<messages.AgentsReply>;
-  /** Gives all agents that the entry knows, to another entry, for operators. */
+  /** Returns all agents known to the entry, to another entry, on behalf of operators. */
   readonly overview: (
     request: operatorMessages.OverviewRequest,
   ) => Promise<operatorMessages.OverviewReply>;
-  /** Tells which configuration version is in force here. */
+  /** Returns the version of the active configuration. */
   readonly version: (
     request: operatorMessages.VersionRequest,
   ) => Promise<operatorMessages.VersionReply>;
--- a/src/protocol/node/poolRouters.ts
+++ b/src/protocol/node/poolRouters.ts
@@ -1,19 +1,19 @@
 /**
- * Routers of the processes that serve pools.
+ * RPC routers of the processes that serve pools.
  */
 import * as poolMessages from '../common/poolMessages.js';
 import * as rpc from './rpc.js';
 
-/** Handlers of an agent; each throws `staleEpoch` for a leader that has been followed by another. */
+/** Handlers of an agent; each throws `staleEpoch` if a later leader has taken over. */
 export interface PoolAgentService {
   readonly sync: (message: poolMessages.SyncMessage) => Promise<poolMessages.SyncAnswer>;
   readonly order: (message: poolMessages.OrderMessage) => Promise<poolMessages.OrderAnswer>;
 }
 
-/** Handlers of a scheduler; each throws `notLeader` where it does not lead. */
+/** Handlers of a scheduler; `pending` throws `notLeader` if it does not lead. */
 export interface PoolSchedulerService {
   readonly pending: (message: poolMessages.PendingMessage) => Promise<poolMessages.PendingAnswer>;
-  /** Also taken where it does not lead: an entry does not know who does. */
+  /** Accepted by every scheduler, since an entry does not know which one leads. */
   readonly jobChanged: (
     message: poolMessages.JobChangedMessage,
   ) => Promise<poolMessages.JobChangedAnswer>;
@@ -21,9 +21,9 @@
 
 /** Handlers of an entry. */
 export interface PoolEntryService {
-  /** @throws AuburnliftError `noUpstream` where nothing was sent to the store */
+  /** @throws AuburnliftError `noUpstream` if nothing was sent to the store */
   readonly relay: (message: poolMessages.RelayMessage) => Promise<poolMessages.RelayAnswer>;
-  /** @throws AuburnliftError `storeUnavailable` where the entry itself has no fresh proof */
+  /** @throws AuburnliftError `storeUnavailable` if the entry can't confirm its own as current */
   readonly configuration: (
     message: poolMessages.ConfigurationMessage,
   ) => Promise<poolMessages.ConfigurationAnswer>;
--- a/src/protocol/node/requestHost.ts
+++ b/src/protocol/node/requestHost.ts
@@ -1,5 +1,5 @@
 /**
- * The part of an agent that runs callers' requests on the upstream of its VM.
+ * Runs callers' requests on the upstream of an agent's VM.
  */
 import type * as clock from '../../base/common/clock.js';
 import * as errors from '../../base/common/errors.js';
@@ -11,7 +11,7 @@
 import * as outcomeTable from '../common/outcomeTable.js';
 import type * as requestRecord from '../common/requestRecord.js';
 
-/** Load that travels with every answer. */
+/** Load of the upstream, sent with every reply. */
 export interface HostLoad {
   readonly running: number;
   readonly queued: number;
@@ -19,17 +19,17 @@
   readonly isLeaving: boolean;
 }
 
-/** What the host needs. */
+/** Options of {@link createRequestHost}. */
 export interface RequestHostOptions {
-  /** Changes with each start of the agent. */
+  /** Id of this start of the agent. */
   readonly bootId: string;
   readonly clock: clock.Clock;
   readonly metrics: metrics.Metrics;
   /** Sends a request to the upstream. */
   readonly call: http.HttpCall;
-  /** Most requests that wait for a slot. */
+  /** Maximum number of requests that wait for a slot. */
   readonly maxQueued: number;
-  /** What the configuration in force gives a customer. */
+  /** A customer's share in the active configuration. */
   readonly shareOf: (customerId: string) => admission.CustomerShare;
 }
 
@@ -38,24 +38,24 @@
   readonly announce: (announcement: upstreamContract.Announcement) => void;
   readonly upstream: () => upstreamContract.Announcement | undefined;
   readonly load: () => HostLoad;
-  /** Refuses everything new from now on. */
+  /** Rejects all new requests from now on. */
   readonly leave: () => void;
   readonly exchange: (
     request: exchange.ExchangeRequest,
     body: Uint8Array,
   ) => Promise<requestRecord.Outcome>;
-  /** Requests that run or wait. */
+  /** Number of running and queued requests. */
   readonly openRequests: () => number;
   readonly bootId: string;
-  /** Monotonic time of this boot. */
+  /** Monotonic clock of this boot. */
   readonly clockMs: () => number;
 }
 
-/** An upstream that has not announced itself for this long is gone. */
+/** An upstream that has not announced itself for this long counts as gone. */
 export const ANNOUNCEMENT_TTL_MS = 5000;
 
-/** Records free up as their time passes, evenly over two minutes. */
-const FULL_RETRY_MS = 2000;
+/** Retry delay if the outcome table is full: its records expire evenly over two minutes. */
+const TABLE_FULL_RETRY_MS = 2000;
 
 const errorOutcome = (error: errors.AuburnliftError): requestRecord.Outcome => ({
   type: 'error',
@@ -63,27 +63,29 @@
 });
 
 /**
- * Each request in work has one connection, and each may leave one idle behind when the pool is
- * renewed under it; with half of the connections in use at the most, the upstream's limit holds.
+ * Each running request uses one connection and may leave another one idle if the connection pool is
+ * renewed meanwhile, so using at most half of the connections stays within the upstream's limit.
  */
 const usableSlots = ({ slots, connections }: upstreamContract.Announcement): number =>
   Math.max(1, Math.min(slots, Math.floor(connections / 2)));
 
-/** What a message is told that neither runs nor has a run to wait for. */
+/** Errors for messages that neither start a run nor attach to one. */
 const ARRIVAL_ERRORS = {
   full: () =>
-    errors.fail('overloaded', 'no room to remember another request', {
-      retryAfterMs: FULL_RETRY_MS,
+    errors.fail('overloaded', 'the agent holds too many request records; the request did not run', {
+      retryAfterMs: TABLE_FULL_RETRY_MS,
     }),
-  answerDropped: () => errors.fail('incompleteAnswer', 'it ran; its answer is no longer kept'),
-  neverRan: () => errors.fail('tombstoned', 'it did not run here and never will'),
-  tooLate: () => errors.fail('deadlineUnmeetable', 'it came after its last start; it did not run'),
-  unknowable: () => errors.fail('outcomeUnknown', 'this boot of the agent can not know'),
+  answerDropped: () =>
+    errors.fail('incompleteAnswer', 'the request ran; its answer is no longer retained'),
+  neverRan: () => errors.fail('tombstoned', 'the request did not run on this agent and never will'),
+  tooLate: () =>
+    errors.fail('deadlineUnmeetable', 'the request arrived after its latest start; it did not run'),
+  unknowable: () => errors.fail('outcomeUnknown', 'the agent can not tell whether the request ran'),
 } as const;
 
 /**
- * @param options - what the host needs
- * @returns a host without upstream
+ * @param options - options
+ * @returns a host without an upstream
  */
 export const createRequestHost = (options: RequestHostOptions): RequestHost => {
   const { clock: timeSource } = options;
@@ -91,39 +93,39 @@
   const limits = { maxQueued, shareOf, order: admission.QueueOrder.fifo };
   const table = outcomeTable.createOutcomeTable(options.bootId);
   let load = admission.idle(1);
-  let announced: upstreamContract.Announcement | undefined;
+  let lastAnnouncement: upstreamContract.Announcement | undefined;
   let announcedAtMs = 0;
   let isLeaving = false;
-  const waiting = new Map<string, (isStarted: boolean) => void>();
-  const ends = new Map<string, Promise<requestRecord.Outcome>>();
+  const slotWaiters = new Map<string, (isStarted: boolean) => void>();
+  const pendingOutcomes = new Map<string, Promise<requestRecord.Outcome>>();
 
   const nowMs = (): number => timeSource.monotonicMs();
   const upstream = (): upstreamContract.Announcement | undefined =>
-    nowMs() - announcedAtMs <= ANNOUNCEMENT_TTL_MS ? announced : undefined;
-  const refusal = (): errors.AuburnliftError | undefined => {
+    nowMs() - announcedAtMs <= ANNOUNCEMENT_TTL_MS ? lastAnnouncement : undefined;
+  const rejectionError = (): errors.AuburnliftError | undefined => {
     const target = upstream();
-    if (target === undefined) return errors.fail('noUpstream', 'no upstream is on this VM');
-    if (isLeaving || target.isLeaving) return errors.fail('draining', 'the upstream is leaving');
+    if (target === undefined) return errors.fail('noUpstream', 'the VM has no live upstream');
+    if (isLeaving || target.isLeaving) return errors.fail('draining', 'the upstream is draining');
     return undefined;
   };
-  const release = (key: string, heldMs: number | undefined): void => {
+  const releaseSlot = (key: string, heldMs: number | undefined): void => {
     const step = admission.release(load, limits, key, nowMs(), heldMs);
     load = step.next;
-    step.started.forEach((it) => waiting.get(it.requestId)?.(true));
-    step.expired.forEach((it) => waiting.get(it.requestId)?.(false));
+    step.started.forEach((it) => slotWaiters.get(it.requestId)?.(true));
+    step.expired.forEach((it) => slotWaiters.get(it.requestId)?.(false));
   };
   const waitForSlot = async (key: string, deadlineAtMs: number): Promise<boolean> => {
     const isStarted = await new Promise<boolean>((resolve) => {
-      // Past this moment it could not be answered in time: its refusal goes out while it is of use.
+      // A later start would miss the deadline; reject while the caller can still use the reply.
       const lastStartMs = deadlineAtMs - load.serviceMs - nowMs();
       const timer = timeSource.after(Math.max(1, lastStartMs), () => resolve(false));
-      waiting.set(key, (started) => {
+      slotWaiters.set(key, (started) => {
         void timer.dispose();
         resolve(started);
       });
     });
-    waiting.delete(key);
-    if (!isStarted) release(key, undefined);
+    slotWaiters.delete(key);
+    if (!isStarted) releaseSlot(key, undefined);
     return isStarted;
   };
   const callUpstream = async (
@@ -147,12 +149,12 @@
         answer: { status: reply.status, contentType, body: reply.body },
       };
     } catch (thrown) {
-      const isUnseen =
+      const wasNotSent =
         thrown instanceof http.HttpCallError && thrown.failure === http.HttpFailure.notSent;
       const { message } = errors.normalize(thrown);
-      if (isUnseen) return errorOutcome(errors.fail('noUpstream', `not reached: ${message}`));
+      if (wasNotSent) return errorOutcome(errors.fail('noUpstream', `unreachable: ${message}`));
       return errorOutcome(
-        errors.fail('outcomeUnknown', `the upstream's answer is lost: ${message}`),
+        errors.fail('outcomeUnknown', `the upstream's answer was lost: ${message}`),
       );
     }
   };
@@ -166,11 +168,11 @@
     const startedMs = nowMs();
     try {
       if (target === undefined) {
-        return errorOutcome(errors.fail('noUpstream', 'the upstream went away'));
+        return errorOutcome(errors.fail('noUpstream', 'the upstream is no longer announced'));
       }
       return await callUpstream(target, request, body, deadlineAtMs);
     } finally {
-      release(key, nowMs() - startedMs);
+      releaseSlot(key, nowMs() - startedMs);
       options.metrics.time('auburnlift_upstream_ms', nowMs() - startedMs);
     }
   };
@@ -179,14 +181,14 @@
     request: exchange.ExchangeRequest,
     body: Uint8Array,
   ): Promise<requestRecord.Outcome> => {
-    const refused = refusal();
-    if (refused !== undefined) return errorOutcome(refused);
+    const rejection = rejectionError();
+    if (rejection !== undefined) return errorOutcome(rejection);
     const deadlineAtMs = nowMs() + request.remainingMs;
     const ticket = { requestId: key, customerId: request.customerId, deadlineAtMs };
     const step = admission.offer(load, limits, ticket, nowMs());
     load = step.next;
     if (step.decision.type === 'queue' && step.decision.displaced !== undefined) {
-      waiting.get(step.decision.displaced.requestId)?.(false);
+      slotWaiters.get(step.decision.displaced.requestId)?.(false);
     }
     if (step.decision.type === 'refuse') {
       const { kind, message, retryAfterMs } = step.decision;
@@ -198,36 +200,36 @@
     }
     return runOnSlot(key, request, body, deadlineAtMs);
   };
-  const begin = (
+  const startRun = (
     key: string,
     request: exchange.ExchangeRequest,
     body: Uint8Array,
   ): Promise<requestRecord.Outcome> => {
     const ended = run(key, request, body).then((outcome) => {
       table.end(request, outcome, nowMs());
-      ends.delete(key);
+      pendingOutcomes.delete(key);
       return outcome;
     });
-    ends.set(key, ended);
+    pendingOutcomes.set(key, ended);
     return ended;
   };
-  const answerTo = async (
+  const handleExchange = async (
     request: exchange.ExchangeRequest,
     body: Uint8Array,
   ): Promise<requestRecord.Outcome> => {
-    const arrival = table.arrive(request, nowMs());
+    const arrival = table.handle(request, nowMs());
     const key = outcomeTable.keyOf(request);
-    if (arrival.type === 'run') return begin(key, request, body);
+    if (arrival.type === 'run') return startRun(key, request, body);
     if (arrival.type === 'replay') return arrival.outcome;
     if (arrival.type !== 'attach') return errorOutcome(ARRIVAL_ERRORS[arrival.type]());
-    const ended = ends.get(key);
+    const ended = pendingOutcomes.get(key);
     return ended ?? errorOutcome(errors.fail('outcomeUnknown', 'the run is not known'));
   };
   return {
     announce: (announcement) => {
       const slots = usableSlots(announcement);
       if (load.slots !== slots) load = { ...load, slots };
-      announced = announcement;
+      lastAnnouncement = announcement;
       announcedAtMs = nowMs();
     },
     upstream,
@@ -235,12 +237,12 @@
       running: load.running.length,
       queued: load.queue.length,
       serviceMs: load.serviceMs,
-      isLeaving: isLeaving || (announced?.isLeaving ?? false),
+      isLeaving: isLeaving || (lastAnnouncement?.isLeaving ?? false),
     }),
     leave: () => {
       isLeaving = true;
     },
-    exchange: answerTo,
+    exchange: handleExchange,
     bootId: options.bootId,
     clockMs: () => Math.floor(nowMs()),
     openRequests: () => load.running.length + load.queue.length,
--- a/src/protocol/node/rpc.ts
+++ b/src/protocol/node/rpc.ts
@@ -1,6 +1,6 @@
 /**
- * tRPC as the system's processes use it: inputs decoded by the message schemas, errors carried as
- * bodies of the closed list of kinds.
+ * tRPC setup shared by all processes: inputs are decoded by the message schemas, errors are sent as
+ * error bodies with a kind from the closed list.
  */
 import * as trpc from '@trpc/server';
 import * as Schema from 'effect/Schema';
@@ -17,14 +17,14 @@
   },
 });
 
-/** Makes the router of a role. */
+/** Creates the router of a process role. */
 export const { router } = instance;
 
 /**
- * @param schema - what the procedure takes
- * @param handle - the procedure
- * @returns a procedure that refuses inputs that don't fit; all are sent as POST, since an input in
- *   a URL would end up in logs
+ * @param schema - schema of the input
+ * @param handle - handler
+ * @returns a procedure that rejects invalid inputs; always a mutation, which is sent as POST, since
+ *   an input in a URL would end up in logs
  */
 export const procedure = <TInput, TOutput>(
   schema: Schema.Codec<TInput, unknown, never, never>,
--- a/src/protocol/node/schedulerRouter.ts
+++ b/src/protocol/node/schedulerRouter.ts
@@ -1,5 +1,5 @@
 /**
- * What a scheduler answers to agents and entries, for the cells that it leads.
+ * RPC router of a scheduler, called by agents and entries for the cells that it leads.
  */
 import * as agentEntryMessages from '../common/agentEntryMessages.js';
 import * as agentSchedulerMessages from '../common/agentSchedulerMessages.js';
@@ -9,15 +9,15 @@
 
 /** Handlers of the scheduler; each throws `notLeader` for a cell that it does not lead. */
 export interface SchedulerService {
-  /** Takes an agent's heartbeat and renews its worker's task leases. */
+  /** Handles an agent's heartbeat and renews the leases of its worker's tasks. */
   readonly report: (
     request: agentSchedulerMessages.ReportRequest,
   ) => Promise<agentSchedulerMessages.ReportReply>;
-  /** Accepts a job; it is durable when this answers. */
+  /** Accepts a job; it is durable when this resolves. */
   readonly submit: (
     request: entrySchedulerMessages.SubmitRequest,
   ) => Promise<entrySchedulerMessages.JobReply>;
-  /** Cancels jobs; the wish is durable when this answers. */
+  /** Cancels jobs; the cancellation is durable when this resolves. */
   readonly cancel: (
     request: entrySchedulerMessages.CancelRequest,
   ) => Promise<entrySchedulerMessages.JobsReply>;
@@ -30,11 +30,11 @@
   readonly quarantine: (
     request: entrySchedulerMessages.QuarantineRequest,
   ) => Promise<entrySchedulerMessages.CellReply>;
-  /** Gives the configuration in force. */
+  /** Returns the active configuration. */
   readonly configuration: (
     request: agentEntryMessages.ConfigurationRequest,
   ) => Promise<agentEntryMessages.ConfigurationReply>;
-  /** Tells which configuration version is in force here. */
+  /** Returns the version of the active configuration. */
   readonly version: (
     request: operatorMessages.VersionRequest,
   ) => Promise<operatorMessages.VersionReply>;
--- a/src/protocol/node/test/claimedKeys.test.ts
+++ b/src/protocol/node/test/claimedKeys.test.ts
@@ -1,5 +1,5 @@
 /**
- * A key that a caller repeats through another entry.
+ * Repeats of a caller's key through another entry.
  */
 import * as assert from 'node:assert/strict';
 import * as test from 'node:test';
@@ -38,29 +38,29 @@
   );
 
 test.test(
-  'a claimed key runs at most once through two entries, whatever the line does',
+  'a claimed key runs at most once through two entries, whatever the network does',
   async () => {
-    // A driver's connection to one entry breaks and the driver sends the same plan through another,
-    // while the first entry still works on it. Two crews must not be sent.
+    // Guards against a double run: a caller's connection to one entry breaks, and it repeats the
+    // request through another entry while the first entry is still processing it.
     await fastCheck.assert(runsAtMostOnce(true), { seed: 11, numRuns: 400 });
   },
 );
 
-test.test('the same search finds the second run of a key that is not claimed', async () => {
+test.test('the same search finds a double run of a key that is not claimed', async () => {
   const found = await fastCheck.check(runsAtMostOnce(false), { seed: 11, numRuns: 400 });
   assert.ok(found.failed);
 });
 
 const CLAIM_CASES: readonly [string, (world: faultyLine.World) => void, string, number][] = [
-  ['the first answer through the other entry', () => {}, ANSWER, 1],
+  ['the first answer again through another entry', () => {}, ANSWER, 1],
   [
-    'no word when the agents have restarted',
+    'an unknown outcome after the agents have restarted',
     (world) => [...world.hosts.keys()].forEach(world.boot),
     'outcomeUnknown',
     1,
   ],
   [
-    'a refusal while the store is down',
+    'a rejection while the store is down',
     (world) => {
       world.claims.isDown = true;
     },
--- a/src/protocol/node/test/faultyLine.ts
+++ b/src/protocol/node/test/faultyLine.ts
@@ -1,6 +1,6 @@
 /**
- * An entry's router and agents' hosts over a faulty line, on a fake clock, for tests of what callers
- * get and how often the upstreams run a request.
+ * Test harness: an entry's router and agents' hosts over a faulty network, on a fake clock. Tests
+ * check the callers' results and how often the upstreams run a request.
  */
 import * as clock from '../../../base/common/clock.js';
 import * as errors from '../../../base/common/errors.js';
@@ -14,23 +14,23 @@
 import * as requestHost from '../requestHost.js';
 import * as requestRouter from '../requestRouter.js';
 
-/** Time that an upstream holds a request. */
+/** Time that an upstream takes for a request. */
 export const SERVICE_MS = 100;
 /** Deadline of the requests. */
 export const DEADLINE_MS = 10_000;
 
-/** What the line does with the messages of one exchange, in turn; then it is sound. */
+/** Fault of one exchange; once the list of faults is used up, all exchanges succeed. */
 export type Fault =
   | 'sound'
-  /** Nothing arrives. */
+  /** The message is lost. */
   | 'silentBefore'
-  /** The agent gets it; its answer never arrives. */
+  /** The reply is lost. */
   | 'silentAfter'
   | 'cutAfter'
   | 'refusedConnection'
-  /** The agent dies while it runs it and comes back at once. */
+  /** The agent crashes while it runs the request and restarts immediately. */
   | 'restart'
-  /** The answer to another exchange arrives. */
+  /** The reply to another exchange arrives. */
   | 'swapped';
 
 interface FakeClaims extends requestClaims.RequestClaims {
@@ -56,27 +56,27 @@
   return claims;
 };
 
-/** Entries, agents and what the upstreams ran. */
+/** Entries, agents and the ids of the requests that the upstreams ran. */
 export interface World {
   readonly time: clock.FakeClock;
   readonly router: requestRouter.RequestRouter;
-  /** Another entry in front of the same agents and the same store. */
+  /** Router of another entry with the same agents and the same store. */
   readonly other: requestRouter.RequestRouter;
   readonly claims: FakeClaims;
   readonly runs: string[];
   readonly hosts: Map<string, requestHost.RequestHost>;
   readonly settles: () => number;
-  /** The agent at the address starts anew. */
+  /** Restarts the agent at the URL. */
   readonly boot: (url: string) => void;
 }
 
-/** Where the two agents listen. */
+/** URLs of the two agents. */
 export const URLS = ['http://a:1', 'http://b:1'];
 
 /**
- * @param faults - what the line does, in turn
- * @param isUpstreamLost - whether upstreams run and then lose their answers
- * @returns two entries in front of two agents
+ * @param faults - faults of the exchanges, in order
+ * @param isUpstreamLost - whether upstreams run requests and then lose their answers
+ * @returns two entries and two agents
  */
 export const createWorld = (faults: Fault[], isUpstreamLost = false): World => {
   const time = clock.createFakeClock(1000);
@@ -220,7 +220,7 @@
 };
 
 /**
- * @param requestId - the key
+ * @param requestId - the idempotency key
  * @param isIdempotent - whether a second run does no harm
  * @returns a request
  */
@@ -238,16 +238,16 @@
   body: Buffer.from(`body of ${requestId}`),
 });
 
-/** How a request ended. */
+/** Result of a request. */
 export interface End {
   readonly word: string;
   readonly tookMs: number;
 }
 
 /**
- * @param world - where it is sent
+ * @param world - the harness
  * @param request - the request
- * @returns how it ended for the caller
+ * @returns its result for the caller
  */
 export const send = async (world: World, request: requestRouter.CallerRequest): Promise<End> => {
   const startedMs = world.time.monotonicMs();
--- a/src/protocol/node/test/requestFaults.test.ts
+++ b/src/protocol/node/test/requestFaults.test.ts
@@ -1,5 +1,5 @@
 /**
- * What callers get over a faulty line, and how often the upstreams run a request.
+ * Callers' results over a faulty network, and how often the upstreams run a request.
  */
 import * as assert from 'node:assert/strict';
 import * as test from 'node:test';
@@ -20,33 +20,33 @@
 const ANSWER = 'body of r1';
 
 const CASES: readonly FaultCase[] = [
-  { name: 'a sound line', faults: [], word: ANSWER, runs: 1 },
-  { name: 'silent on the way there', faults: ['silentBefore'], word: ANSWER, runs: 1 },
-  { name: 'silent on the way back', faults: ['silentAfter'], word: ANSWER, runs: 1 },
-  { name: 'the answer cut short', faults: ['cutAfter'], word: ANSWER, runs: 1 },
-  { name: "another attempt's answer", faults: ['swapped'], word: ANSWER, runs: 1 },
+  { name: 'no fault', faults: [], word: ANSWER, runs: 1 },
+  { name: 'the request is lost', faults: ['silentBefore'], word: ANSWER, runs: 1 },
+  { name: 'the reply is lost', faults: ['silentAfter'], word: ANSWER, runs: 1 },
+  { name: 'the reply is truncated', faults: ['cutAfter'], word: ANSWER, runs: 1 },
+  { name: "another attempt's reply arrives", faults: ['swapped'], word: ANSWER, runs: 1 },
   {
-    name: 'no connection to the first agent',
+    name: 'the first agent refuses the connection',
     faults: ['refusedConnection'],
     word: ANSWER,
     runs: 1,
   },
-  { name: 'the agent restarted', faults: ['restart'], word: 'outcomeUnknown', runs: 1 },
-  { name: 'the agent restarted', faults: ['restart'], isIdempotent: true, word: ANSWER, runs: 2 },
+  { name: 'the agent restarts', faults: ['restart'], word: 'outcomeUnknown', runs: 1 },
+  { name: 'the agent restarts', faults: ['restart'], isIdempotent: true, word: ANSWER, runs: 2 },
   {
-    name: 'silent for the question too',
+    name: 'the reply and the settle message are lost',
     faults: ['silentAfter', 'silentBefore'],
     word: 'outcomeUnknown',
     runs: 1,
   },
   {
-    name: 'the agent is gone for the question',
+    name: 'the agent refuses the connection for the settle message',
     faults: ['cutAfter', 'refusedConnection'],
     word: 'outcomeUnknown',
     runs: 1,
   },
   {
-    name: 'the upstream dies after it ran',
+    name: 'the upstream loses its answer',
     faults: [],
     isUpstreamLost: true,
     word: 'outcomeUnknown',
@@ -69,14 +69,14 @@
     assert.equal(world.runs.length, it.runs);
     assert.ok(
       end.tookMs <= faultyLine.DEADLINE_MS,
-      'the caller has its answer within the deadline',
+      'the caller gets its result within the deadline',
     );
   });
 }
 
-test.test('a burst: what is refused says so at once and never runs', async () => {
-  // Many organisers call in the same second. Some are answered, the rest hear at once when to come
-  // back; none that was refused is found among the runs.
+test.test('in a burst, excess requests are rejected immediately and never run', async () => {
+  // Guards against rejected requests that ran anyway: of 60 concurrent requests some are answered,
+  // the rest are rejected immediately with `overloaded`.
   const world = faultyLine.createWorld([]);
   const kinds: string[] = [];
   for (let index = 0; index < 60; index += 1) {
@@ -93,7 +93,7 @@
   assert.equal(new Set(world.runs).size, world.runs.length);
 });
 
-test.test('an upstream has at most half of its connections in use', async () => {
+test.test("at most half of an upstream's connections are in use", async () => {
   const world = faultyLine.createWorld([]);
   const upstream = { upstreamId: 'u', url: 'http://u:1', slots: 8, connections: 4 };
   world.hosts.forEach((it) => it.announce({ ...upstream, isLeaving: false }));
@@ -107,7 +107,7 @@
   await Promise.all(sent);
 });
 
-test.test('an upstream that leaves finishes what it has and gets nothing new', async () => {
+test.test('a draining upstream finishes its running requests and gets no new ones', async () => {
   const world = faultyLine.createWorld([]);
   const first = world.router.route(faultyLine.requestOf('r1'));
   await world.time.advance(1);
@@ -120,7 +120,7 @@
 });
 
 test.test(
-  'a caller that repeats its key at the same agent gets the first answer again',
+  'a caller that repeats its key on the same agent gets the first answer again',
   async () => {
     const world = faultyLine.createWorld([]);
     const [url] = faultyLine.URLS;
