--- a/src/protocol/node/test/claimedKeys.test.ts
+++ b/src/protocol/node/test/claimedKeys.test.ts
@@ -25,15 +25,15 @@
     fastCheck.array(fastCheck.constantFrom(...FAULTS), { maxLength: 8 }),
     fastCheck.integer({ min: 0, max: 4000 }),
     async (faults, delayMs) => {
-      const world = faultyLine.createWorld([...faults]);
+      const harness = faultyLine.createHarness([...faults]);
       const request = { ...faultyLine.requestOf('r1'), isClaimed };
-      const first = world.router.route(request).catch(() => undefined);
-      await world.time.advance(delayMs);
-      const second = world.other.route(request).catch(() => undefined);
-      await world.time.advance(faultyLine.DEADLINE_MS * 2);
+      const first = harness.router.route(request).catch(() => undefined);
+      await harness.time.advance(delayMs);
+      const second = harness.otherRouter.route(request).catch(() => undefined);
+      await harness.time.advance(faultyLine.DEADLINE_MS * 2);
       const answers = [await first, await second].filter((it) => it !== undefined);
-      assert.ok(world.runs.length <= 1, `${world.runs.length} runs`);
-      assert.ok(answers.length === 0 || world.runs.length === 1);
+      assert.ok(harness.runs.length <= 1, `${harness.runs.length} runs`);
+      assert.ok(answers.length === 0 || harness.runs.length === 1);
     },
   );
 
@@ -51,31 +51,31 @@
   assert.ok(found.failed);
 });
 
-const CLAIM_CASES: readonly [string, (world: faultyLine.World) => void, string, number][] = [
+const CLAIM_CASES: readonly [string, (harness: faultyLine.Harness) => void, string, number][] = [
   ['the first answer again through another entry', () => {}, ANSWER, 1],
   [
     'an unknown outcome after the agents have restarted',
-    (world) => [...world.hosts.keys()].forEach(world.boot),
+    (harness) => [...harness.hosts.keys()].forEach(harness.boot),
     'outcomeUnknown',
     1,
   ],
   [
     'a rejection while the store is down',
-    (world) => {
-      world.claims.isDown = true;
+    (harness) => {
+      harness.claims.isDown = true;
     },
     'storeUnavailable',
     1,
   ],
 ];
 
-for (const [name, between, word, runs] of CLAIM_CASES) {
+for (const [name, beforeRepeat, outcome, runs] of CLAIM_CASES) {
   test.test(`a caller that repeats a claimed key gets ${name}`, async () => {
-    const world = faultyLine.createWorld([]);
+    const harness = faultyLine.createHarness([]);
     const request = { ...faultyLine.requestOf('r1'), isClaimed: true };
-    assert.equal((await faultyLine.send(world, request)).word, ANSWER);
-    between(world);
-    const repeated = await faultyLine.send({ ...world, router: world.other }, request);
-    assert.deepEqual([repeated.word, world.runs.length], [word, runs]);
+    assert.equal((await faultyLine.send(harness, request)).outcome, ANSWER);
+    beforeRepeat(harness);
+    const repeated = await faultyLine.send({ ...harness, router: harness.otherRouter }, request);
+    assert.deepEqual([repeated.outcome, harness.runs.length], [outcome, runs]);
   });
 }
--- a/src/protocol/node/test/faultyLine.ts
+++ b/src/protocol/node/test/faultyLine.ts
@@ -37,7 +37,7 @@
   isDown: boolean;
 }
 
-const createClaims = (): FakeClaims => {
+const createFakeClaims = (): FakeClaims => {
   const held = new Map<string, { claim: requestClaims.Claim; revision: number }>();
   let revision = 0;
   const claims: FakeClaims = {
@@ -57,11 +57,11 @@
 };
 
 /** Entries, agents and the ids of the requests that the upstreams ran. */
-export interface World {
+export interface Harness {
   readonly time: clock.FakeClock;
   readonly router: requestRouter.RequestRouter;
   /** Router of another entry with the same agents and the same store. */
-  readonly other: requestRouter.RequestRouter;
+  readonly otherRouter: requestRouter.RequestRouter;
   readonly claims: FakeClaims;
   readonly runs: string[];
   readonly hosts: Map<string, requestHost.RequestHost>;
@@ -78,7 +78,7 @@
  * @param isUpstreamLost - whether upstreams run requests and then lose their answers
  * @returns two entries and two agents
  */
-export const createWorld = (faults: Fault[], isUpstreamLost = false): World => {
+export const createHarness = (faults: Fault[], isUpstreamLost = false): Harness => {
   const time = clock.createFakeClock(1000);
   const runs: string[] = [];
   const hosts = new Map<string, requestHost.RequestHost>();
@@ -134,7 +134,10 @@
     );
   hosts.forEach((host, url) => register(url, host));
 
-  const ask = async (request: http.HttpRequest, isSwapped: boolean): Promise<http.HttpReply> => {
+  const exchangeWithHost = async (
+    request: http.HttpRequest,
+    isSwapped: boolean,
+  ): Promise<http.HttpReply> => {
     const host = hosts.get(http.formatAddress(request.address));
     const head = JSON.parse(
       String(request.headers[exchange.REQUEST_HEADER]),
@@ -159,7 +162,7 @@
       body: isAnswer ? outcome.answer.body : Buffer.from(JSON.stringify(outcome.error)),
     };
   };
-  const never = async (request: http.HttpRequest): Promise<never> => {
+  const timeOut = async (request: http.HttpRequest): Promise<never> => {
     await sleep(request.timeoutMs);
     throw new http.HttpCallError(http.HttpFailure.timeout, 'silent');
   };
@@ -168,9 +171,9 @@
     if (fault === 'refusedConnection') {
       throw new http.HttpCallError(http.HttpFailure.notSent, 'connection refused');
     }
-    if (fault === 'silentBefore') return never(request);
-    const answer = ask(request, fault === 'swapped');
-    if (fault === 'silentAfter') return never(request);
+    if (fault === 'silentBefore') return timeOut(request);
+    const answer = exchangeWithHost(request, fault === 'swapped');
+    if (fault === 'silentAfter') return timeOut(request);
     if (fault === 'restart') {
       await sleep(SERVICE_MS / 2);
       boot(http.formatAddress(request.address));
@@ -181,7 +184,7 @@
     return reply;
   };
   let ids = 0;
-  const claims = createClaims();
+  const claims = createFakeClaims();
   const createRouter = (): requestRouter.RequestRouter =>
     requestRouter.createRequestRouter({
       claims,
@@ -206,11 +209,11 @@
       }),
       peerSecretHeaders: {},
     });
-  const [router, other] = [createRouter(), createRouter()];
+  const [router, otherRouter] = [createRouter(), createRouter()];
   return {
     time,
     router,
-    other,
+    otherRouter,
     claims,
     boot,
     runs,
@@ -239,26 +242,29 @@
 });
 
 /** Result of a request. */
-export interface End {
-  readonly word: string;
+export interface RequestResult {
+  readonly outcome: string;
   readonly tookMs: number;
 }
 
 /**
- * @param world - the harness
+ * @param harness - routers and agents
  * @param request - the request
  * @returns its result for the caller
  */
-export const send = async (world: World, request: requestRouter.CallerRequest): Promise<End> => {
-  const startedMs = world.time.monotonicMs();
-  const end = world.router.route(request).then(
+export const send = async (
+  harness: Harness,
+  request: requestRouter.CallerRequest,
+): Promise<RequestResult> => {
+  const startedMs = harness.time.monotonicMs();
+  const end = harness.router.route(request).then(
     (answer) => Buffer.from(answer.body).toString('utf8'),
     (thrown: unknown) => errors.normalize(thrown).kind,
   );
   let tookMs = 0;
   void end.then(() => {
-    tookMs = world.time.monotonicMs() - startedMs;
+    tookMs = harness.time.monotonicMs() - startedMs;
   });
-  await world.time.advance(DEADLINE_MS * 2);
-  return { word: await end, tookMs };
+  await harness.time.advance(DEADLINE_MS * 2);
+  return { outcome: await end, tookMs };
 };
--- a/src/protocol/node/test/requestFaults.test.ts
+++ b/src/protocol/node/test/requestFaults.test.ts
@@ -13,60 +13,60 @@
   readonly faults: faultyLine.Fault[];
   readonly isIdempotent?: boolean;
   readonly isUpstreamLost?: boolean;
-  readonly word: string;
+  readonly outcome: string;
   readonly runs: number;
 }
 
 const ANSWER = 'body of r1';
 
 const CASES: readonly FaultCase[] = [
-  { name: 'no fault', faults: [], word: ANSWER, runs: 1 },
-  { name: 'the request is lost', faults: ['silentBefore'], word: ANSWER, runs: 1 },
-  { name: 'the reply is lost', faults: ['silentAfter'], word: ANSWER, runs: 1 },
-  { name: 'the reply is truncated', faults: ['cutAfter'], word: ANSWER, runs: 1 },
-  { name: "another attempt's reply arrives", faults: ['swapped'], word: ANSWER, runs: 1 },
+  { name: 'no fault', faults: [], outcome: ANSWER, runs: 1 },
+  { name: 'the request is lost', faults: ['silentBefore'], outcome: ANSWER, runs: 1 },
+  { name: 'the reply is lost', faults: ['silentAfter'], outcome: ANSWER, runs: 1 },
+  { name: 'the reply is truncated', faults: ['cutAfter'], outcome: ANSWER, runs: 1 },
+  { name: "another attempt's reply arrives", faults: ['swapped'], outcome: ANSWER, runs: 1 },
   {
     name: 'the first agent refuses the connection',
     faults: ['refusedConnection'],
-    word: ANSWER,
+    outcome: ANSWER,
     runs: 1,
   },
-  { name: 'the agent restarts', faults: ['restart'], word: 'outcomeUnknown', runs: 1 },
-  { name: 'the agent restarts', faults: ['restart'], isIdempotent: true, word: ANSWER, runs: 2 },
+  { name: 'the agent restarts', faults: ['restart'], outcome: 'outcomeUnknown', runs: 1 },
+  { name: 'the agent restarts', faults: ['restart'], isIdempotent: true, outcome: ANSWER, runs: 2 },
   {
     name: 'the reply and the settle message are lost',
     faults: ['silentAfter', 'silentBefore'],
-    word: 'outcomeUnknown',
+    outcome: 'outcomeUnknown',
     runs: 1,
   },
   {
     name: 'the agent refuses the connection for the settle message',
     faults: ['cutAfter', 'refusedConnection'],
-    word: 'outcomeUnknown',
+    outcome: 'outcomeUnknown',
     runs: 1,
   },
   {
     name: 'the upstream loses its answer',
     faults: [],
     isUpstreamLost: true,
-    word: 'outcomeUnknown',
+    outcome: 'outcomeUnknown',
     runs: 1,
   },
   {
     name: 'every connection is refused',
     faults: ['refusedConnection', 'refusedConnection'],
-    word: 'noUpstream',
+    outcome: 'noUpstream',
     runs: 0,
   },
 ];
 
 for (const it of CASES) {
   const kind = it.isIdempotent === true ? 'idempotent' : 'not idempotent';
-  test.test(`${it.name}, ${kind}: ${it.word}, ${it.runs} runs`, async () => {
-    const world = faultyLine.createWorld([...it.faults], it.isUpstreamLost);
-    const end = await faultyLine.send(world, faultyLine.requestOf('r1', it.isIdempotent));
-    assert.equal(end.word, it.word);
-    assert.equal(world.runs.length, it.runs);
+  test.test(`${it.name}, ${kind}: ${it.outcome}, ${it.runs} runs`, async () => {
+    const harness = faultyLine.createHarness([...it.faults], it.isUpstreamLost);
+    const end = await faultyLine.send(harness, faultyLine.requestOf('r1', it.isIdempotent));
+    assert.equal(end.outcome, it.outcome);
+    assert.equal(harness.runs.length, it.runs);
     assert.ok(
       end.tookMs <= faultyLine.DEADLINE_MS,
       'the caller gets its result within the deadline',
@@ -77,62 +77,62 @@
 test.test('in a burst, excess requests are rejected immediately and never run', async () => {
   // Guards against rejected requests that ran anyway: of 60 concurrent requests some are answered,
   // the rest are rejected immediately with `overloaded`.
-  const world = faultyLine.createWorld([]);
+  const harness = faultyLine.createHarness([]);
   const kinds: string[] = [];
   for (let index = 0; index < 60; index += 1) {
-    world.router.route(faultyLine.requestOf(`r${index}`)).then(
+    harness.router.route(faultyLine.requestOf(`r${index}`)).then(
       () => kinds.push('answered'),
       (thrown: unknown) => kinds.push(errors.normalize(thrown).kind),
     );
   }
-  await world.time.advance(faultyLine.SERVICE_MS);
+  await harness.time.advance(faultyLine.SERVICE_MS);
   const refusedAtOnce = kinds.filter((it) => it === 'overloaded').length;
-  await world.time.advance(faultyLine.DEADLINE_MS);
+  await harness.time.advance(faultyLine.DEADLINE_MS);
   assert.ok(refusedAtOnce >= 40, String(refusedAtOnce));
-  assert.equal(kinds.filter((it) => it === 'answered').length, world.runs.length);
-  assert.equal(new Set(world.runs).size, world.runs.length);
+  assert.equal(kinds.filter((it) => it === 'answered').length, harness.runs.length);
+  assert.equal(new Set(harness.runs).size, harness.runs.length);
 });
 
 test.test("at most half of an upstream's connections are in use", async () => {
-  const world = faultyLine.createWorld([]);
+  const harness = faultyLine.createHarness([]);
   const upstream = { upstreamId: 'u', url: 'http://u:1', slots: 8, connections: 4 };
-  world.hosts.forEach((it) => it.announce({ ...upstream, isLeaving: false }));
+  harness.hosts.forEach((it) => it.announce({ ...upstream, isLeaving: false }));
   const sent = Array.from({ length: 9 }, (_, index) =>
-    world.router.route(faultyLine.requestOf(`r${index}`)).catch(errors.normalize),
+    harness.router.route(faultyLine.requestOf(`r${index}`)).catch(errors.normalize),
   );
-  await world.time.advance(faultyLine.SERVICE_MS / 2);
-  const running = [...world.hosts.values()].map((it) => it.load().running);
+  await harness.time.advance(faultyLine.SERVICE_MS / 2);
+  const running = [...harness.hosts.values()].map((it) => it.load().running);
   assert.deepEqual(running, [2, 2]);
-  await world.time.advance(faultyLine.DEADLINE_MS);
+  await harness.time.advance(faultyLine.DEADLINE_MS);
   await Promise.all(sent);
 });
 
 test.test('a draining upstream finishes its running requests and gets no new ones', async () => {
-  const world = faultyLine.createWorld([]);
-  const first = world.router.route(faultyLine.requestOf('r1'));
-  await world.time.advance(1);
-  world.hosts.forEach((host) => host.leave());
-  const second = world.router.route(faultyLine.requestOf('r2')).catch(errors.normalize);
-  await world.time.advance(faultyLine.DEADLINE_MS);
+  const harness = faultyLine.createHarness([]);
+  const first = harness.router.route(faultyLine.requestOf('r1'));
+  await harness.time.advance(1);
+  harness.hosts.forEach((host) => host.leave());
+  const second = harness.router.route(faultyLine.requestOf('r2')).catch(errors.normalize);
+  await harness.time.advance(faultyLine.DEADLINE_MS);
   assert.equal(Buffer.from((await first).body).toString('utf8'), ANSWER);
   assert.equal(((await second) as errors.AuburnliftError).kind, 'draining');
-  assert.deepEqual(world.runs, ['r1']);
+  assert.deepEqual(harness.runs, ['r1']);
 });
 
 test.test(
   'a caller that repeats its key on the same agent gets the first answer again',
   async () => {
-    const world = faultyLine.createWorld([]);
+    const harness = faultyLine.createHarness([]);
     const [url] = faultyLine.URLS;
-    world.hosts.get(faultyLine.URLS[1] ?? '')?.leave();
+    harness.hosts.get(faultyLine.URLS[1] ?? '')?.leave();
     const answers = [
-      await faultyLine.send(world, faultyLine.requestOf('r1')),
-      await faultyLine.send(world, faultyLine.requestOf('r1')),
+      await faultyLine.send(harness, faultyLine.requestOf('r1')),
+      await faultyLine.send(harness, faultyLine.requestOf('r1')),
     ];
     assert.deepEqual(
-      answers.map((it) => it.word),
+      answers.map((it) => it.outcome),
       [ANSWER, ANSWER],
     );
-    assert.deepEqual([world.runs.length, world.hosts.has(url ?? '')], [1, true]);
+    assert.deepEqual([harness.runs.length, harness.hosts.has(url ?? '')], [1, true]);
   },
 );
