--- a/src/coordination/node/agentRuntime.ts
+++ b/src/coordination/node/agentRuntime.ts
@@ -1,9 +1,9 @@
 /**
- * The part of an agent that runs tasks on its worker for the leader of its cell.
+ * Runs tasks on an agent's worker for the leader of its cell.
  *
- * Guards against a leader that went away: the worker's task leases are renewed only as long as the
- * last answered report allows, counted from before that report was sent, so that the tasks have
- * stopped before any later leader may count them as stopped.
+ * Guards against an unreachable leader: the worker's task leases are renewed only within the lease
+ * of the last acknowledged report, counted from before that report was sent, so the tasks have
+ * stopped before a later leader may count them as stopped.
  */
 import type * as clock from '../../base/common/clock.js';
 import type * as disposable from '../../base/common/disposable.js';
@@ -13,76 +13,76 @@
 import type * as workerContract from '../../state/common/workerContract.js';
 import * as agentTasks from '../common/agentTasks.js';
 
-/** A report as the agent sends it. */
+/** A report, as sent by the agent. */
 export interface OutgoingReport {
   readonly epoch: number;
   readonly isFull: boolean;
-  /** Command messages handled before this was built. */
+  /** Number of command messages handled before the report was built. */
   readonly commandCount: number;
   readonly uptimeMs: number;
-  /** Stamp of the last answer from the leader of the epoch. */
+  /** Stamp of the last reply from the leader of the epoch. */
   readonly stampMs?: number;
   readonly tasks: readonly task.TaskReport[];
 }
 
-/** The leader's answer. */
+/** The leader's reply to a report. */
 export interface ReportAnswer {
   readonly epoch: number;
-  /** 0 where the leader may not grant. */
+  /** 0 if the leader may not grant leases now. */
   readonly leaseMs: number;
   readonly stampMs: number;
-  /** Period of the next reports while nothing happens. */
+  /** Period of reports while no task changes. */
   readonly reportMs: number;
   readonly wantsFull: boolean;
   readonly acknowledged: readonly task.TaskToken[];
 }
 
-/** What became of one command. */
+/** Result of one command. */
 export interface CommandResult {
   readonly isAccepted: boolean;
-  /** Nothing of the token runs, and nothing of it ever will. */
+  /** The task with this token does not run and never will. */
   readonly isGone: boolean;
   readonly reason?: string;
 }
 
-/** What the agent's task part needs. */
+/** Options of {@link startAgentRuntime}. */
 export interface AgentRuntimeOptions {
   readonly accelerators: number;
   readonly worker: workerContract.Worker;
   readonly clock: clock.Clock;
   readonly log: logging.Log;
-  /** Period of looks at the worker, and of reports until the leader names another. */
+  /** Period of polling the worker, and of reports until the leader sets another. */
   readonly reportMs: number;
-  /** Sends a report to the leader; throws where none is known or it does not answer. */
+  /** Sends a report to the leader; throws if none is known or it does not reply. */
   readonly report: (report: OutgoingReport) => Promise<ReportAnswer>;
 }
 
-/** The task part of an agent. */
+/** Runs the tasks of one agent. */
 export interface AgentRuntime extends disposable.Disposable {
   /**
-   * @returns what the agent holds as of accepting the epoch
-   * @throws AuburnliftError `staleEpoch` where a higher epoch was accepted
+   * @returns the agent's tasks at the instant when it accepted the epoch
+   * @throws AuburnliftError `staleEpoch` if a higher epoch was accepted
    */
   readonly fence: (epoch: number) => readonly task.TaskReport[];
   readonly acceptedEpoch: () => number;
   readonly uptimeMs: () => number;
-  /** Command messages handled since the start. */
+  /** Number of command messages handled since the start. */
   readonly commandCount: () => number;
   readonly command: (
     epoch: number,
     commands: readonly task.TaskCommand[],
   ) => Promise<readonly CommandResult[]>;
-  /** Tasks that hold accelerators. */
+  /** Tasks that have not ended and hold accelerators. */
   readonly activeTasks: () => readonly task.TaskReport[];
 }
 
-/** Reports of changes alone between two whole ones. */
+/** Number of partial reports between two full ones. */
 const FULL_EVERY = 8;
 
 const isActive = (it: workerContract.WorkerTask): boolean =>
   it.phase === 'running' || it.phase === 'stopping';
 
-/** Starts at the worker are repeated this often before the task counts as failed. */
+/** Maximum number of start calls to the worker for one start command. */
 const START_TRIES = 3;
 
 const parseKey = (key: string): task.TaskToken | undefined => {
@@ -93,8 +93,8 @@
 };
 
 /**
- * @param options - what the agent's task part needs
- * @returns the task part, already reporting
+ * @param options - options
+ * @returns the runtime, already reporting
  */
 export const startAgentRuntime = (options: AgentRuntimeOptions): AgentRuntime => {
   const { clock: timeSource, worker, log } = options;
@@ -107,7 +107,7 @@
   let periodMs = options.reportMs;
   let reportDueMs = bootedAtMs;
   let retryAtMs = bootedAtMs;
-  /** Phases as the leader has them, by task. */
+  /** Task phases in the last acknowledged report, by task key. */
   let told: ReadonlyMap<string, task.TaskPhase> = new Map();
   let reportsSinceFull = 0;
   let timer: disposable.Disposable | undefined;
@@ -149,7 +149,7 @@
   const onEffectFailed = (effect: agentTasks.AgentEffect, thrown: unknown): void => {
     const reason = errors.normalize(thrown).message;
     log('warn', 'workerCallFailed', { type: effect.type, key: effect.key, reason });
-    // The next look at the worker tells what became of it; a stop is repeated from there.
+    // The next poll of the worker shows the task's state; a lost stop is repeated there.
   };
   const runOne = async (epoch: number, command: task.TaskCommand): Promise<CommandResult> => {
     const step = agentTasks.command(state, epoch, command, nowMs(), leaseUntilMs);
@@ -165,7 +165,7 @@
     return isAccepted ? { isAccepted, isGone } : { isAccepted, isGone, reason };
   };
 
-  /** What the worker runs that this process did not start: it was started by an earlier boot. */
+  /** Adopts the worker's tasks that an earlier boot of this agent started. */
   const adopt = (usage: workerContract.WorkerUsage): void => {
     const held = new Map(state.held);
     for (const seen of usage.tasks) {
@@ -196,7 +196,7 @@
     if (!hasAdopted) adopt(usage);
     const seen = new Map(usage.tasks.map((it) => [it.key, it]));
     const strays = usage.tasks.filter((it) => isActive(it) && !state.held.has(it.key));
-    // A start of an earlier boot of this agent may reach the worker late; nobody would renew it.
+    // A start by an earlier boot may reach the worker late; no lease of it would be renewed.
     for (const it of strays) await worker.stop(it.key, 0);
     for (const held of [...state.held.values()]) {
       const key = task.tokenKey(held.token);
@@ -207,7 +207,7 @@
     }
     state = agentTasks.expire(state, nowMs());
   };
-  /** The leader does not have it yet, or has not said that the task's end is durable. */
+  /** The phase is not reported yet, or the leader has not acknowledged the end as durable. */
   const isNews = (it: task.TaskReport): boolean =>
     agentTasks.isEnded(it.phase) || told.get(task.tokenKey(it.token)) !== it.phase;
   const hasNews = (): boolean =>
@@ -215,9 +215,9 @@
       (it) => agentTasks.isEnded(it.phase) && told.get(task.tokenKey(it.token)) !== it.phase,
     );
   /**
-   * The end of a task frees accelerators that urgent work may wait for, so it is told at once. After
-   * a failure a quarter of a period passes: a leader that is slow under the reports of a whole cell
-   * would otherwise get them all again with each look.
+   * The end of a task frees accelerators that urgent jobs may wait for, so it is reported
+   * immediately. After a failed report, the next one waits a quarter of a period: a leader that is
+   * slow under the reports of a cell would otherwise get all of them again with each poll.
    */
   const isReportDue = (): boolean =>
     nowMs() >= retryAtMs && (wantsFull || hasNews() || nowMs() >= reportDueMs);
@@ -228,7 +228,7 @@
     const all = reports();
     const phases = new Map(all.map((it) => [task.tokenKey(it.token), it.phase]));
     const tasks = isFull ? all : all.filter(isNews);
-    // What changes while the report is under way counts as news again.
+    // Reset before sending, as a fence while the report is in flight requests a full one again.
     wantsFull = false;
     let answer: ReportAnswer;
     try {
@@ -247,7 +247,7 @@
     }
     const isCurrent = answer.epoch === epoch && epoch === state.acceptedEpoch;
     if (!isCurrent) {
-      // The leader does not know what this boot has accepted; it fences before anything else.
+      // A reply for another epoch grants no lease; that leader must fence this agent first.
       wantsFull = true;
       return;
     }
--- a/src/coordination/node/agentStatements.ts
+++ b/src/coordination/node/agentStatements.ts
@@ -1,31 +1,31 @@
 /**
- * What agents say to the leader of their cell, and what it answers.
+ * State that agents report to the leader of their cell, and the leader's replies.
  */
 import type * as task from '../../state/common/task.js';
 import type * as worker from '../../state/common/worker.js';
 
-/** What an agent holds, as it says when it accepts an epoch or reports. */
+/** State of an agent, sent when it accepts an epoch and with each report. */
 export interface AgentState {
   readonly bootId: string;
   readonly acceptedEpoch: number;
-  /** How long the agent has been up. */
+  /** Uptime of the agent. */
   readonly uptimeMs: number;
   readonly worker: worker.WorkerInfo | undefined;
-  /** Command messages that the agent had handled when it wrote this. */
+  /** Number of command messages that the agent had handled when it built this. */
   readonly commandCount: number;
   readonly tasks: readonly task.TaskReport[];
 }
 
-/** A report as the leader takes it. */
+/** A report, as received by the leader. */
 export interface AgentReport extends AgentState {
   readonly worker: worker.WorkerInfo;
-  /** This leader's stamp that the agent had received before. */
+  /** Stamp of the last reply of this leader that the agent had received. */
   readonly stampMs: number | undefined;
   readonly isFull: boolean;
   readonly isLeaving: boolean;
 }
 
-/** What the leader answers to a report. */
+/** The leader's reply to a report. */
 export interface ReportAnswer {
   readonly epoch: number;
   readonly leaseMs: number;
--- a/src/coordination/node/cellLeader.ts
+++ b/src/coordination/node/cellLeader.ts
@@ -1,9 +1,9 @@
 /**
- * Leads one cell: keeps its jobs and workers in memory, plans, commits and commands.
+ * Leads one cell: holds its jobs and workers in memory, plans, commits and sends commands.
  *
- * What the leader decides is pure (`jobMachine`, `reportIntake`, `memberOutcome`, `workerRoster`,
- * `placement`, `ledgerBook`); this module carries the decisions out and turns what happens into
- * events. It acts only after `takeOver` has fenced former leaders in the store and at the agents.
+ * Decisions are pure functions in `coordination/common`; this module performs their effects and
+ * turns replies, reports and timers into events. It acts only after `takeOver` has fenced previous
+ * leaders in the store and at the agents.
  */
 import type * as clock from '../../base/common/clock.js';
 import * as disposable from '../../base/common/disposable.js';
@@ -33,7 +33,7 @@
 import * as statementIntake from './statementIntake.js';
 import * as transitionLog from './transitionLog.js';
 
-/** What the leader needs. */
+/** Options of {@link createCellLeader}. */
 export interface CellLeaderOptions {
   readonly cell: string;
   readonly epoch: number;
@@ -43,20 +43,20 @@
   readonly log: logging.Log;
   readonly metrics: metrics.Metrics;
   readonly configuration: configurationHolder.ConfigurationHolder;
-  /** Makes the epoch known to an agent and asks what it holds. */
+  /** Announces the epoch to an agent and returns the agent's tasks. */
   readonly fence: (agentUrl: string) => Promise<agentStatements.AgentState>;
   readonly sendCommands: (
     agentUrl: string,
     bootId: string,
     commands: readonly task.TaskCommand[],
   ) => Promise<commandOutbox.CommandResults>;
-  /** Whether the store's lease on the leadership certainly stands. */
+  /** Whether the leadership lease in the store is certainly still valid. */
   readonly isLeaseHeld: () => boolean;
-  /** Agents of the zone that entries know; an agent that is missing reports by itself later. */
+  /** URLs of the zone's agents known to entries; a missing agent reports by itself later. */
   readonly discoverAgents: () => Promise<readonly string[]>;
-  /** Another leader took the cell. */
+  /** Called when another leader has taken over the cell. */
   readonly onDeposed: () => void;
-  /** Called after a job has changed its state. */
+  /** Called after a job's state has changed. */
   readonly onDidChangeJob?: (before: job.JobRecord, after: job.JobRecord) => void;
 }
 
@@ -64,7 +64,7 @@
 export interface CellLeader extends disposable.Disposable {
   readonly cell: string;
   readonly epoch: number;
-  /** Fences former leaders, reads the jobs and collects what runs. */
+  /** Fences previous leaders, reads the jobs and collects the running tasks from agents. */
   readonly takeOver: () => Promise<void>;
   readonly submit: (spec: job.JobSpec) => Promise<job.JobRecord>;
   readonly cancel: (jobIds: readonly string[]) => Promise<readonly job.JobRecord[]>;
@@ -74,30 +74,30 @@
   readonly warnings: () => readonly string[];
   readonly report: (report: agentStatements.AgentReport) => agentStatements.ReportAnswer;
   readonly quarantine: (workerId: string, isQuarantined: boolean, reason: string) => void;
-  /** Writes what is not yet written. */
+  /** Writes all pending changes to the store. */
   readonly flush: () => Promise<void>;
 }
 
-/** Wait that lets what happens together be planned together. */
+/** Delay that lets concurrent changes share one planning round. */
 const PLAN_DELAY_MS = 5;
 
-/** Period of the checks that nothing else triggers: lapsed leases, the ledger. */
+/** Period of checks that no event triggers: expired leases, the ledger. */
 const TICK_MS = 500;
 
 /**
- * Ticks between two planning rounds that nothing triggers but time: reservations fall due, estimates
- * run out, probes end. A round at each tick would take a quarter of what control may cost a node.
+ * Ticks between planning rounds that only time triggers: reservations fall due, estimates expire,
+ * probes end. A round at each tick would take a quarter of a node's control-plane budget.
  */
 const PLAN_EVERY_TICKS = 4;
 
-/** Ticks between two tries to reach agents that have not accepted the epoch. */
+/** Ticks between attempts to fence agents that have not accepted the epoch. */
 const FENCE_EVERY_TICKS = 8;
 
-/** Wait before writing again what could not be written. */
+/** Delay before a failed write is retried. */
 const COMMIT_RETRY_MS = 500;
 
 /**
- * @param options - what the leader needs
+ * @param options - options
  * @returns a leader that has not taken over yet
  */
 export const createCellLeader = (options: CellLeaderOptions): CellLeader => {
@@ -201,13 +201,13 @@
     const before = runtimes.get(jobId);
     if (before === undefined) return;
     const { next, effects } = jobMachine.step(before, event, context());
-    // Most reports repeat what is known; only a change may cost a look at the whole ledger.
+    // Most reports change nothing; only a change is worth the cost of updating the ledger.
     if (next === before && effects.length === 0) return;
     ledger.settle();
     runtimes.set(jobId, next);
     if (before.record.state !== next.record.state) inputs.learn(next.record);
     noteTransition(before.record, next.record);
-    // Effects speak of the placement that the event found.
+    // If the event cleared the placement, its effects refer to the one before.
     const placed = next.record.placement.length > 0 ? next.record : before.record;
     effects.forEach((effect) => perform(placed, effect));
     if (next.record.state !== before.record.state) planSoon();
@@ -244,7 +244,7 @@
   };
   const plan = (): void => {
     const current = options.configuration.current();
-    // Without the store nothing can be committed, so nothing may be started.
+    // Without the store nothing can be committed, so nothing may start.
     if (current === undefined || !commits.isHealthy()) return;
     const startedMs = nowMs();
     const round = placement.planRound({
@@ -313,7 +313,7 @@
         runtimes.set(it.spec.jobId, jobMachine.takeOver(it));
         inputs.learn(it);
       });
-      // A former leader may have died before it archived what ended last.
+      // The previous leader may have died before it archived the jobs that ended last.
       archive.addLately(kept);
       await workers.load();
       await ledger.load();
--- a/src/coordination/node/commandOutbox.ts
+++ b/src/coordination/node/commandOutbox.ts
@@ -1,15 +1,15 @@
 /**
- * Sends a leader's commands to agents: in order for each agent, batched, one message at a time.
+ * Sends a leader's commands to agents: batched, in order, with one message in flight per agent.
  */
 import * as errors from '../../base/common/errors.js';
 import type * as logging from '../../base/common/logging.js';
 import type * as task from '../../state/common/task.js';
 import type * as memberOutcome from '../common/memberOutcome.js';
 
-/** What an agent answers to a batch. */
+/** An agent's reply to a batch. */
 export interface CommandResults {
   readonly bootId: string;
-  /** Command messages that the agent has handled since its boot, this one included. */
+  /** Number of command messages that the agent has handled since its boot, including this one. */
   readonly commandCount: number;
   readonly results: readonly {
     readonly isAccepted: boolean;
@@ -18,7 +18,7 @@
   }[];
 }
 
-/** Sends a batch to one agent and gives the results in the same order. */
+/** Sends a batch to one agent and returns the results in the same order. */
 export type SendCommands = (
   agentUrl: string,
   commands: readonly task.TaskCommand[],
@@ -29,7 +29,7 @@
   readonly onOutcome: (outcome: memberOutcome.CommandOutcome) => void;
 }
 
-/** Commands under way to the agents of a cell. */
+/** Queues and sends commands to the agents of a cell. */
 export interface CommandOutbox {
   readonly enqueue: (
     agentUrl: string,
@@ -38,14 +38,14 @@
   ) => void;
 }
 
-/** Commands in one message; keeps a message far below the limit of its size. */
+/** Maximum number of commands in one message; keeps it far below the message size limit. */
 const MAX_BATCH = 256;
 
 /**
  * @param send - sends a batch to one agent
  * @param log - the process log
- * @param onAnswered - told of the agent's count of command messages before the outcomes are
- * @param onSilent - told of an agent that did not answer
+ * @param onAnswered - called with the agent's count of command messages, before the outcomes
+ * @param onSilent - called for an agent that did not reply
  * @returns an empty outbox
  */
 export const createCommandOutbox = (
@@ -77,7 +77,7 @@
   };
   const drain = async (agentUrl: string): Promise<void> => {
     active.add(agentUrl);
-    // One turn of the loop lets the commands of one planning round share a message.
+    // Waits one microtask, so that the commands of one planning round share a message.
     await Promise.resolve();
     for (;;) {
       const batch = (queues.get(agentUrl) ?? []).splice(0, MAX_BATCH);
--- a/src/coordination/node/jobIntake.ts
+++ b/src/coordination/node/jobIntake.ts
@@ -1,5 +1,5 @@
 /**
- * Takes what customers ask of a cell's leader: submit, cancel and show.
+ * Handles customers' requests to a cell's leader: submit, cancel and show.
  */
 import * as errors from '../../base/common/errors.js';
 import type * as job from '../../state/common/job.js';
@@ -9,10 +9,10 @@
 
 import type * as commitQueue from './commitQueue.js';
 
-/** What the intake needs. */
+/** Options of {@link createJobIntake}. */
 export interface JobIntakeOptions {
   readonly cell: string;
-  /** The jobs of the cell; accepted ones are added. */
+  /** The jobs of the cell; accepted jobs are added. */
   readonly runtimes: Map<string, jobMachine.JobRuntime>;
   readonly commits: commitQueue.CommitQueue;
   readonly context: () => jobMachine.JobContext;
@@ -20,7 +20,7 @@
   readonly onDidAccept: () => void;
 }
 
-/** The intake of one leader. */
+/** Handles requests for the jobs of one cell. */
 export interface JobIntake {
   readonly submit: (spec: job.JobSpec) => Promise<job.JobRecord>;
   readonly cancel: (jobIds: readonly string[]) => Promise<readonly job.JobRecord[]>;
@@ -28,8 +28,8 @@
 }
 
 /**
- * @param options - what the intake needs
- * @returns the intake
+ * @param options - options
+ * @returns the handler
  */
 export const createJobIntake = (options: JobIntakeOptions): JobIntake => {
   const { cell, runtimes, commits, context } = options;
@@ -46,13 +46,13 @@
       .map((it) => it.record)
       .filter((it) => jobSegments.segmentOf(it.spec.jobId) === segment);
     if (jobSegments.hasRoom(kept, accepted)) return;
-    throw errors.fail('overloaded', `cell ${cell} keeps too many jobs; nothing ran`, {
+    throw errors.fail('overloaded', `cell ${cell} stores too many jobs; nothing ran`, {
       retryAfterMs: 60_000,
     });
   };
   const repeated = (known: job.JobRecord, spec: job.JobSpec): job.JobRecord => {
     if (JSON.stringify(known.spec) === JSON.stringify(spec)) return known;
-    throw errors.fail('conflict', `job ${spec.jobId} exists with another content`, {
+    throw errors.fail('conflict', `job ${spec.jobId} exists with a different spec`, {
       field: 'jobId',
     });
   };
@@ -70,7 +70,7 @@
         await commits.commit(spec.jobId);
       } catch (thrown) {
         if (known !== undefined || thrown instanceof store.StoreOutcomeUnknown) {
-          throw errors.fail('outcomeUnknown', 'submit the same job id again to learn the outcome');
+          throw errors.fail('outcomeUnknown', 'submit the same job id again to get the outcome');
         }
         runtimes.delete(spec.jobId);
         throw thrown;
@@ -84,7 +84,7 @@
       try {
         await Promise.all(known.map((it) => commits.commit(it)));
       } catch {
-        throw errors.fail('outcomeUnknown', 'the cancellation is not durable yet; ask again');
+        throw errors.fail('outcomeUnknown', 'the cancellation may not be durable yet; repeat it');
       }
       return known.map(show);
     },
--- a/src/coordination/node/leaderRoster.ts
+++ b/src/coordination/node/leaderRoster.ts
@@ -1,6 +1,6 @@
 /**
- * The leader's roster of workers: keeps it, keeps the inventory in the store and tells whether the
- * leader may grant leases.
+ * The leader's registry of its cell's workers: holds their state in memory, saves the inventory to
+ * the store and decides whether the leader may grant leases.
  */
 import type * as clock from '../../base/common/clock.js';
 import * as errors from '../../base/common/errors.js';
@@ -11,71 +11,71 @@
 
 import * as workerInventory from './workerInventory.js';
 
-/** What the roster needs. */
+/** Options of {@link createLeaderRoster}. */
 export interface LeaderRosterOptions {
   readonly cell: string;
   readonly store: store.Store;
   readonly clock: clock.Clock;
   readonly log: logging.Log;
   readonly leaseMs: () => number;
-  /** Whether the store's lease on the leadership certainly stands. */
+  /** Whether the leadership lease in the store is certainly still valid. */
   readonly isLeaseHeld: () => boolean;
-  /** Called before anything changes that the ledger books. */
+  /** Called before a change of state that the ledger accounts for. */
   readonly onWillChange: () => void;
 }
 
-/** What an agent's statement says of its worker. */
+/** State of a worker's agent, from a report or a fence reply. */
 export interface Sighting {
   readonly bootId: string;
   readonly isLeaving: boolean;
-  /** How long the agent has been up. */
+  /** Uptime of the agent. */
   readonly uptimeMs: number;
-  /** This leader's own stamp that the agent had received; undefined before the first. */
+  /** This leader's last stamp that the agent had received; undefined before the first. */
   readonly stampMs: number | undefined;
-  /** Whether it is a report; only a report is answered with a lease. */
+  /** Whether it is a report; only the reply to a report grants a lease. */
   readonly isReport: boolean;
 }
 
-/** A worker as operators see it. */
+/** Status of a worker, for operators. */
 export interface WorkerView {
   readonly worker: worker.WorkerInfo;
   readonly health: worker.WorkerHealth;
   readonly healthReason: string;
 }
 
-/** The roster of one leader. */
+/** Registry of the workers of one leader's cell. */
 export interface LeaderRoster {
   readonly load: () => Promise<void>;
   readonly get: (workerId: string) => roster.RosterEntry | undefined;
   readonly agentUrlOf: (workerId: string) => string | undefined;
-  /** Addresses of agents that have not accepted this leader's epoch. */
+  /** URLs of agents that have not accepted this leader's epoch. */
   readonly unfencedUrls: () => readonly string[];
   readonly views: () => WorkerView[];
-  /** Takes the statement of an agent that has accepted this leader's epoch. */
+  /** Records the state of an agent that has accepted this leader's epoch. */
   readonly enroll: (info: worker.WorkerInfo, seen: Sighting) => void;
-  /** The agent has another boot or epoch than this leader has fenced. */
+  /** Records that the agent's boot or epoch differs from the one that this leader fenced. */
   readonly noteUnfenced: (workerId: string) => void;
-  /** No answer came: the worker gets no new work until its agent reports again. */
+  /** Records a missing reply: the worker gets no new work until its agent reports again. */
   readonly noteSilent: (agentUrl: string) => void;
   readonly bootIdOf: (agentUrl: string) => string;
-  /** Period at which agents are asked to report. */
+  /** Period at which agents must report. */
   readonly reportMs: () => number;
-  /** Saves what could not be saved before. */
+  /** Retries a failed save. */
   readonly retrySave: () => void;
   readonly noteAnswered: (agentUrl: string, bootId: string, commandCount: number) => void;
   readonly quarantinedIds: () => ReadonlySet<string>;
   readonly noteQuarantine: (workerId: string, isQuarantined: boolean, reason: string) => boolean;
-  /** @returns the lease to answer a report with; 0 where the leader may not grant now */
+  /** @returns the lease granted with the reply to a report; 0 if the leader may not grant now */
   readonly grantMs: (workerId: string) => number;
-  /** Workers none of whose tasks can run any more. */
+  /** Ids of workers whose tasks' leases have all expired, so none of them can still run. */
   readonly lapsed: () => readonly string[];
-  /** Workers whose tasks count as running although nothing is heard of them, for operators. */
+  /** Warnings on workers without a response whose tasks still count as running, for operators. */
   readonly warnings: () => readonly string[];
 }
 
 /**
- * @param options - what the roster needs
- * @returns an empty roster
+ * @param options - options
+ * @returns an empty registry
  */
 export const createLeaderRoster = (options: LeaderRosterOptions): LeaderRoster => {
   const { clock: timeSource, leaseMs } = options;
@@ -96,7 +96,7 @@
       options.log('warn', 'inventoryNotSaved', { reason: errors.normalize(thrown).message });
     });
   };
-  /** Read with every event of a job, and seldom changed. */
+  /** Cached, since each job event reads it and it seldom changes. */
   let quarantined: ReadonlySet<string> = new Set();
   const reportMs = (): number => roster.reportPeriodMs(entries.size, leaseMs());
   const update = (agentUrl: string, change: Partial<roster.RosterEntry>): void => {
@@ -122,9 +122,9 @@
       bootId: seen.bootId,
       isLeaving: seen.isLeaving,
       isFenced: true,
-      // Only a report is answered with a lease, and a start without a lease would be refused.
+      // Only the reply to a report grants a lease, and a start without a lease would be rejected.
       lastReportMs: seen.isReport ? nowMs() : never,
-      // A boot that is new to this leader may hold a lease of its predecessor.
+      // A boot that is new to this leader may hold a lease from the previous leader.
       leaseUntilMs: isSameBoot ? known.leaseUntilMs : foundUntilMs,
       confirmedAtMs: confirmedAtMs(seen, isSameBoot ? known.confirmedAtMs : never),
     });
@@ -180,7 +180,7 @@
       if (inventory.isSaveOwed()) save();
     },
     noteAnswered: (agentUrl, bootId, commandCount) => {
-      // An answer of an earlier boot says nothing of what this boot has handled.
+      // A reply of an earlier boot does not count the messages handled by the current one.
       for (const it of entries.values()) {
         const isCurrent = it.info.agentUrl === agentUrl && it.bootId === bootId;
         if (isCurrent && commandCount > it.commandCount) update(agentUrl, { commandCount });
--- a/src/coordination/node/memberCommands.ts
+++ b/src/coordination/node/memberCommands.ts
@@ -1,5 +1,5 @@
 /**
- * Carries a job's commands to its members' agents and brings the outcomes back as events.
+ * Sends a job's commands to its members' agents and dispatches the outcomes as job events.
  */
 import type * as clock from '../../base/common/clock.js';
 import * as disposable from '../../base/common/disposable.js';
@@ -10,7 +10,7 @@
 
 import type * as commandOutbox from './commandOutbox.js';
 
-/** What the commands need. */
+/** Options of {@link createMemberCommands}. */
 export interface MemberCommandsOptions {
   readonly clock: clock.Clock;
   readonly outbox: commandOutbox.CommandOutbox;
@@ -21,16 +21,16 @@
 
 /** Commands to the members of a cell's jobs. */
 export interface MemberCommands extends disposable.Disposable {
-  /** Sends to the member's agent; starts and stops are repeated until they are answered. */
+  /** Sends a command to the member's agent; starts and stops are resent until acknowledged. */
   readonly send: (record: job.JobRecord, effect: memberOutcome.MemberEffect) => void;
-  /** Stops a task that no job wants. */
+  /** Stops a task that belongs to no active job. */
   readonly stopStray: (agentUrl: string, token: task.TaskToken) => void;
 }
 
-/** Wait before a start or stop whose answer was lost is sent again. */
+/** Delay before an unacknowledged start or stop is sent again. */
 const RESEND_MS = 500;
 
-/** Reservations outlive a slow commit; a start after them is refused. */
+/** Reservations outlive a slow commit; a start after they expire is rejected. */
 const RESERVATION_LEASE_MS = 10_000;
 
 const commandOf = (record: job.JobRecord, effect: memberOutcome.MemberEffect): task.TaskCommand => {
@@ -50,8 +50,8 @@
 };
 
 /**
- * @param options - what the commands need
- * @returns commands, none of which is under way
+ * @param options - options
+ * @returns a sender without commands in flight
  */
 export const createMemberCommands = (options: MemberCommandsOptions): MemberCommands => {
   const resends = new Set<disposable.Disposable>();
--- a/src/coordination/node/planInputs.ts
+++ b/src/coordination/node/planInputs.ts
@@ -1,6 +1,6 @@
 /**
- * What planning needs besides the jobs and workers of the moment: learned run times, and which
- * workers planning itself has quarantined since when.
+ * Planning inputs besides the current jobs and workers: run time estimates, and since when each
+ * worker has been quarantined by planning itself.
  */
 import type * as clock from '../../base/common/clock.js';
 import type * as logging from '../../base/common/logging.js';
@@ -10,34 +10,34 @@
 
 import type * as leaderRoster from './leaderRoster.js';
 
-/** What the inputs need. */
+/** Options of {@link createPlanInputs}. */
 export interface PlanInputsOptions {
   readonly clock: clock.Clock;
   readonly log: logging.Log;
   readonly workers: Pick<leaderRoster.LeaderRoster, 'noteQuarantine'>;
 }
 
-/** Inputs of planning rounds, kept by the leader in memory. */
+/** Inputs of planning rounds, held in the leader's memory. */
 export interface PlanInputs {
   readonly estimates: () => runEstimates.RunEstimates;
-  /** Learns from a job that has changed its state. */
+  /** Updates the estimates from a job whose state has changed. */
   readonly learn: (record: job.JobRecord) => void;
-  /** The cell's workers as planning sees them. */
+  /** The cell's workers in the form that planning uses. */
   readonly workersOf: (views: readonly leaderRoster.WorkerView[]) => planTypes.PlanWorker[];
-  /** Carries out what a round decided: a reason quarantines, none releases. */
+  /** Applies the decision of a planning round: quarantines with a reason, releases without one. */
   readonly setQuarantine: (workerId: string, why: string | undefined) => void;
-  /** An operator decided; planning's own decision no longer counts. */
+  /** Records an operator's decision, which overrides planning's own. */
   readonly noteOperator: (workerId: string, isQuarantined: boolean) => void;
 }
 
 /**
- * @param options - what the inputs need
- * @returns inputs of a leader that has learned nothing
+ * @param options - options
+ * @returns inputs without estimates
  */
 export const createPlanInputs = (options: PlanInputsOptions): PlanInputs => {
-  /** Workers that planning quarantined, with the moment; operators' quarantines are not in it. */
+  /** Time of each quarantine by planning; quarantines by operators are not included. */
   const quarantinedAtMs = new Map<string, number>();
-  /** Moment of each worker's last release: earlier failures no longer count against it. */
+  /** Time of each worker's last release: earlier failures no longer count against it. */
   const releasedAtMs = new Map<string, number>();
   let estimates = runEstimates.NO_ESTIMATES;
   const quarantineOf = (workerId: string): Partial<planTypes.PlanWorker> => {
--- a/src/coordination/node/statementIntake.ts
+++ b/src/coordination/node/statementIntake.ts
@@ -1,6 +1,6 @@
 /**
- * Takes what agents say into the leader's picture of its cell: reports, answers to a fence, and the
- * tasks that a whole statement lacks.
+ * Updates the leader's in-memory state from agents' reports and fence replies, and declares tasks
+ * lost that are missing from a full report.
  */
 import type * as clock from '../../base/common/clock.js';
 import * as errors from '../../base/common/errors.js';
@@ -16,14 +16,14 @@
 import type * as leaderRoster from './leaderRoster.js';
 import type * as memberCommands from './memberCommands.js';
 
-/** What the intake needs. */
+/** Options of {@link createStatementIntake}. */
 export interface StatementIntakeOptions {
   readonly epoch: number;
   readonly clock: clock.Clock;
   readonly log: logging.Log;
-  /** Makes the epoch known to an agent and asks what it holds. */
+  /** Announces the epoch to an agent and returns the agent's tasks. */
   readonly fence: (agentUrl: string) => Promise<agentStatements.AgentState>;
-  /** An agent has accepted a later epoch. */
+  /** Called when an agent has accepted a later epoch. */
   readonly onDeposed: () => void;
   readonly isDisposed: () => boolean;
   readonly runtimes: ReadonlyMap<string, jobMachine.JobRuntime>;
@@ -35,19 +35,19 @@
   readonly planSoon: () => void;
 }
 
-/** Intake of agents' statements. */
+/** Handles agents' reports and fences agents. */
 export interface StatementIntake {
   readonly report: (stated: agentStatements.AgentReport) => agentStatements.ReportAnswer;
   readonly fenceAgent: (agentUrl: string) => Promise<void>;
-  /** Counts the members as lost that a whole statement of the worker does not have. */
+  /** Declares members on the worker lost that are missing from its full list of tasks. */
   readonly missTasks: (workerId: string, tasks: readonly task.TaskReport[], why: string) => void;
 }
 
 type WholeState = agentStatements.AgentState & { readonly worker: worker.WorkerInfo };
 
 /**
- * @param options - what the intake needs
- * @returns the intake
+ * @param options - options
+ * @returns the handler
  */
 export const createStatementIntake = (options: StatementIntakeOptions): StatementIntake => {
   const { runtimes, workers, members, commits, context, dispatch, planSoon, log } = options;
@@ -70,12 +70,12 @@
       members.send(runtime.record, { type: 'stop', member: reading.member, graceMs });
     }
   };
-  /** Whether a statement was written before the agent handled commands that it has answered. */
+  /** Whether the state was built before the agent handled commands that it has since answered. */
   const isOutdated = (workerId: string, state: agentStatements.AgentState): boolean => {
     const known = workers.get(workerId);
     return known?.bootId === state.bootId && state.commandCount < known.commandCount;
   };
-  /** A whole statement without a task that should be there: nothing of it runs. */
+  /** A task that is missing from a full list does not run on the worker. */
   const missTasks = (workerId: string, tasks: readonly task.TaskReport[], why: string): void => {
     for (const { jobId, member } of reportIntake.missingMembers(
       [...runtimes.values()],
@@ -90,7 +90,7 @@
     state.tasks.forEach((it) => takeTask(agentUrl, it, isNew));
     if (isNew) planSoon();
   };
-  /** What crossed a command on its way does not know the command's task yet. */
+  /** Ignores outdated lists: one built before a start command lacks that command's task. */
   const takeWhole = (state: WholeState): void => {
     const { workerId } = state.worker;
     if (isOutdated(workerId, state)) return;
--- a/src/coordination/node/transitionLog.ts
+++ b/src/coordination/node/transitionLog.ts
@@ -1,5 +1,5 @@
 /**
- * Logs and counts the changes of a job's state.
+ * Logs and counts changes of job states.
  */
 import type * as logging from '../../base/common/logging.js';
 import type * as metrics from '../../base/common/metrics.js';
@@ -8,7 +8,7 @@
 /**
  * @param log - the process log
  * @param measured - the process's metrics
- * @returns a function that tells of a job before and after an event
+ * @returns a function that is called with a job before and after an event
  */
 export const createTransitionLog =
   (log: logging.Log, measured: metrics.Metrics) =>
--- a/src/coordination/node/workerInventory.ts
+++ b/src/coordination/node/workerInventory.ts
@@ -1,9 +1,9 @@
 /**
- * Which workers a cell has, kept in the store so that a new leader also knows of those that it can't
- * reach: their tasks may still run.
+ * List of a cell's workers in the store, so that a new leader also knows of unreachable workers,
+ * whose tasks may still run.
  *
- * Guards against a former leader that writes an older list: a write keeps every worker that stands
- * in the store already.
+ * Guards against a previous leader that writes an older list: a write retains every worker that is
+ * already in the store.
  */
 import * as Schema from 'effect/Schema';
 
@@ -18,20 +18,20 @@
 /** The inventory of one cell. */
 export interface WorkerInventory {
   readonly load: () => Promise<readonly worker.WorkerInfo[]>;
-  /** @returns whether the worker is new or has changed, so that saving is due */
+  /** @returns whether the worker is new or has changed, and must be saved */
   readonly remember: (info: worker.WorkerInfo) => boolean;
-  /** Writes once, whatever was remembered meanwhile. */
+  /** Writes all recorded workers; concurrent calls share one write. */
   readonly save: () => Promise<void>;
-  /** Whether something that was remembered could not be saved yet. */
+  /** Whether a recorded worker is not saved yet and no write is pending. */
   readonly isSaveOwed: () => boolean;
-  /** The workers that certainly stand in the store, then each list that may stand there instead. */
+  /** The set of workers last confirmed in the store, then each set that may have replaced it. */
   readonly possibleSets: () => readonly ReadonlySet<string>[];
 }
 
 const decode = (entry: store.StoreEntry): readonly worker.WorkerInfo[] =>
   schemaIssues.decodeOrFail(Inventory, JSON.parse(entry.value), 'worker inventory').workers;
 
-/** Tries of one save against others that write at the same time. */
+/** Attempts of one save if others write concurrently. */
 const SAVE_TRIES = 3;
 
 /**
@@ -64,14 +64,14 @@
     return true;
   };
   const write = async (): Promise<void> => {
-    // One turn of the loop lets workers that register together share a write.
+    // Waits one microtask, so that workers that register concurrently share a write.
     await Promise.resolve();
     saving = undefined;
     isSaveOwed = true;
     for (let attempt = 0; attempt < SAVE_TRIES; attempt += 1) {
       if (await isWritten()) return;
     }
-    throw errors.fail('conflict', 'the worker inventory is written by others');
+    throw errors.fail('conflict', 'other processes keep writing the worker inventory');
   };
   return {
     load: async () => {
