--- a/src/coordination/node/configurationHistory.ts
+++ b/src/coordination/node/configurationHistory.ts
@@ -1,10 +1,9 @@
 /**
- * Earlier versions of the configuration, kept for the audit.
+ * Stores earlier versions of the configuration for audits.
  *
- * The version in force stands under one key. Before a writer replaces it, it copies it to a key of
- * its own; a crash between the two writes therefore loses nothing, as either the old version still
- * stands in force or its copy is there. The copy is written only where none is, so writers who race
- * write the same bytes.
+ * The active version has one key. Before a writer replaces it, it copies it to a separate key, so a
+ * crash between the two writes loses nothing: the old version is either still active or archived.
+ * The copy is written only if there is none, so concurrent writers write the same bytes.
  */
 import * as errors from '../../base/common/errors.js';
 import * as schemaIssues from '../../base/common/schemaIssues.js';
@@ -13,12 +12,12 @@
 import * as storeKeys from '../../state/common/storeKeys.js';
 
 /**
- * Versions kept. Four days of 250 changes; at 30 KB a document, 30 MB of the store, which the
- * platform bounds. Auditors who need longer read the history regularly.
+ * Number of retained versions: four days with 250 changes a day. At 30 KB a document this takes
+ * 30 MB of the store, which the platform limits. For longer audits, export the history regularly.
  */
 export const HISTORY_VERSIONS = 1000;
 
-/** Old versions removed with one write: two, so that a removal that failed is made up for. */
+/** Old versions removed per write: two, to catch up after a failed removal. */
 const PRUNED_AT_ONCE = 2;
 
 const ARCHIVE_TRIES = 3;
@@ -26,7 +25,7 @@
 /**
  * @param value - text from the store
  * @returns the record
- * @throws AuburnliftError `invalidRequest` where it is no configuration record
+ * @throws AuburnliftError `invalidRequest` if it is not a configuration record
  */
 export const decodeRecord = (value: string): configuration.ConfigurationRecord =>
   schemaIssues.decodeOrFail(
@@ -38,7 +37,7 @@
 /**
  * @param target - the store
  * @param version - an earlier version
- * @returns its record, undefined where it is not kept
+ * @returns its record, undefined if it is not retained
  */
 export const readArchived = async (
   target: store.Store,
@@ -57,13 +56,13 @@
   );
 
 /**
- * Copies the version in force to the history. Writing it again changes nothing, so a lost answer is
- * settled by trying once more.
+ * Copies the active version to the history. The write is idempotent, so it is retried after a lost
+ * reply.
  *
  * @param target - the store
  * @param record - the version that is about to be replaced
- * @throws AuburnliftError `conflict` where the history has another record of the version,
- *   `storeUnavailable` where the copy may be missing
+ * @throws AuburnliftError `conflict` if the history has another record of the version,
+ *   `storeUnavailable` if the copy may be missing
  */
 export const archive = async (
   target: store.Store,
@@ -89,10 +88,10 @@
 };
 
 /**
- * Removes versions beyond the bound. What fails is made up for by the next write.
+ * Removes versions beyond the limit. The next write catches up after a failure.
  *
  * @param target - the store
- * @param version - the version in force
+ * @param version - the active version
  */
 export const prune = async (target: store.Store, version: number): Promise<void> => {
   const newest = version - HISTORY_VERSIONS;
@@ -104,21 +103,21 @@
   }
 };
 
-/** Versions that one listing reads, each by a call of its own: documents may be large. */
+/** Versions per listing, each read by a separate call, as documents may be large. */
 const LISTED_VERSIONS = 50;
 
 /**
  * @param target - the store
- * @param inForce - the version in force
- * @returns it and the versions before it, newest first, at most fifty
+ * @param active - the active version
+ * @returns the active and earlier versions, newest first, at most 50
  */
 export const listVersions = async (
   target: store.Store,
-  inForce: configuration.ConfigurationRecord,
+  active: configuration.ConfigurationRecord,
 ): Promise<readonly configuration.ConfigurationRecord[]> => {
-  const records = [inForce];
+  const records = [active];
   while (records.length < LISTED_VERSIONS) {
-    const version = inForce.version - records.length;
+    const version = active.version - records.length;
     if (version <= configuration.NO_VERSION) break;
     const record = await readArchived(target, version);
     if (record === undefined) break;
--- a/src/coordination/node/configurationStore.ts
+++ b/src/coordination/node/configurationStore.ts
@@ -1,13 +1,13 @@
 /**
- * Writes the configuration: compare-and-swap on the version that the author had before them.
+ * Writes the configuration by compare-and-swap on the version that the author edited.
  *
  * Guards against
- * - two operators who race: the second gets a conflict that carries the version in force;
- * - an answer that is lost: the same swap is sent again, which either takes effect or shows what
- *   stands there; a swap that arrives late finds another revision and changes nothing;
- * - an answer that is lost while somebody writes on top: the history tells whether ours was
- *   accepted, since a writer archives the version that it replaces;
- * - a store that was restored from an older state: nothing is written on top of it.
+ * - two operators who write concurrently: the second gets a conflict with the active version;
+ * - a lost reply: the same swap is sent again, which either takes effect or returns the current
+ *   record; a swap that arrives late finds another revision and changes nothing;
+ * - a lost reply followed by another write: the history shows whether ours was accepted, since a
+ *   writer archives the version that it replaces;
+ * - a store that was restored from an older state: writes are rejected.
  */
 import * as errors from '../../base/common/errors.js';
 import * as configuration from '../../state/common/configuration.js';
@@ -19,9 +19,9 @@
 
 import * as configurationHistory from './configurationHistory.js';
 
-/** A change as an operator asks for it. */
+/** A configuration change requested by an operator. */
 export interface ConfigurationChange {
-  /** Version that the author saw. */
+  /** Version that the author edited. */
   readonly baseVersion: number;
   readonly writeId: string;
   readonly author: string;
@@ -31,21 +31,21 @@
 
 type ConfigurationRecord = configuration.ConfigurationRecord;
 
-/** Same swaps sent before the outcome is given up as unknown. */
+/** Attempts of the same swap before the outcome is reported as unknown. */
 const SWAP_TRIES = 3;
 
 const conflict = (change: ConfigurationChange, current: ConfigurationRecord | undefined) =>
   errors.fail(
     'conflict',
-    `version ${current?.version ?? 0} by ${current?.author ?? 'nobody'} is in force, not version ` +
-      `${change.baseVersion} that you changed; nothing was written`,
+    `version ${current?.version ?? 0} by ${current?.author ?? 'nobody'} is active, not version ` +
+      `${change.baseVersion} that you edited; nothing was written`,
     { field: 'baseVersion', facts: { current, yours: change } },
   );
 
 const unknown = (change: ConfigurationChange) =>
   errors.fail(
     'outcomeUnknown',
-    'the store went away before it answered; send the same change with the same write id again',
+    'the store did not reply; send the same change with the same write id again',
     { facts: { writeId: change.writeId, baseVersion: change.baseVersion } },
   );
 
@@ -56,7 +56,7 @@
   if (known === undefined || !configurationOrder.isRestored(current, known)) return;
   throw errors.fail(
     'conflict',
-    `the store holds version ${current?.version ?? 0}, and version ${known.version} is in force: ` +
+    `the store holds version ${current?.version ?? 0}, but version ${known.version} is active: ` +
       'the store was restored from an older state; nothing was written',
     { field: 'baseVersion' },
   );
@@ -71,8 +71,8 @@
 };
 
 /**
- * Guards against a form that is sent, changed and sent again under the same write id: it would be
- * told that it was accepted although only the first document was.
+ * Guards against a form that is submitted, edited and submitted again with the same write id: it
+ * would be reported as accepted although only the first document was.
  */
 const sameChange = (
   accepted: ConfigurationRecord,
@@ -88,7 +88,7 @@
   );
 };
 
-/** The change where an earlier try of it was accepted and somebody may have written since. */
+/** Finds the record of an earlier accepted attempt, even if another write has followed it. */
 const findAccepted = async (
   target: store.Store,
   change: ConfigurationChange,
@@ -130,12 +130,12 @@
 
 /**
  * @param target - the store
- * @param change - what the operator asks for
+ * @param change - the operator's change
  * @param nowMs - wall time
- * @param known - the version that the writer has in force, where it has any
- * @returns the record that was accepted; for a write id that was accepted before, that one
- * @throws AuburnliftError `invalidRequest` naming each complaint, `conflict` with both changes in its
- *   facts, `storeUnavailable` where nothing was written, `outcomeUnknown` where nobody can say yet
+ * @param known - the writer's active version, if any
+ * @returns the accepted record; for a write id that was accepted before, the earlier record
+ * @throws AuburnliftError `invalidRequest` with each problem, `conflict` with both changes in its
+ *   facts, `storeUnavailable` if nothing was written, `outcomeUnknown` if that is not known yet
  */
 export const writeConfiguration = async (
   target: store.Store,
@@ -156,7 +156,7 @@
   const record = { version, writeId, author, reason, writtenAtMs: nowMs, document };
   if (current !== undefined) await configurationHistory.archive(target, current);
   const written = await swap(target, change, record, entry?.revision ?? store.ABSENT_REVISION);
-  // The change stands; a bound that is not kept now is kept by the next write.
+  // The change is durable; if pruning fails, the next write prunes.
   await configurationHistory.prune(target, written.version).catch(() => undefined);
   return written;
 };
--- a/src/coordination/node/configurationSync.ts
+++ b/src/coordination/node/configurationSync.ts
@@ -1,11 +1,11 @@
 /**
- * The configuration's way into one entry or scheduler: from the store's watch, from its peers while
- * the store is down, and from any message that carries a higher version.
+ * Keeps the configuration of an entry or scheduler up to date: from the store's watch, from peers
+ * while the store is down, and when any message carries a higher version.
  *
- * Guards against a store that was restored from an older state. It shows as an older version in the
- * watch, but so does a watch that lags behind a write of this process. A version in force was in
- * the store before anybody had it, so a read that begins afterwards and finds an older one proves
- * the restoration; only then is the alarm raised. The process stays at its version in either case.
+ * Guards against a store that was restored from an older state. The watch then shows an older
+ * version, but also if it lags behind a write of this process. An active version was in the store
+ * before any process had it, so a later read that finds an older version proves the restoration;
+ * only then is the alarm raised. The process keeps its version in either case.
  */
 import type * as clock from '../../base/common/clock.js';
 import type * as disposable from '../../base/common/disposable.js';
@@ -21,7 +21,7 @@
 
 import type * as liveWatch from './liveWatch.js';
 
-/** What the configuration's way needs. */
+/** Options of {@link startConfigurationSync}. */
 export interface ConfigurationSyncOptions {
   readonly holder: configurationHolder.ConfigurationHolder;
   readonly store: store.Store;
@@ -29,32 +29,32 @@
   readonly clock: clock.Clock;
   readonly log: logging.Log;
   readonly metrics: metrics.Metrics;
-  /** Peers of the settings, asked besides those that the store names. */
+  /** Peer URLs from the settings, used in addition to those listed in the store. */
   readonly settingsPeerUrls: readonly string[];
-  /** Asks another entry or scheduler for what it has in force. */
+  /** Fetches the active configuration of another entry or scheduler. */
   readonly fetch: (url: string) => Promise<configuration.ConfigurationRecord | undefined>;
 }
 
-/** The configuration's way. Disposing it ends it. */
+/** Running synchronization; disposing stops it. */
 export interface ConfigurationSync extends disposable.Disposable {
   /**
-   * Learns that a process has the version; a higher one is fetched in the background, from that
-   * process where its address is known: after a restored store an agent may be the only one that
-   * still has it.
+   * Called with a version that another process has; a higher one is fetched in the background,
+   * first from that process if its URL is known: after a restore of the store, an agent may be the
+   * only process that still has it.
    */
   readonly noteVersion: (version: number, url?: string) => void;
-  /** @returns whether at least the version is in force, after asking for it where it is not */
+  /** @returns whether at least this version is active, after fetching it if it was not */
   readonly catchUp: (version: number, url?: string) => Promise<boolean>;
-  /** Asks every peer and takes the highest version. */
+  /** Asks every peer and adopts the highest version. */
   readonly askPeers: () => Promise<void>;
-  /** What operators must know, one sentence each. */
+  /** Warnings for operators, one sentence each. */
   readonly warnings: () => readonly string[];
 }
 
-/** Wait between two rounds of questions while there is no configuration at all. */
+/** Delay between two rounds of asking peers while the process has no configuration. */
 const FIRST_RETRY_MS = 500;
 
-/** Peers asked at once: entries and schedulers are few, and any one of them suffices. */
+/** Maximum number of peers asked concurrently: there are few, and any one of them suffices. */
 const MAX_PEERS = 16;
 
 const BEHIND_METRIC = 'auburnlift_configuration_store_behind';
@@ -65,8 +65,8 @@
   entry === undefined ? undefined : liveView.configurationOf(new Map([[entry.key, entry]]));
 
 /**
- * @param options - what it needs
- * @returns the way, already running
+ * @param options - options
+ * @returns the synchronization, already running
  */
 export const startConfigurationSync = (options: ConfigurationSyncOptions): ConfigurationSync => {
   const { holder, live, log } = options;
@@ -88,7 +88,7 @@
     const storeVersion = found?.version ?? 0;
     const sentence =
       `the store holds configuration version ${storeVersion}, but version ${holder.version()} is ` +
-      'in force: the store was restored from an older state; nothing is written on top of it';
+      'active: the store was restored from an older state; configuration writes are rejected';
     if (sentence === behind) return;
     behind = sentence;
     options.metrics.gauge(BEHIND_METRIC, 1);
@@ -99,7 +99,7 @@
       inForceWriteId: holder.current()?.writeId,
     });
   };
-  /** Reads the key itself, since a refused version in the watch may only be late. */
+  /** Reads the key itself, since the watch may merely lag behind. */
   const verify = async (): Promise<void> => {
     if (isChecking) return;
     isChecking = true;
@@ -139,14 +139,14 @@
       log('debug', 'configurationNotFetched', { url, reason: errors.normalize(thrown).message });
     }
   };
-  /** Many messages of one process arrive while it is being asked. */
+  /** Shares one fetch, as many messages of a process arrive while it is being asked. */
   const askOnce = async (url: string): Promise<void> => {
     const running = askedUrls.get(url) ?? ask(url).finally(() => askedUrls.delete(url));
     askedUrls.set(url, running);
     await running;
   };
   const askPeers = async (): Promise<void> => {
-    // Whoever comes while the peers are being asked shares that round.
+    // Concurrent callers share one round.
     asking ??= Promise.all(peerUrls().map(ask)).then(() => {
       asking = undefined;
     });
--- a/src/coordination/node/liveWatch.ts
+++ b/src/coordination/node/liveWatch.ts
@@ -1,9 +1,9 @@
 /**
- * Follows the live prefix of the store: configuration, leaders and processes.
+ * Watches the live prefix of the store: configuration, leaders and processes.
  *
- * Guards against a watch that goes silent or skips: besides the watch, the whole prefix is listed at
- * a fixed period, so that a change is seen within that period at the latest. A store that is down
- * leaves what was seen last; nothing is taken away for want of an answer.
+ * Guards against a watch that stalls or skips events: the whole prefix is also listed at a fixed
+ * period, so a change is seen within that period at the latest. While the store is down, the last
+ * known entries remain.
  */
 import type * as clock from '../../base/common/clock.js';
 import type * as disposable from '../../base/common/disposable.js';
@@ -13,31 +13,31 @@
 import type * as store from '../../state/common/store.js';
 import * as storeKeys from '../../state/common/storeKeys.js';
 
-/** What the watch needs. */
+/** Options of {@link startLiveWatch}. */
 export interface LiveWatchOptions {
   readonly store: store.Store;
   readonly clock: clock.Clock;
   readonly log: logging.Log;
-  /** Longest wait of one watch call. */
+  /** Timeout of one watch call. */
   readonly watchMs: number;
   /** Period of full listings. */
   readonly listMs: number;
-  /** Wait after a failed call. */
+  /** Delay after a failed call. */
   readonly retryMs: number;
 }
 
-/** The live prefix as it was seen last. Disposing it ends the watch. */
+/** The last known entries of the live prefix. Disposing ends the watch. */
 export interface LiveWatch extends disposable.Disposable {
   readonly entries: () => ReadonlyMap<string, store.StoreEntry>;
   readonly onDidChange: event.Event<void>;
-  /** Whether the store answered the last call. */
+  /** Whether the last call to the store succeeded. */
   readonly isConnected: () => boolean;
-  /** Lists at once. */
+  /** Lists the prefix immediately. */
   readonly refresh: () => Promise<void>;
 }
 
 /**
- * @param options - what the watch needs
+ * @param options - options
  * @returns the watch, already running
  */
 export const startLiveWatch = (options: LiveWatchOptions): LiveWatch => {
@@ -62,9 +62,9 @@
   const list = async (): Promise<void> => {
     const revisionBefore = revision;
     const listed = await target.list(storeKeys.LIVE_PREFIX);
-    // Guards against a store that was restored from an older state: its revisions begin again
-    // below the one seen last, so that every watch would wait in vain and every listing would be
-    // dropped as late. A listing that began after the higher revision was seen can't be late.
+    // Guards against a store that was restored from an older state: its revisions restart below
+    // the last seen one, so every watch would see no change and every listing would be dropped as
+    // stale. A listing that began after the higher revision was seen can't be stale.
     const wentBack = listed.revision < revisionBefore;
     if (wentBack) {
       options.log('error', 'storeWentBack', {
@@ -72,7 +72,7 @@
         seenRevision: revisionBefore,
       });
     }
-    // A slow listing must not undo what a watch has seen since.
+    // A slow listing must not overwrite newer changes seen by a watch.
     if (listed.revision < revision && !wentBack) return;
     const hasChanged =
       wentBack ||
@@ -111,7 +111,7 @@
         await turn();
         isConnected = true;
       } catch (thrown) {
-        // The end of the process withdraws its own watch, which says nothing of the store.
+        // On shutdown the process aborts its own watch, which is no failure of the store.
         if (isConnected && !stop.signal.aborted) {
           options.log('warn', 'storeLost', { reason: errors.normalize(thrown).message });
         }
--- a/src/coordination/node/serviceLevelKeeper.ts
+++ b/src/coordination/node/serviceLevelKeeper.ts
@@ -1,11 +1,11 @@
 /**
- * Keeps what a process counted against service-level objectives where it survives the process, and
- * reads what all processes counted.
+ * Persists a process's counts for service-level objectives in the store, and reads the counts of
+ * all processes.
  *
  * A process writes at most one record a minute, and lists and deletes once an hour. Guards against
- * a process that is started again under its old id: each run has a record of its own, so that it
- * has one writer and writing all of it again after a lost answer is safe. What a killed process
- * counted in its last minute is lost, which is stated on the operators' page.
+ * a process that restarts under its old id: each run has its own record and so a single writer,
+ * which makes it safe to rewrite the record after a lost reply. The last minute of a killed
+ * process is lost, as documented for operators.
  */
 import type * as clock from '../../base/common/clock.js';
 import type * as disposable from '../../base/common/disposable.js';
@@ -17,16 +17,16 @@
 import * as storeKeys from '../../state/common/storeKeys.js';
 import * as serviceLevelCounters from '../common/serviceLevelCounters.js';
 
-/** What the keeper needs. */
+/** Options of {@link createServiceLevelKeeper}. */
 export interface ServiceLevelKeeperOptions {
-  /** Id of this run of this process. */
+  /** Id of this run of the process. */
   readonly writerId: string;
   readonly store: store.Store;
   readonly clock: clock.Clock;
   readonly log: logging.Log;
 }
 
-/** Counts of one process. */
+/** Records the counts of one process. */
 export interface ServiceLevelKeeper extends disposable.Disposable {
   readonly note: (verdicts: readonly serviceLevelCounters.Verdict[]) => void;
   readonly flush: () => Promise<void>;
@@ -34,15 +34,15 @@
 
 const WRITE_MS = 60_000;
 
-/** An hour that ended this long ago is written by nobody any more. */
+/** No process still writes an hour that ended this many hours ago. */
 const SETTLED_HOURS = 2;
 
-/** Hours beyond the kept ones that are looked at for records of processes that went away. */
+/** Expired hours checked for records left by processes that no longer run. */
 const DELETE_SPAN_HOURS = 3;
 
 /**
- * @param options - what the keeper needs
- * @returns a keeper that has counted nothing
+ * @param options - options
+ * @returns a recorder without counts
  */
 export const createServiceLevelKeeper = (
   options: ServiceLevelKeeperOptions,
@@ -63,7 +63,7 @@
     const swap = (expectedRevision: number): Promise<store.SwapResult> =>
       target.compareAndSwap({ key, expectedRevision, value });
     const first = await swap(revisions.get(hour) ?? store.ABSENT_REVISION);
-    // Only an earlier write of this very run whose answer was lost can stand there.
+    // A conflict can only come from an earlier write of this run whose reply was lost.
     const result = first.isSwapped
       ? first
       : await swap(first.current?.revision ?? store.ABSENT_REVISION);
@@ -89,7 +89,7 @@
   };
   const writeAll = async (): Promise<void> => {
     for (const hour of [...dirty].sort((a, b) => a - b)) {
-      // Taken off before: an event that comes while it is written marks it again.
+      // Cleared before the write, since an event during the write marks the hour dirty again.
       dirty.delete(hour);
       try {
         await write(hour);
@@ -141,8 +141,8 @@
 ) => Promise<readonly serviceLevel.ServiceLevelHour[]>;
 
 /**
- * Hours that nobody writes any more are read once, so that a report costs three listings after the
- * first, which costs one for each hour that is kept.
+ * Hours that no process still writes are cached, so the first report costs one listing for each
+ * retained hour and later reports cost three.
  *
  * @param target - the store
  * @returns the reader
--- a/src/coordination/node/test/configurationSync.test.ts
+++ b/src/coordination/node/test/configurationSync.test.ts
@@ -1,5 +1,5 @@
 /**
- * The configuration's way into a process: late watches, restored stores, peers in an outage.
+ * Synchronization of the configuration: lagging watches, restored stores, peers in an outage.
  */
 import * as assert from 'node:assert/strict';
 import * as test from 'node:test';
@@ -33,9 +33,9 @@
 });
 
 interface World {
-  /** What a read of the store gives; undefined while it is down. */
+  /** The record in the store; undefined while the store is down. */
   stored: configuration.ConfigurationRecord | undefined;
-  /** What the peer has. */
+  /** The peer's active record. */
   peer: configuration.ConfigurationRecord | undefined;
 }
 
@@ -92,9 +92,9 @@
 
 for (const restored of [record(1), record(3, 'elsewhere')]) {
   const { version, writeId } = restored;
-  test.test(`a store that comes back with ${version}:${writeId} is refused loudly`, async () => {
-    // Operators restore the platform's store from a backup. Without a guard each process that
-    // listens takes the older document, and an accepted change is undone without anybody knowing.
+  test.test(`a store restored to ${version}:${writeId} is rejected with an alarm`, async () => {
+    // Guards against a lost change: operators restore the platform's store from a backup, and each
+    // watching process adopts the older document without an alarm.
     const world: World = { stored: record(3), peer: undefined };
     const it = create(world);
     await it.watch(record(3));
@@ -112,9 +112,9 @@
   });
 }
 
-test.test('a process that starts in an outage takes the version of its peers', async () => {
-  // An entry VM is replaced while the store is down. With no configuration it is not ready; as soon
-  // as one peer answers, it serves with the peer's version.
+test.test('a process that starts in a store outage adopts the version of its peers', async () => {
+  // An entry VM is replaced while the store is down: without a configuration it is not ready. It
+  // must adopt the peer's version as soon as one peer replies.
   const world: World = { stored: undefined, peer: undefined };
   const it = create(world);
   await it.timeSource.advance(2000);
@@ -126,7 +126,7 @@
 });
 
 test.test(
-  'a higher version in a message is fetched; a lower one from a peer is not taken',
+  'a higher version in a message is fetched; a lower one from a peer is not adopted',
   async () => {
     const world: World = { stored: record(1), peer: record(1) };
     const it = create(world);
