--- a/src/coordination/node/commitQueue.ts
+++ b/src/coordination/node/commitQueue.ts
@@ -1,8 +1,8 @@
 /**
- * Group commit of job changes: all that changed since the last write goes out together, at most one
- * write a segment, one round of writes at a time.
+ * Group commit of job changes: all changes since the last round are written together, with at most
+ * one write per segment and one round at a time.
  *
- * Made for waves: 500 cancellations that arrive together cost no more writes than one.
+ * Bursts stay cheap: 500 concurrent cancellations cost at most one write per segment.
  */
 import type * as clock from '../../base/common/clock.js';
 import type * as disposable from '../../base/common/disposable.js';
@@ -14,34 +14,34 @@
 
 import type * as jobStore from './jobStore.js';
 
-/** What the queue needs. */
+/** Options of {@link createCommitQueue}. */
 export interface CommitQueueOptions {
   readonly jobStore: jobStore.JobStore;
   readonly clock: clock.Clock;
   readonly log: logging.Log;
-  /** The jobs of a segment as they are now. */
+  /** The current jobs of a segment. */
   readonly recordsOf: (segment: number) => readonly job.JobRecord[];
-  /** Wait before writing again what could not be written. */
+  /** Delay before a failed write is retried. */
   readonly retryMs: number;
-  /** Another leader has written: this one must stop. */
+  /** Called when another leader has written, so this one must stop. */
   readonly onDeposed: () => void;
 }
 
 /** Group commit of one cell. */
 export interface CommitQueue extends disposable.Disposable {
-  /** Writes the job with the next round, again and again until it is written. */
+  /** Writes the job with the next round, retrying until it is written. */
   readonly markDirty: (jobId: string) => void;
   /**
-   * Waits for the round that holds what the job is now.
+   * Waits for the round that writes the job's current state.
    *
-   * @throws AuburnliftError `storeUnavailable` where nothing was written, `StoreOutcomeUnknown`
-   *   where nobody can say
+   * @throws AuburnliftError `storeUnavailable` if nothing was written, `StoreOutcomeUnknown` if
+   *   that is not known
    */
   readonly commit: (jobId: string) => Promise<void>;
   readonly isDirty: (jobId: string) => boolean;
   /** Whether the last write succeeded. */
   readonly isHealthy: () => boolean;
-  /** Writes what is dirty now, once. */
+  /** Writes the dirty segments now, without waiting for retries. */
   readonly flush: () => Promise<void>;
 }
 
@@ -51,7 +51,7 @@
 }
 
 /**
- * @param options - what the queue needs
+ * @param options - options
  * @returns an empty queue
  */
 export const createCommitQueue = (options: CommitQueueOptions): CommitQueue => {
@@ -95,7 +95,7 @@
     await Promise.all(segments.map(writeSegment));
   };
   const run = async (): Promise<void> => {
-    // One turn of the loop lets everything that happens together join the same round.
+    // Waits one microtask, so that concurrent changes join the same round.
     await Promise.resolve();
     while (dirty.size > 0 && !isDisposed) {
       await round();
--- a/src/coordination/node/jobArchive.ts
+++ b/src/coordination/node/jobArchive.ts
@@ -1,10 +1,10 @@
 /**
- * Keeps ended jobs with their decisions for {@link ARCHIVED_DAYS}, after the cell's segments have
- * dropped them, so that `explain` can still answer.
+ * Archives ended jobs with their decisions for {@link ARCHIVED_DAYS} days, after the cell's
+ * segments have dropped them, so that `explain` still finds them.
  *
- * A day is a few bounded parts, written at most once a minute. Guards against a leader that dies
- * before it wrote: the job is still in its segment, which keeps the latest 512 ended jobs of a cell,
- * and the next leader adds what ended within a day again; a job that is there already is replaced.
+ * A day consists of a few parts of limited size, written at most once a minute. Guards against a
+ * leader that dies before a write: the segments retain a cell's latest 512 ended jobs, and the next
+ * leader adds the jobs of the last day again; a job that is already archived is replaced.
  */
 import * as Schema from 'effect/Schema';
 
@@ -18,24 +18,24 @@
 import * as store from '../../state/common/store.js';
 import * as storeKeys from '../../state/common/storeKeys.js';
 
-/** Days for which an ended job can be explained. */
+/** Retention of ended jobs, in days. */
 export const ARCHIVED_DAYS = 30;
 
-/** Parts of a day. At 132 jobs a day and cell and 4 kB a job, one or two are used. */
+/** Maximum parts of a day. With 132 jobs a day and cell and 4 kB a job, one or two are used. */
 export const MAX_PARTS = 8;
 
-/** Largest part, well below the store's megabyte. */
+/** Maximum size of a part, well below the store's limit of one megabyte. */
 const MAX_PART_BYTES = 524_288;
 
 const WRITE_MS = 60_000;
 const DAY_MS = 86_400_000;
 
-/** Days looked back at for parts to delete, in case no leader ran on the day they fell due. */
+/** Number of expired days checked for deletion, in case no leader ran on the day of expiry. */
 const DELETE_SPAN_DAYS = 5;
 
 const ArchivePart = Schema.Struct({ jobs: Schema.Array(job.JobRecord) });
 
-/** What the archive needs. */
+/** Options of {@link createJobArchive}. */
 export interface JobArchiveOptions {
   readonly cell: string;
   readonly store: store.Store;
@@ -44,11 +44,11 @@
   readonly metrics: metrics.Metrics;
 }
 
-/** The archive of a cell that is led. */
+/** Archive of one cell, written by its leader. */
 export interface JobArchive extends disposable.Disposable {
-  /** Takes a job that has ended; it is written within a minute. */
+  /** Adds an ended job; it is written within a minute. */
   readonly add: (record: job.JobRecord) => void;
-  /** Takes again what ended within a day, as a former leader may not have written it. */
+  /** Adds jobs that ended within the last day, as the previous leader may not have written them. */
   readonly addLately: (records: readonly job.JobRecord[]) => void;
   readonly flush: () => Promise<void>;
 }
@@ -92,7 +92,7 @@
  * @param cell - availability zone
  * @param jobId - id of a job
  * @param nowMs - wall time
- * @returns the job's last record, looked for from the latest day backwards
+ * @returns the job's last record, searched from the latest day backwards
  */
 export const findArchived = async (
   target: store.Store,
@@ -112,7 +112,7 @@
 const bytesOf = (jobs: readonly job.JobRecord[]): number =>
   Buffer.byteLength(JSON.stringify({ jobs }));
 
-/** Puts a job where it stands already, else into the last part that has room. */
+/** Replaces the job if it is already archived, else adds it to the last part or to a new one. */
 const place = (
   parts: readonly (readonly job.JobRecord[])[],
   record: job.JobRecord,
@@ -131,8 +131,8 @@
 };
 
 /**
- * @param options - what the archive needs
- * @returns an archive that writes every minute while there is something to write
+ * @param options - options
+ * @returns an archive that writes every minute while jobs are pending
  */
 export const createJobArchive = (options: JobArchiveOptions): JobArchive => {
   const { cell, store: target } = options;
@@ -175,7 +175,7 @@
     const first = today - ARCHIVED_DAYS - 1;
     for (let day = first; day > first - DELETE_SPAN_DAYS; day -= 1) {
       const parts = await readDay(target, cell, day);
-      // From the last part on, as a reader stops at the first that is missing.
+      // Deletes the last part first, since readers stop at the first missing part.
       for (const [index, { revision }] of [...parts.entries()].reverse()) {
         const key = storeKeys.jobArchiveKey(cell, day, index);
         await target.compareAndSwap({ key, expectedRevision: revision, value: null });
@@ -205,7 +205,7 @@
     timer = options.clock.after(WRITE_MS, () => {
       flush()
         .catch((thrown: unknown) => {
-          // Read back and placed again with the next turn, so a lost answer does no harm.
+          // The next write reads the day again and replaces jobs, so a lost reply does no harm.
           options.log('warn', 'archiveNotWritten', { reason: errors.normalize(thrown).message });
         })
         .finally(() => {
--- a/src/coordination/node/jobStore.ts
+++ b/src/coordination/node/jobStore.ts
@@ -1,9 +1,9 @@
 /**
- * Reads and writes a cell's jobs in the store, as the one writer of its epoch.
+ * Reads and writes a cell's jobs in the store, as the only writer of its epoch.
  *
- * Guards against a former leader that still writes: taking over rewrites every segment, so that each
- * revision the former leader knows is stale. Guards against lost answers: the segment is read back
- * and its write id tells whether the write took effect.
+ * Guards against a previous leader that still writes: a takeover rewrites every segment, so all
+ * revisions known to the previous leader are stale. Guards against lost replies: the segment is
+ * read back, and its write id shows whether the write took effect.
  */
 import * as errors from '../../base/common/errors.js';
 import * as schemaIssues from '../../base/common/schemaIssues.js';
@@ -12,24 +12,24 @@
 import * as storeKeys from '../../state/common/storeKeys.js';
 import * as jobSegments from '../common/jobSegments.js';
 
-/** What the job store needs. */
+/** Options of {@link createJobStore}. */
 export interface JobStoreOptions {
   readonly store: store.Store;
   readonly cell: string;
   readonly epoch: number;
-  /** Makes an id that nobody else makes. */
+  /** Generates a unique id. */
   readonly newId: () => string;
 }
 
 /** The jobs of one cell in the store. */
 export interface JobStore {
-  /** Fences former leaders and reads everything. */
+  /** Fences previous leaders and reads all jobs. */
   readonly takeOver: () => Promise<readonly job.JobRecord[]>;
   /**
    * Writes one segment.
    *
-   * @throws AuburnliftError `notLeader` where another leader wrote since, `storeUnavailable` where
-   *   nothing was written; `StoreOutcomeUnknown` where nobody can say
+   * @throws AuburnliftError `notLeader` if another leader has written since, `storeUnavailable` if
+   *   nothing was written; `StoreOutcomeUnknown` if that is not known
    */
   readonly write: (segment: number, records: readonly job.JobRecord[]) => Promise<void>;
 }
@@ -37,7 +37,7 @@
 const SEGMENTS = Array.from({ length: jobSegments.SEGMENT_COUNT }, (_unused, index) => index);
 
 /**
- * @param options - what the job store needs
+ * @param options - options
  * @returns the job store, which has read nothing yet
  */
 export const createJobStore = (options: JobStoreOptions): JobStore => {
@@ -45,7 +45,7 @@
   const decode = (value: string): jobSegments.JobSegment =>
     schemaIssues.decodeOrFail(jobSegments.JobSegment, JSON.parse(value), 'job segment');
 
-  /** Writes unless somebody else did; gives the revision, or what stands there instead. */
+  /** Writes unless the segment has changed; returns the new revision, or the current entry. */
   const swap = async (
     key: string,
     expectedRevision: number,
@@ -59,7 +59,7 @@
       return readBack(key, segment.writeId, thrown);
     }
   };
-  /** Whether the write whose answer was lost took effect; unknown where the store stays away. */
+  /** Checks whether a write without a reply took effect; unknown if the store stays unreachable. */
   const readBack = async (
     key: string,
     writeId: string,
@@ -81,7 +81,7 @@
     const value = { epoch: options.epoch, writeId: options.newId(), jobs: records };
     const expected = revisions.get(segment) ?? store.ABSENT_REVISION;
     const first = await swap(key, expected, value);
-    // An earlier write of this very leader may have taken effect although its answer was lost.
+    // An earlier write of this leader may have taken effect although its reply was lost.
     const current = first.isSwapped ? undefined : first.current;
     const isOwnEarlier = current !== undefined && decode(current.value).epoch === options.epoch;
     const isUntouched = !first.isSwapped && (current?.revision ?? 0) === expected;
--- a/src/coordination/node/leadership.ts
+++ b/src/coordination/node/leadership.ts
@@ -1,9 +1,9 @@
 /**
- * Takes and keeps the leadership of one cell through the store.
+ * Acquires the leadership of one cell through the store.
  *
- * Guards against two leaders at once: the leased key lets one process try, and the compare-and-swap
- * of the epoch decides. A process that was paused between the two finds the epoch taken. What a
- * former leader still sends carries a lower epoch, which agents and the store's revisions refuse.
+ * Guards against two concurrent leaders: the leased key lets one process try, and the swap of the
+ * epoch decides. A process that was paused between the two finds the epoch taken. Agents reject a
+ * previous leader's lower epoch, and its store writes fail on the revision.
  */
 import type * as clock from '../../base/common/clock.js';
 import * as schemaIssues from '../../base/common/schemaIssues.js';
@@ -13,7 +13,7 @@
 
 import * as leaseHolder from './leaseHolder.js';
 
-/** What the candidate needs. */
+/** Options of {@link tryLead}. */
 export interface LeadershipOptions {
   readonly store: store.Store;
   readonly clock: clock.Clock;
@@ -21,11 +21,11 @@
   readonly leaderId: string;
   readonly url: string;
   readonly ttlMs: number;
-  /** Makes an id that nobody else makes. */
+  /** Generates a unique id. */
   readonly newId: () => string;
 }
 
-/** A leadership that was won. */
+/** An acquired leadership. */
 export interface Leadership {
   readonly epoch: number;
   readonly lease: leaseHolder.LeaseHolder;
@@ -34,7 +34,7 @@
 const decodeLeader = (value: string): liveRecords.LeaderRecord =>
   schemaIssues.decodeOrFail(liveRecords.LeaderRecord, JSON.parse(value), 'leader record');
 
-/** Settles a lost answer by reading back and looking for the write id. */
+/** Swaps; after a lost reply, reads the value back and checks whether it is ours. */
 const swapOrReadBack = async (
   target: store.Store,
   swap: store.CompareAndSwap,
@@ -74,8 +74,8 @@
 };
 
 /**
- * @param options - what the candidate needs
- * @returns the leadership, or undefined where somebody else has it
+ * @param options - options
+ * @returns the leadership, or undefined if another process has it
  * @throws AuburnliftError `storeUnavailable`
  */
 export const tryLead = async (options: LeadershipOptions): Promise<Leadership | undefined> => {
--- a/src/coordination/node/leaseHolder.ts
+++ b/src/coordination/node/leaseHolder.ts
@@ -1,29 +1,29 @@
 /**
  * Holds a lease of the store and renews it at a third of its term.
  *
- * Guards against a holder that was paused: it counts its term from before the renewal was sent, on
- * its own monotonic clock and shortened by the clocks' drift, so it stops believing in its lease
- * before the store lets anybody else have it.
+ * Guards against a paused holder: the term is counted from before the renewal was sent, on the
+ * holder's monotonic clock and shortened by the maximum clock drift, so the holder considers the
+ * lease expired before the store does.
  */
 import type * as clock from '../../base/common/clock.js';
 import type * as disposable from '../../base/common/disposable.js';
 import type * as store from '../../state/common/store.js';
 
-/** Largest difference in speed between two monotonic clocks. */
+/** Maximum drift between two monotonic clocks. */
 export const CLOCK_DRIFT_SHARE = 0.01;
 
 /** A lease that is renewed until it is disposed. */
 export interface LeaseHolder extends disposable.Disposable {
   readonly leaseId: string;
-  /** Whether the lease certainly still stands. */
+  /** Whether the lease is certainly still valid. */
   readonly isHeld: () => boolean;
-  /** The store said that the lease is gone; it never comes back. */
+  /** Whether the store reported the lease as gone; this is final. */
   readonly isLost: () => boolean;
-  /** Stops renewing and lets the lease lapse by itself. */
+  /** Stops renewing and lets the lease expire. */
   readonly abandon: () => void;
 }
 
-/** What the holder needs. */
+/** Options of {@link acquireLease}. */
 export interface LeaseHolderOptions {
   readonly store: store.Store;
   readonly clock: clock.Clock;
@@ -31,7 +31,7 @@
 }
 
 /**
- * @param options - what the holder needs
+ * @param options - options
  * @returns the holder of a new lease
  * @throws AuburnliftError `storeUnavailable`
  */
@@ -49,7 +49,7 @@
       if (await target.renewLease(leaseId)) heldUntilMs = sentAtMs + termMs;
       else isLost = true;
     } catch {
-      // The store may come back before the term is over; the next renewal tells.
+      // The store may recover before the term ends, so the next renewal tries again.
     }
     if (!isDisposed && !isLost) schedule();
   };
@@ -73,7 +73,7 @@
       try {
         await target.revokeLease(leaseId);
       } catch {
-        // It lapses by itself.
+        // The lease then expires by itself.
       }
     },
   };
--- a/src/coordination/node/ledgerKeeper.ts
+++ b/src/coordination/node/ledgerKeeper.ts
@@ -1,13 +1,13 @@
 /**
- * Keeps a cell's ledger while it is led: books each span between two changes and writes the hours.
+ * Records the ledger of a led cell: books each span between two changes and writes the hours.
  *
  * Guards against these failures:
- * - A leader dies: what it had not written is seen as a gap by the next one, which books it from the
- *   jobs in the store (`ledgerBook.bookUnwitnessed`), starting where the last record ends.
- * - A deposed leader still writes: each record carries its writer's epoch. Loading rewrites the last
- *   record, so that the older leader's next write conflicts, reads a higher epoch and ends it.
- * - An answer is lost: the record is read back. A later conflict with a record of the own epoch can
- *   only be such a write, as an epoch has one writer; it is overwritten with all that is booked.
+ * - A leader dies: the next one sees the unwritten time as a gap after the last record, and books
+ *   it from the jobs in the store as unwitnessed time.
+ * - A previous leader still writes: each record carries its writer's epoch. Loading rewrites the
+ *   last record, so the previous leader's next write conflicts, reads a higher epoch and stops.
+ * - A reply is lost: the record is read back. A later conflict with a record of the own epoch can
+ *   only be such a write, as an epoch has one writer; it is overwritten with everything booked.
  * - The store is down for hours: hours stay in memory until they are written, oldest first.
  */
 import type * as clock from '../../base/common/clock.js';
@@ -26,61 +26,61 @@
 
 import * as ledgerRollup from './ledgerRollup.js';
 
-/** What the keeper needs. */
+/** Options of {@link createLedgerKeeper}. */
 export interface LedgerKeeperOptions {
   readonly cell: string;
-  /** Epoch of the leader that keeps the books. */
+  /** Epoch of the leader that writes the ledger. */
   readonly epoch: number;
   readonly store: store.Store;
   readonly clock: clock.Clock;
   readonly log: logging.Log;
   readonly metrics: metrics.Metrics;
   readonly holdings: () => ledgerHoldings.Holdings;
-  /** A later leader keeps the books. */
+  /** Called when a later leader writes the ledger. */
   readonly onDeposed: () => void;
 }
 
-/** The ledger of a cell that is led. */
+/** Ledger of one cell, written by its leader. */
 export interface LedgerKeeper extends disposable.Disposable {
-  /** Fences former keepers and books the time since their last record. */
+  /** Fences previous writers and books the time since their last record. */
   readonly load: () => Promise<void>;
-  /** Books what has been held until now; call it before anything changes. */
+  /** Books the allocations up to now; must be called before each change. */
   readonly settle: () => void;
   /** Writes the hours that changed. */
   readonly flush: () => Promise<void>;
 }
 
-/** How often the hours are written while they are small. */
+/** Period of writes while records are small. */
 const WRITE_MS = 5000;
 
 /**
- * Bytes a second that writing may cost. Made for a cell at the target size, whose hour grows to some
- * 50 kB: written every 5 s it would take half of the 23 kB/s that control may spend on a node.
+ * Maximum rate of bytes written. In a cell of the target size an hour grows to about 50 kB; written
+ * every 5 s, it would take half of a node's control-plane budget of 23 kB/s.
  */
 const WRITE_BYTES_PER_S = 2000;
 
-/** Longest wait; a leader that dies leaves at most this much time unwitnessed. */
+/** Maximum period of writes; if a leader dies, at most this much time is unwitnessed. */
 const MAX_WRITE_MS = 120_000;
 
 /**
- * @param bytes - size of the record that was written last
- * @returns wait before the next write
+ * @param bytes - size of the last written record
+ * @returns delay before the next write
  */
 export const writeDelayMs = (bytes: number): number =>
   Math.min(MAX_WRITE_MS, Math.max(WRITE_MS, Math.ceil((bytes / WRITE_BYTES_PER_S) * 1000)));
 
-/** How often old hours are looked for. */
+/** Period of rolling up old hours. */
 const ROLL_UP_MS = ledgerEntry.HOUR_MS;
 
-/** A longer time without any leader stays a hole, which the check reports. */
+/** A longer time without a leader is not booked but left as a hole, which the check reports. */
 export const MAX_GAP_MS = 604_800_000;
 
 const decode = (value: string): ledgerEntry.LedgerHour =>
   schemaIssues.decodeOrFail(ledgerEntry.LedgerHour, JSON.parse(value), 'ledger hour');
 
 /**
- * @param options - what the keeper needs
- * @returns a keeper that has booked nothing
+ * @param options - options
+ * @returns a ledger without bookings
  */
 export const createLedgerKeeper = (options: LedgerKeeperOptions): LedgerKeeper => {
   const { cell, epoch, clock: timeSource, log } = options;
@@ -126,7 +126,7 @@
   const depose = (): never => {
     if (!isDeposed) options.onDeposed();
     isDeposed = true;
-    throw errors.fail('notLeader', `the ledger of cell ${cell} has a later keeper`);
+    throw errors.fail('notLeader', `a later leader writes the ledger of cell ${cell}`);
   };
   const swap = async (
     hour: ledgerEntry.LedgerHour,
@@ -165,7 +165,7 @@
       options.metrics.count('auburnlift_ledger_faults_total', { cell, kind });
     }
   };
-  /** Forgets hours that are over and written. */
+  /** Drops past hours that are written. */
   const prune = (): void => {
     const last = Math.max(...book.keys());
     book = new Map(
@@ -187,7 +187,7 @@
     }
     prune();
   };
-  /** One write at a time: two at once would conflict with each other. */
+  /** One write at a time, as concurrent writes would conflict with each other. */
   const flush = (): Promise<void> => {
     writing = writing.then(writeAll, writeAll);
     return writing;
@@ -229,7 +229,7 @@
       if (last !== undefined && last.epoch > epoch) depose();
       const nowMs = Math.floor(timeSource.wallMs());
       const fromMs = startOf(last, nowMs);
-      // Taken or created even where there is nothing to book, so that a former keeper conflicts.
+      // Written even if there is nothing to book, so that a previous leader's write conflicts.
       const first =
         last === undefined
           ? ledgerBook.openHour({ cell, epoch }, nowMs)
--- a/src/coordination/node/ledgerRollup.ts
+++ b/src/coordination/node/ledgerRollup.ts
@@ -1,10 +1,10 @@
 /**
- * Bounds the ledger in the store: hours that are three days old become one record a day, and days
- * are kept for {@link KEPT_DAYS}. Both rules are stated on the operators' page.
+ * Limits the ledger's size in the store: hours older than three days are merged into one record a
+ * day, and days are retained for {@link KEPT_DAYS}. Both rules are documented for operators.
  *
- * Guards against a process that dies between writing the day and deleting its hours: the day names
- * the hours that went into it, so that doing it again adds only hours that are missing, and a
- * reader leaves out hours that the day has.
+ * Guards against a process that dies between writing the day and deleting its hours: the day lists
+ * the hours merged into it, so a repeat adds only missing hours, and readers skip hours that the
+ * day contains.
  */
 import * as schemaIssues from '../../base/common/schemaIssues.js';
 import * as ledgerEntry from '../../state/common/ledgerEntry.js';
@@ -12,13 +12,13 @@
 import * as storeKeys from '../../state/common/storeKeys.js';
 import * as ledgerBook from '../common/ledgerBook.js';
 
-/** Whole days for which hours stay apart. */
+/** Days for which hours are stored separately. */
 export const HOURLY_DAYS = 3;
 
-/** Days that are kept: a year and a month, for the yearly audit. */
+/** Retention of days: a year and a month, for the yearly audit. */
 export const KEPT_DAYS = 400;
 
-/** What rolling up needs. */
+/** Options of {@link rollUp}. */
 export interface RollupOptions {
   readonly store: store.Store;
   readonly cell: string;
@@ -35,10 +35,10 @@
 const dayOf = (hour: number): number => Math.floor(hour / ledgerEntry.HOURS_PER_DAY);
 
 /**
- * @param day - the day so far, if any
- * @param hours - hours of the day, some of which may be in it already
+ * @param day - the existing day record, if any
+ * @param hours - hours of the day, some of which it may already contain
  * @param owner - the cell and the epoch of its leader
- * @returns the day with each hour in it once
+ * @returns the day with each hour included once
  */
 export const mergeDay = (
   day: ledgerEntry.LedgerDay | undefined,
@@ -82,7 +82,7 @@
     expectedRevision: current?.revision ?? store.ABSENT_REVISION,
     value: JSON.stringify(merged),
   });
-  // Another process rolls the same day up; it also deletes the hours.
+  // Another process is rolling up the same day and deletes the hours.
   if (!result.isSwapped) return;
   for (const { entry } of kept) {
     const { key: hourKey, revision } = entry;
@@ -99,7 +99,7 @@
 };
 
 /**
- * @param options - what rolling up needs
+ * @param options - options
  * @returns the days that were rolled up
  * @throws AuburnliftError `storeUnavailable`; calling again is safe at any point
  */
@@ -110,7 +110,7 @@
     hour: schemaIssues.decodeOrFail(ledgerEntry.LedgerHour, JSON.parse(entry.value), 'ledger hour'),
   }));
   const today = dayOf(ledgerBook.hourOf(options.nowMs));
-  // The newest record is what the next leader goes on from; it stays whatever its age.
+  // The next leader continues from the newest record, so it is retained whatever its age.
   const newestDay = dayOf(kept.at(-1)?.hour.hour ?? 0);
   const byDay = new Map<number, KeptHour[]>();
   for (const it of kept) {
--- a/src/coordination/node/processPresence.ts
+++ b/src/coordination/node/processPresence.ts
@@ -1,5 +1,5 @@
 /**
- * Keeps the leased key by which the other processes find this one.
+ * Maintains the leased key by which other processes discover this one.
  */
 import type * as clock from '../../base/common/clock.js';
 import type * as disposable from '../../base/common/disposable.js';
@@ -9,7 +9,7 @@
 
 import * as leaseHolder from './leaseHolder.js';
 
-/** What presence needs. */
+/** Options of {@link announce}. */
 export interface PresenceOptions {
   readonly store: store.Store;
   readonly clock: clock.Clock;
@@ -29,8 +29,8 @@
 };
 
 /**
- * @param options - what presence needs
- * @returns the presence; disposing it takes the key away
+ * @param options - options
+ * @returns the presence; disposing it revokes the lease, which removes the key
  */
 export const announce = (options: PresenceOptions): disposable.Disposable => {
   let lease: leaseHolder.LeaseHolder | undefined;
--- a/src/coordination/node/requestClaims.ts
+++ b/src/coordination/node/requestClaims.ts
@@ -1,10 +1,10 @@
 /**
- * Claims on callers' keys in the platform's store, for callers that ask for one: where a request was
- * sent last is known to every entry, so that the same key through another entry, or after an entry's
- * death, is settled with that agent before it may run again.
+ * Claims on callers' idempotency keys in the platform's store, for callers that request one. A
+ * claim tells every entry which agent a request was sent to last, so a repeat through another one,
+ * or after an entry has died, is settled with that agent before it may run again.
  *
- * One write for each such request, since several hundred writes a second are all that the store
- * takes: hence on demand only. Without the store such a request is refused and did not run.
+ * Each such request costs a store write, and the store takes only several hundred writes a second,
+ * so claims are optional. While the store is down, such a request is rejected without running.
  */
 import * as Schema from 'effect/Schema';
 
@@ -14,7 +14,7 @@
 import * as store from '../../state/common/store.js';
 import * as units from '../../state/common/units.js';
 
-/** Where a request was sent last. */
+/** The agent and attempt that a request was sent to last. */
 export const Claim = Schema.Struct({
   agentUrl: units.Url,
   bootId: units.CallerKey,
@@ -25,7 +25,7 @@
 /** See {@link Claim}. */
 export type Claim = typeof Claim.Type;
 
-/** Whether a claim was taken, or who holds it. */
+/** Whether the claim was taken, else the current claim. */
 export type ClaimResult =
   | { readonly type: 'taken'; readonly revision: number }
   | { readonly type: 'held'; readonly revision: number; readonly claim: Claim };
@@ -34,18 +34,18 @@
 export interface RequestClaims {
   /**
    * @param key - customer and request
-   * @param expectedRevision - revision of the claim that was settled as never run; 0 for none
+   * @param expectedRevision - revision of the claim that was settled as never run; 0 if none
    * @param claim - the next attempt
-   * @returns whether it was taken
-   * @throws AuburnliftError `storeUnavailable`; nothing may be sent then
+   * @returns whether the claim was taken
+   * @throws AuburnliftError `storeUnavailable`; the request must not be sent then
    */
   readonly take: (key: string, expectedRevision: number, claim: Claim) => Promise<ClaimResult>;
 }
 
-/** Claims go away this long after their minute: much later than agents remember the end. */
+/** TTL of the claims of one minute; much longer than agents retain outcomes. */
 const CLAIM_TTL_MS = 3_600_000;
 
-/** Claims of so long share one lease, which is never renewed. */
+/** Claims within this period share one lease, which is never renewed. */
 const LEASE_SHARED_MS = 60_000;
 
 const PREFIX = 'claims/';
@@ -75,7 +75,7 @@
       throw thrown;
     }
   };
-  /** An answer that was lost is settled by reading back: attempt ids are unique. */
+  /** Resolves a lost reply by reading the claim back: attempt ids are unique. */
   const readBack = async (key: string, claim: Claim): Promise<ClaimResult> => {
     const current = await target.get(key);
     if (current === undefined) throw errors.fail('storeUnavailable', 'the claim was not written');
@@ -95,7 +95,7 @@
       const result = await target.compareAndSwap(swap);
       if (result.isSwapped) return { type: 'taken', revision: result.revision };
       if (result.current === undefined) {
-        throw errors.fail('storeUnavailable', 'the claim lapsed meanwhile');
+        throw errors.fail('storeUnavailable', 'the claim expired meanwhile');
       }
       return { type: 'held', revision: result.current.revision, claim: parse(result.current) };
     } catch (thrown) {
@@ -111,7 +111,7 @@
         const { message } = errors.normalize(thrown);
         throw errors.fail(
           'storeUnavailable',
-          `the key can not be claimed; nothing ran: ${message}`,
+          `the key can not be claimed; the request did not run: ${message}`,
           {
             retryAfterMs: 1000,
           },
