--- a/src/coordination/node/agentRuntime.ts
+++ b/src/coordination/node/agentRuntime.ts
@@ -77,13 +77,13 @@
 }
 
 /** Number of partial reports between two full ones. */
-const FULL_EVERY = 8;
+const PARTIAL_REPORTS_PER_FULL = 8;
 
 const isActive = (it: workerContract.WorkerTask): boolean =>
   it.phase === 'running' || it.phase === 'stopping';
 
 /** Maximum number of start calls to the worker for one start command. */
-const START_TRIES = 3;
+const MAX_START_ATTEMPTS = 3;
 
 const parseKey = (key: string): task.TaskToken | undefined => {
   const parts = /^(.+)\/(\d+)\/(\d+)$/.exec(key);
@@ -104,21 +104,21 @@
   const bootedAtMs = timeSource.monotonicMs();
   let leaseUntilMs = bootedAtMs;
   let stampMs: number | undefined;
-  let periodMs = options.reportMs;
+  let reportPeriodMs = options.reportMs;
   let reportDueMs = bootedAtMs;
   let retryAtMs = bootedAtMs;
   /** Task phases in the last acknowledged report, by task key. */
-  let told: ReadonlyMap<string, task.TaskPhase> = new Map();
+  let reportedPhases: ReadonlyMap<string, task.TaskPhase> = new Map();
   let reportsSinceFull = 0;
   let timer: disposable.Disposable | undefined;
   let isDisposed = false;
-  let isTurning = false;
+  let isPolling = false;
   let commandCount = 0;
 
   const nowMs = (): number => timeSource.monotonicMs();
   const uptimeMs = (): number => Math.floor(nowMs() - bootedAtMs);
   const reports = (): task.TaskReport[] => [...state.held.values()].map(agentTasks.toReport);
-  const startAtWorker = async (
+  const startOnWorker = async (
     effect: Extract<agentTasks.AgentEffect, { type: 'start' }>,
   ): Promise<void> => {
     for (let attempt = 1; ; attempt += 1) {
@@ -127,14 +127,14 @@
         await worker.start({ ...effect, leaseMs });
         return;
       } catch (thrown) {
-        if (attempt >= START_TRIES) throw thrown;
+        if (attempt >= MAX_START_ATTEMPTS) throw thrown;
       }
     }
   };
   const perform = async (effect: agentTasks.AgentEffect): Promise<void> => {
     switch (effect.type) {
       case 'start':
-        await startAtWorker(effect);
+        await startOnWorker(effect);
         break;
       case 'stop':
         await worker.stop(effect.key, effect.graceMs);
@@ -151,7 +151,7 @@
     log('warn', 'workerCallFailed', { type: effect.type, key: effect.key, reason });
     // The next poll of the worker shows the task's state; a lost stop is repeated there.
   };
-  const runOne = async (epoch: number, command: task.TaskCommand): Promise<CommandResult> => {
+  const runCommand = async (epoch: number, command: task.TaskCommand): Promise<CommandResult> => {
     const step = agentTasks.command(state, epoch, command, nowMs(), leaseUntilMs);
     state = step.next;
     for (const effect of step.effects) {
@@ -166,7 +166,7 @@
   };
 
   /** Adopts the worker's tasks that an earlier boot of this agent started. */
-  const adopt = (usage: workerContract.WorkerUsage): void => {
+  const adoptTasks = (usage: workerContract.WorkerUsage): void => {
     const held = new Map(state.held);
     for (const seen of usage.tasks) {
       const token = parseKey(seen.key);
@@ -184,20 +184,20 @@
     state = { ...state, held };
     hasAdopted = true;
   };
-  const renew = async (): Promise<void> => {
+  const renewLeases = async (): Promise<void> => {
     const leftMs = Math.floor(leaseUntilMs - nowMs());
     const keys = [...state.held.values()]
       .filter((it) => it.phase === 'running' || it.phase === 'stopping')
       .map((it) => task.tokenKey(it.token));
     if (keys.length > 0 && leftMs > 0) await worker.renew(keys, leftMs);
   };
-  const look = async (): Promise<void> => {
+  const pollWorker = async (): Promise<void> => {
     const usage = await worker.report();
-    if (!hasAdopted) adopt(usage);
+    if (!hasAdopted) adoptTasks(usage);
     const seen = new Map(usage.tasks.map((it) => [it.key, it]));
-    const strays = usage.tasks.filter((it) => isActive(it) && !state.held.has(it.key));
+    const strayTasks = usage.tasks.filter((it) => isActive(it) && !state.held.has(it.key));
     // A start by an earlier boot may reach the worker late; no lease of it would be renewed.
-    for (const it of strays) await worker.stop(it.key, 0);
+    for (const it of strayTasks) await worker.stop(it.key, 0);
     for (const held of [...state.held.values()]) {
       const key = task.tokenKey(held.token);
       const observation = seen.get(key);
@@ -208,11 +208,12 @@
     state = agentTasks.expire(state, nowMs());
   };
   /** The phase is not reported yet, or the leader has not acknowledged the end as durable. */
-  const isNews = (it: task.TaskReport): boolean =>
-    agentTasks.isEnded(it.phase) || told.get(task.tokenKey(it.token)) !== it.phase;
-  const hasNews = (): boolean =>
+  const isUnreported = (it: task.TaskReport): boolean =>
+    agentTasks.isEnded(it.phase) || reportedPhases.get(task.tokenKey(it.token)) !== it.phase;
+  const hasUnreportedEnd = (): boolean =>
     reports().some(
-      (it) => agentTasks.isEnded(it.phase) && told.get(task.tokenKey(it.token)) !== it.phase,
+      (it) =>
+        agentTasks.isEnded(it.phase) && reportedPhases.get(task.tokenKey(it.token)) !== it.phase,
     );
   /**
    * The end of a task frees accelerators that urgent jobs may wait for, so it is reported
@@ -220,14 +221,14 @@
    * slow under the reports of a cell would otherwise get all of them again with each poll.
    */
   const isReportDue = (): boolean =>
-    nowMs() >= retryAtMs && (wantsFull || hasNews() || nowMs() >= reportDueMs);
-  const tell = async (): Promise<void> => {
+    nowMs() >= retryAtMs && (wantsFull || hasUnreportedEnd() || nowMs() >= reportDueMs);
+  const sendReport = async (): Promise<void> => {
     const sentAtMs = nowMs();
     const epoch = state.acceptedEpoch;
-    const isFull = wantsFull || reportsSinceFull >= FULL_EVERY;
+    const isFull = wantsFull || reportsSinceFull >= PARTIAL_REPORTS_PER_FULL;
     const all = reports();
     const phases = new Map(all.map((it) => [task.tokenKey(it.token), it.phase]));
-    const tasks = isFull ? all : all.filter(isNews);
+    const tasks = isFull ? all : all.filter(isUnreported);
     // Reset before sending, as a fence while the report is in flight requests a full one again.
     wantsFull = false;
     let answer: ReportAnswer;
@@ -242,7 +243,7 @@
       });
     } catch (thrown) {
       wantsFull = true;
-      retryAtMs = nowMs() + periodMs / 4;
+      retryAtMs = nowMs() + reportPeriodMs / 4;
       throw thrown;
     }
     const isCurrent = answer.epoch === epoch && epoch === state.acceptedEpoch;
@@ -253,38 +254,38 @@
     }
     leaseUntilMs = Math.max(leaseUntilMs, sentAtMs + answer.leaseMs);
     stampMs = answer.stampMs;
-    periodMs = answer.reportMs;
-    reportDueMs = sentAtMs + periodMs;
+    reportPeriodMs = answer.reportMs;
+    reportDueMs = sentAtMs + reportPeriodMs;
     reportsSinceFull = isFull ? 0 : reportsSinceFull + 1;
     wantsFull ||= answer.wantsFull;
-    told = phases;
+    reportedPhases = phases;
     const forgotten = answer.acknowledged.map(task.tokenKey);
     state = agentTasks.forget(state, answer.acknowledged);
     if (forgotten.length > 0) await worker.forget(forgotten);
   };
-  const turn = async (): Promise<void> => {
-    isTurning = true;
+  const pollAndReport = async (): Promise<void> => {
+    isPolling = true;
     try {
-      await look();
-      if (isReportDue()) await tell();
+      await pollWorker();
+      if (isReportDue()) await sendReport();
     } catch (thrown) {
       log('debug', 'reportFailed', { reason: errors.normalize(thrown).message });
     }
     try {
-      await renew();
+      await renewLeases();
     } catch (thrown) {
       log('warn', 'renewFailed', { reason: errors.normalize(thrown).message });
     }
-    isTurning = false;
+    isPolling = false;
     if (!isDisposed) schedule(options.reportMs);
   };
   const schedule = (delayMs: number): void => {
     void timer?.dispose();
     timer = timeSource.after(delayMs, () => {
-      if (!isTurning) void turn();
+      if (!isPolling) void pollAndReport();
     });
   };
-  void turn();
+  void pollAndReport();
   return {
     fence: (epoch) => {
       const fenced = agentTasks.fence(state, epoch);
@@ -306,7 +307,7 @@
     commandCount: () => commandCount,
     command: async (epoch, commands) => {
       const results = [];
-      for (const command of commands) results.push(await runOne(epoch, command));
+      for (const command of commands) results.push(await runCommand(epoch, command));
       commandCount += 1;
       return results;
     },
--- a/src/coordination/node/cellLeader.ts
+++ b/src/coordination/node/cellLeader.ts
@@ -131,7 +131,7 @@
     isLeaseHeld: options.isLeaseHeld,
     onWillChange: () => ledger.settle(),
   });
-  const inputs = planInputs.createPlanInputs({ clock: timeSource, log, workers });
+  const planningInputs = planInputs.createPlanInputs({ clock: timeSource, log, workers });
   const outbox = commandOutbox.createCommandOutbox(
     (agentUrl, commands) => options.sendCommands(agentUrl, workers.bootIdOf(agentUrl), commands),
     log,
@@ -191,7 +191,7 @@
   );
 
   const logTransition = transitionLog.createTransitionLog(log, options.metrics);
-  const noteTransition = (before: job.JobRecord, after: job.JobRecord): void => {
+  const recordTransition = (before: job.JobRecord, after: job.JobRecord): void => {
     if (before.state === after.state) return;
     logTransition(before, after);
     if (job.isTerminal(after.state)) archive.add(after);
@@ -205,12 +205,12 @@
     if (next === before && effects.length === 0) return;
     ledger.settle();
     runtimes.set(jobId, next);
-    if (before.record.state !== next.record.state) inputs.learn(next.record);
-    noteTransition(before.record, next.record);
+    if (before.record.state !== next.record.state) planningInputs.learn(next.record);
+    recordTransition(before.record, next.record);
     // If the event cleared the placement, its effects refer to the one before.
     const placed = next.record.placement.length > 0 ? next.record : before.record;
     effects.forEach((effect) => perform(placed, effect));
-    if (next.record.state !== before.record.state) planSoon();
+    if (next.record.state !== before.record.state) schedulePlanning();
   };
   const perform = (record: job.JobRecord, effect: jobMachine.JobEffect): void => {
     switch (effect.type) {
@@ -235,7 +235,7 @@
     }
   };
 
-  const planSoon = (): void => {
+  const schedulePlanning = (): void => {
     if (planTimer !== undefined || owned.isDisposed()) return;
     planTimer = timeSource.after(PLAN_DELAY_MS, () => {
       planTimer = undefined;
@@ -252,31 +252,31 @@
       cell: options.cell,
       configVersion: current.version,
       document: current.document,
-      workers: inputs.workersOf(workers.views()),
+      workers: planningInputs.workersOf(workers.views()),
       endedFailedJobs: records().filter((it) => job.isTerminal(it.state) && it.failures.length > 0),
-      estimates: inputs.estimates(),
+      estimates: planningInputs.estimates(),
       jobs: records()
         .filter((it) => !job.isTerminal(it.state))
         .sort((a, b) => a.submittedAtMs - b.submittedAtMs),
     });
     options.metrics.time('auburnlift_plan_ms', nowMs() - startedMs, { cell: options.cell });
     warnings = round.warnings;
-    round.quarantines.forEach((it) => inputs.setQuarantine(it.workerId, it.why));
-    round.releases.forEach((it) => inputs.setQuarantine(it.workerId, undefined));
-    if (round.quarantines.length + round.releases.length > 0) planSoon();
+    round.quarantines.forEach((it) => planningInputs.setQuarantine(it.workerId, it.why));
+    round.releases.forEach((it) => planningInputs.setQuarantine(it.workerId, undefined));
+    if (round.quarantines.length + round.releases.length > 0) schedulePlanning();
     round.stops.forEach((it) => dispatch(it.jobId, { type: 'stop', cause: it.cause, why: it.why }));
     round.placements.forEach((it) => dispatch(it.jobId, { type: 'planned', ...it }));
   };
 
-  const intake = jobIntake.createJobIntake({
+  const jobRequests = jobIntake.createJobIntake({
     cell: options.cell,
     runtimes,
     commits,
     context,
     dispatch,
-    onDidAccept: planSoon,
+    onDidAccept: schedulePlanning,
   });
-  const statements = statementIntake.createStatementIntake({
+  const agentReportHandler = statementIntake.createStatementIntake({
     epoch: options.epoch,
     clock: timeSource,
     log,
@@ -289,54 +289,60 @@
     commits,
     context,
     dispatch,
-    planSoon,
+    schedulePlanning,
   });
   const tick = (): void => {
     ticks += 1;
     workers
       .lapsed()
-      .forEach((it) => statements.missTasks(it, [], 'is silent and its leases have lapsed'));
+      .forEach((it) =>
+        agentReportHandler.missTasks(it, [], 'is silent and its leases have lapsed'),
+      );
     if (ticks % FENCE_EVERY_TICKS === 0) {
-      for (const agentUrl of workers.unfencedUrls()) void statements.fenceAgent(agentUrl);
+      for (const agentUrl of workers.unfencedUrls()) void agentReportHandler.fenceAgent(agentUrl);
       workers.retrySave();
     }
     ledger.settle();
-    if (ticks % PLAN_EVERY_TICKS === 1) planSoon();
+    if (ticks % PLAN_EVERY_TICKS === 1) schedulePlanning();
     if (!owned.isDisposed()) tickTimer = timeSource.after(TICK_MS, tick);
   };
   return {
     cell: options.cell,
     epoch: options.epoch,
     takeOver: async () => {
-      const kept = await options.jobStore.takeOver();
-      kept.forEach((it) => {
+      const storedJobs = await options.jobStore.takeOver();
+      storedJobs.forEach((it) => {
         runtimes.set(it.spec.jobId, jobMachine.takeOver(it));
-        inputs.learn(it);
+        planningInputs.learn(it);
       });
       // The previous leader may have died before it archived the jobs that ended last.
-      archive.addLately(kept);
+      archive.addLately(storedJobs);
       await workers.load();
       await ledger.load();
       const discovered = await options.discoverAgents();
       await Promise.all(
-        [...new Set([...workers.unfencedUrls(), ...discovered])].map(statements.fenceAgent),
+        [...new Set([...workers.unfencedUrls(), ...discovered])].map(agentReportHandler.fenceAgent),
       );
-      log('info', 'cellTaken', { cell: options.cell, epoch: options.epoch, jobs: kept.length });
+      log('info', 'cellTaken', {
+        cell: options.cell,
+        epoch: options.epoch,
+        jobs: storedJobs.length,
+      });
       tick();
     },
-    submit: intake.submit,
-    cancel: intake.cancel,
-    show: intake.show,
+    submit: jobRequests.submit,
+    cancel: jobRequests.cancel,
+    show: jobRequests.show,
     jobs: records,
     workers: workers.views,
     warnings: () => [...warnings, ...workers.warnings()],
-    report: statements.report,
+    report: agentReportHandler.report,
     quarantine: (workerId, isQuarantined, reason) => {
       if (!workers.noteQuarantine(workerId, isQuarantined, reason)) {
         throw errors.fail('notFound', `no worker ${workerId}`, { field: 'workerId' });
       }
-      inputs.noteOperator(workerId, isQuarantined);
-      planSoon();
+      planningInputs.noteOperator(workerId, isQuarantined);
+      schedulePlanning();
     },
     flush: async () => {
       await commits.flush();
--- a/src/coordination/node/commitQueue.ts
+++ b/src/coordination/node/commitQueue.ts
@@ -63,7 +63,7 @@
   let isDisposed = false;
   let retry: disposable.Disposable | undefined;
 
-  const settle = (segment: number, held: readonly Waiter[], thrown: unknown): void => {
+  const notifyWaiters = (segment: number, held: readonly Waiter[], thrown: unknown): void => {
     for (const waiter of held) {
       if (thrown === undefined) waiter.resolve();
       else waiter.reject(thrown);
@@ -77,10 +77,10 @@
     try {
       await options.jobStore.write(segment, jobSegments.fit(options.recordsOf(segment)));
       isHealthy = true;
-      settle(segment, held, undefined);
+      notifyWaiters(segment, held, undefined);
     } catch (thrown) {
       isHealthy = false;
-      settle(segment, held, thrown);
+      notifyWaiters(segment, held, thrown);
       const isUnknown = thrown instanceof store.StoreOutcomeUnknown;
       const { kind, message } = errors.normalize(thrown);
       options.log('warn', 'commitFailed', { segment, kind, isUnknown, reason: message });
@@ -89,7 +89,7 @@
       writing.delete(segment);
     }
   };
-  const round = async (): Promise<void> => {
+  const writeRound = async (): Promise<void> => {
     const segments = [...dirty];
     dirty.clear();
     await Promise.all(segments.map(writeSegment));
@@ -98,29 +98,29 @@
     // Waits one microtask, so that concurrent changes join the same round.
     await Promise.resolve();
     while (dirty.size > 0 && !isDisposed) {
-      await round();
+      await writeRound();
       if (!isHealthy) break;
     }
   };
-  const kick = (): void => {
+  const startRounds = (): void => {
     if (running !== undefined || isDisposed) return;
     running = run().finally(() => {
       running = undefined;
       if (dirty.size === 0 || isDisposed) return;
-      retry = options.clock.after(isHealthy ? 0 : options.retryMs, kick);
+      retry = options.clock.after(isHealthy ? 0 : options.retryMs, startRounds);
     });
   };
   return {
     markDirty: (jobId) => {
       dirty.add(jobSegments.segmentOf(jobId));
-      kick();
+      startRounds();
     },
     commit: (jobId) =>
       new Promise((resolve, reject) => {
         const segment = jobSegments.segmentOf(jobId);
         waiters.set(segment, [...(waiters.get(segment) ?? []), { resolve, reject }]);
         dirty.add(segment);
-        kick();
+        startRounds();
       }),
     isDirty: (jobId) => {
       const segment = jobSegments.segmentOf(jobId);
@@ -128,7 +128,7 @@
     },
     isHealthy: () => isHealthy,
     flush: async () => {
-      kick();
+      startRounds();
       await running;
     },
     dispose: () => {
--- a/src/coordination/node/configurationHistory.ts
+++ b/src/coordination/node/configurationHistory.ts
@@ -20,7 +20,7 @@
 /** Old versions removed per write: two, to catch up after a failed removal. */
 const PRUNED_AT_ONCE = 2;
 
-const ARCHIVE_TRIES = 3;
+const MAX_ARCHIVE_ATTEMPTS = 3;
 
 /**
  * @param value - text from the store
@@ -47,7 +47,7 @@
   return entry === undefined ? undefined : decodeRecord(entry.value);
 };
 
-const restored = (record: configuration.ConfigurationRecord): errors.AuburnliftError =>
+const restoredStoreError = (record: configuration.ConfigurationRecord): errors.AuburnliftError =>
   errors.fail(
     'conflict',
     `the store holds another version ${record.version} in its history: it was restored from an ` +
@@ -75,12 +75,12 @@
       const expectedRevision = store.ABSENT_REVISION;
       const result = await target.compareAndSwap({ key, expectedRevision, value });
       if (result.isSwapped) return;
-      const there = result.current && decodeRecord(result.current.value);
-      if (there?.writeId !== record.writeId) throw restored(record);
+      const archived = result.current && decodeRecord(result.current.value);
+      if (archived?.writeId !== record.writeId) throw restoredStoreError(record);
       return;
     } catch (thrown) {
       if (!(thrown instanceof store.StoreOutcomeUnknown)) throw thrown;
-      if (attempt >= ARCHIVE_TRIES) {
+      if (attempt >= MAX_ARCHIVE_ATTEMPTS) {
         throw errors.fail('storeUnavailable', 'the history could not be written; nothing changed');
       }
     }
--- a/src/coordination/node/configurationStore.ts
+++ b/src/coordination/node/configurationStore.ts
@@ -32,7 +32,7 @@
 type ConfigurationRecord = configuration.ConfigurationRecord;
 
 /** Attempts of the same swap before the outcome is reported as unknown. */
-const SWAP_TRIES = 3;
+const MAX_SWAP_ATTEMPTS = 3;
 
 const conflict = (change: ConfigurationChange, current: ConfigurationRecord | undefined) =>
   errors.fail(
@@ -74,7 +74,7 @@
  * Guards against a form that is submitted, edited and submitted again with the same write id: it
  * would be reported as accepted although only the first document was.
  */
-const sameChange = (
+const assertSameChange = (
   accepted: ConfigurationRecord,
   change: ConfigurationChange,
 ): ConfigurationRecord => {
@@ -94,11 +94,11 @@
   change: ConfigurationChange,
   current: ConfigurationRecord | undefined,
 ): Promise<ConfigurationRecord | undefined> => {
-  if (current?.writeId === change.writeId) return sameChange(current, change);
+  if (current?.writeId === change.writeId) return assertSameChange(current, change);
   const version = change.baseVersion + 1;
   if (current === undefined || current.version <= version) return undefined;
   const archived = await configurationHistory.readArchived(target, version);
-  return archived?.writeId === change.writeId ? sameChange(archived, change) : undefined;
+  return archived?.writeId === change.writeId ? assertSameChange(archived, change) : undefined;
 };
 
 const swap = async (
@@ -110,7 +110,7 @@
   const key = storeKeys.CONFIGURATION_KEY;
   const value = JSON.stringify(record);
   let isUncertain = false;
-  for (let attempt = 1; attempt <= SWAP_TRIES; attempt += 1) {
+  for (let attempt = 1; attempt <= MAX_SWAP_ATTEMPTS; attempt += 1) {
     try {
       const result = await target.compareAndSwap({ key, expectedRevision, value });
       if (result.isSwapped) return record;
--- a/src/coordination/node/configurationSync.ts
+++ b/src/coordination/node/configurationSync.ts
@@ -70,27 +70,27 @@
  */
 export const startConfigurationSync = (options: ConfigurationSyncOptions): ConfigurationSync => {
   const { holder, live, log } = options;
-  let behind: string | undefined;
+  let storeBehindWarning: string | undefined;
   let isChecking = false;
-  let asking: Promise<void> | undefined;
+  let pendingPeerRound: Promise<void> | undefined;
   let timer: disposable.Disposable | undefined;
   let isDisposed = false;
-  const askedUrls = new Map<string, Promise<void>>();
+  const pendingFetches = new Map<string, Promise<void>>();
 
-  const clear = (): void => {
-    if (behind !== undefined) {
+  const clearAlarm = (): void => {
+    if (storeBehindWarning !== undefined) {
       log('info', 'configurationStoreCaughtUp', { version: holder.version() });
     }
-    behind = undefined;
+    storeBehindWarning = undefined;
     options.metrics.gauge(BEHIND_METRIC, 0);
   };
-  const raise = (found: configuration.ConfigurationRecord | undefined): void => {
+  const raiseAlarm = (found: configuration.ConfigurationRecord | undefined): void => {
     const storeVersion = found?.version ?? 0;
     const sentence =
       `the store holds configuration version ${storeVersion}, but version ${holder.version()} is ` +
       'active: the store was restored from an older state; configuration writes are rejected';
-    if (sentence === behind) return;
-    behind = sentence;
+    if (sentence === storeBehindWarning) return;
+    storeBehindWarning = sentence;
     options.metrics.gauge(BEHIND_METRIC, 1);
     log('error', 'configurationRefused', {
       storeVersion,
@@ -100,7 +100,7 @@
     });
   };
   /** Reads the key itself, since the watch may merely lag behind. */
-  const verify = async (): Promise<void> => {
+  const verifyInStore = async (): Promise<void> => {
     if (isChecking) return;
     isChecking = true;
     try {
@@ -109,21 +109,21 @@
       const found = decodeEntry(entry);
       const adoption =
         found === undefined ? configurationHolder.Adoption.refused : holder.offer(found);
-      if (configurationOrder.isRestored(found, known)) raise(found);
-      else if (adoption !== configurationHolder.Adoption.refused) clear();
+      if (configurationOrder.isRestored(found, known)) raiseAlarm(found);
+      else if (adoption !== configurationHolder.Adoption.refused) clearAlarm();
     } catch (thrown) {
       log('debug', 'configurationNotVerified', { reason: errors.normalize(thrown).message });
     } finally {
       isChecking = false;
     }
   };
-  const adopt = (): void => {
+  const adoptFromWatch = (): void => {
     const record = liveView.configurationOf(live.entries());
     const adoption =
       record === undefined ? configurationHolder.Adoption.refused : holder.offer(record);
     if (adoption === configurationHolder.Adoption.refused) {
-      if (holder.current() !== undefined) void verify();
-    } else if (behind !== undefined) clear();
+      if (holder.current() !== undefined) void verifyInStore();
+    } else if (storeBehindWarning !== undefined) clearAlarm();
   };
   const peerUrls = (): readonly string[] => {
     const known = (['entry', 'scheduler'] as const).flatMap((role) =>
@@ -131,7 +131,7 @@
     );
     return [...new Set([...known, ...options.settingsPeerUrls])].slice(0, MAX_PEERS);
   };
-  const ask = async (url: string): Promise<void> => {
+  const fetchFrom = async (url: string): Promise<void> => {
     try {
       const record = await options.fetch(url);
       if (record !== undefined) holder.offer(record);
@@ -140,20 +140,21 @@
     }
   };
   /** Shares one fetch, as many messages of a process arrive while it is being asked. */
-  const askOnce = async (url: string): Promise<void> => {
-    const running = askedUrls.get(url) ?? ask(url).finally(() => askedUrls.delete(url));
-    askedUrls.set(url, running);
+  const fetchOnceFrom = async (url: string): Promise<void> => {
+    const running =
+      pendingFetches.get(url) ?? fetchFrom(url).finally(() => pendingFetches.delete(url));
+    pendingFetches.set(url, running);
     await running;
   };
   const askPeers = async (): Promise<void> => {
     // Concurrent callers share one round.
-    asking ??= Promise.all(peerUrls().map(ask)).then(() => {
-      asking = undefined;
+    pendingPeerRound ??= Promise.all(peerUrls().map(fetchFrom)).then(() => {
+      pendingPeerRound = undefined;
     });
-    await asking;
+    await pendingPeerRound;
   };
   const catchUp = async (version: number, url?: string): Promise<boolean> => {
-    if (holder.version() < version && url !== undefined) await askOnce(url);
+    if (holder.version() < version && url !== undefined) await fetchOnceFrom(url);
     if (holder.version() < version) await askPeers();
     return holder.version() >= version;
   };
@@ -163,7 +164,7 @@
       if (!isDone) timer = options.clock.after(FIRST_RETRY_MS, loop);
     });
   };
-  const subscription = live.onDidChange(adopt);
+  const subscription = live.onDidChange(adoptFromWatch);
   loop();
   return {
     noteVersion: (version, url) => {
@@ -171,7 +172,7 @@
     },
     catchUp,
     askPeers,
-    warnings: () => (behind === undefined ? [] : [behind]),
+    warnings: () => (storeBehindWarning === undefined ? [] : [storeBehindWarning]),
     dispose: async () => {
       isDisposed = true;
       void timer?.dispose();
--- a/src/coordination/node/jobArchive.ts
+++ b/src/coordination/node/jobArchive.ts
@@ -27,11 +27,11 @@
 /** Maximum size of a part, well below the store's limit of one megabyte. */
 const MAX_PART_BYTES = 524_288;
 
-const WRITE_MS = 60_000;
+const WRITE_PERIOD_MS = 60_000;
 const DAY_MS = 86_400_000;
 
 /** Number of expired days checked for deletion, in case no leader ran on the day of expiry. */
-const DELETE_SPAN_DAYS = 5;
+const CLEANUP_SPAN_DAYS = 5;
 
 const ArchivePart = Schema.Struct({ jobs: Schema.Array(job.JobRecord) });
 
@@ -113,20 +113,20 @@
   Buffer.byteLength(JSON.stringify({ jobs }));
 
 /** Replaces the job if it is already archived, else adds it to the last part or to a new one. */
-const place = (
+const replaceOrAppend = (
   parts: readonly (readonly job.JobRecord[])[],
   record: job.JobRecord,
 ): readonly (readonly job.JobRecord[])[] | undefined => {
   const { jobId } = record.spec;
-  const standing = parts.findIndex((part) => part.some((it) => it.spec.jobId === jobId));
-  if (standing >= 0) {
+  const existingIndex = parts.findIndex((part) => part.some((it) => it.spec.jobId === jobId));
+  if (existingIndex >= 0) {
     return parts.map((part, index) =>
-      index === standing ? part.map((it) => (it.spec.jobId === jobId ? record : it)) : part,
+      index === existingIndex ? part.map((it) => (it.spec.jobId === jobId ? record : it)) : part,
     );
   }
   const last = parts.at(-1) ?? [];
-  const grown = [...last, record];
-  if (parts.length > 0 && bytesOf(grown) <= MAX_PART_BYTES) return [...parts.slice(0, -1), grown];
+  const joined = [...last, record];
+  if (parts.length > 0 && bytesOf(joined) <= MAX_PART_BYTES) return [...parts.slice(0, -1), joined];
   return parts.length < MAX_PARTS ? [...parts, [record]] : undefined;
 };
 
@@ -136,7 +136,7 @@
  */
 export const createJobArchive = (options: JobArchiveOptions): JobArchive => {
   const { cell, store: target } = options;
-  let waiting: job.JobRecord[] = [];
+  let pendingJobs: job.JobRecord[] = [];
   let timer: disposable.Disposable | undefined;
   let isDisposed = false;
   let cleanedDay = 0;
@@ -157,7 +157,7 @@
     const before = await readDay(target, cell, day);
     let parts: readonly (readonly job.JobRecord[])[] = before.map((it) => it.jobs);
     for (const record of records) {
-      const placed = place(parts, record);
+      const placed = replaceOrAppend(parts, record);
       if (placed === undefined) {
         options.log('error', 'jobNotArchived', { cell, jobId: record.spec.jobId, day });
         options.metrics.count('auburnlift_job_archive_dropped_total', { cell });
@@ -173,7 +173,7 @@
     const today = dayOf(options.clock.wallMs());
     if (today === cleanedDay) return;
     const first = today - ARCHIVED_DAYS - 1;
-    for (let day = first; day > first - DELETE_SPAN_DAYS; day -= 1) {
+    for (let day = first; day > first - CLEANUP_SPAN_DAYS; day -= 1) {
       const parts = await readDay(target, cell, day);
       // Deletes the last part first, since readers stop at the first missing part.
       for (const [index, { revision }] of [...parts.entries()].reverse()) {
@@ -184,7 +184,7 @@
     cleanedDay = today;
   };
   const writeAll = async (): Promise<void> => {
-    const records = waiting;
+    const records = pendingJobs;
     if (records.length === 0) return;
     const days = new Map<number, job.JobRecord[]>();
     for (const it of records) {
@@ -193,7 +193,7 @@
     }
     for (const [day, list] of days) await writeDay(day, list);
     const written = new Set(records);
-    waiting = waiting.filter((it) => !written.has(it));
+    pendingJobs = pendingJobs.filter((it) => !written.has(it));
     await deleteOld();
   };
   const flush = (): Promise<void> => {
@@ -201,8 +201,8 @@
     return writing;
   };
   const schedule = (): void => {
-    if (timer !== undefined || isDisposed || waiting.length === 0) return;
-    timer = options.clock.after(WRITE_MS, () => {
+    if (timer !== undefined || isDisposed || pendingJobs.length === 0) return;
+    timer = options.clock.after(WRITE_PERIOD_MS, () => {
       flush()
         .catch((thrown: unknown) => {
           // The next write reads the day again and replaces jobs, so a lost reply does no harm.
@@ -215,7 +215,7 @@
     });
   };
   const add = (record: job.JobRecord): void => {
-    waiting = [...waiting.filter((it) => it.spec.jobId !== record.spec.jobId), record];
+    pendingJobs = [...pendingJobs.filter((it) => it.spec.jobId !== record.spec.jobId), record];
     schedule();
   };
   return {
--- a/src/coordination/node/jobIntake.ts
+++ b/src/coordination/node/jobIntake.ts
@@ -40,17 +40,17 @@
     }
     return record;
   };
-  const assertRoom = (accepted: job.JobRecord): void => {
+  const assertCapacity = (accepted: job.JobRecord): void => {
     const segment = jobSegments.segmentOf(accepted.spec.jobId);
-    const kept = [...runtimes.values()]
+    const segmentJobs = [...runtimes.values()]
       .map((it) => it.record)
       .filter((it) => jobSegments.segmentOf(it.spec.jobId) === segment);
-    if (jobSegments.hasRoom(kept, accepted)) return;
+    if (jobSegments.hasRoom(segmentJobs, accepted)) return;
     throw errors.fail('overloaded', `cell ${cell} stores too many jobs; nothing ran`, {
       retryAfterMs: 60_000,
     });
   };
-  const repeated = (known: job.JobRecord, spec: job.JobSpec): job.JobRecord => {
+  const checkSpec = (known: job.JobRecord, spec: job.JobSpec): job.JobRecord => {
     if (JSON.stringify(known.spec) === JSON.stringify(spec)) return known;
     throw errors.fail('conflict', `job ${spec.jobId} exists with a different spec`, {
       field: 'jobId',
@@ -60,12 +60,12 @@
     show,
     submit: async (spec) => {
       const known = runtimes.get(spec.jobId);
-      if (known !== undefined && !commits.isDirty(spec.jobId)) return repeated(known.record, spec);
+      if (known !== undefined && !commits.isDirty(spec.jobId)) return checkSpec(known.record, spec);
       if (known === undefined) {
         const accepted = jobMachine.accept(spec, context());
-        assertRoom(accepted.record);
+        assertCapacity(accepted.record);
         runtimes.set(spec.jobId, accepted);
-      } else repeated(known.record, spec);
+      } else checkSpec(known.record, spec);
       try {
         await commits.commit(spec.jobId);
       } catch (thrown) {
--- a/src/coordination/node/jobStore.ts
+++ b/src/coordination/node/jobStore.ts
@@ -63,13 +63,13 @@
   const readBack = async (
     key: string,
     writeId: string,
-    unknown: store.StoreOutcomeUnknown,
+    outcomeUnknown: store.StoreOutcomeUnknown,
   ): Promise<store.SwapResult> => {
     let current: store.StoreEntry | undefined;
     try {
       current = await options.store.get(key);
     } catch {
-      throw unknown;
+      throw outcomeUnknown;
     }
     const isOurs = current !== undefined && decode(current.value).writeId === writeId;
     return isOurs && current !== undefined
--- a/src/coordination/node/leaderRoster.ts
+++ b/src/coordination/node/leaderRoster.ts
@@ -88,7 +88,7 @@
     isStoreLeaseHeld: options.isLeaseHeld(),
     voterSets: inventory.possibleSets(),
   });
-  const remember = (info: worker.WorkerInfo): void => {
+  const recordInInventory = (info: worker.WorkerInfo): void => {
     if (inventory.remember(info)) save();
   };
   const save = (): void => {
@@ -105,14 +105,15 @@
     }
   };
   const confirmedAtMs = (seen: Sighting, before: number): number => {
-    const isVote = seen.stampMs !== undefined && seen.uptimeMs >= roster.votingDelayMs(leaseMs());
-    return isVote ? Math.max(before, seen.stampMs ?? before) : before;
+    const isConfirmation =
+      seen.stampMs !== undefined && seen.uptimeMs >= roster.votingDelayMs(leaseMs());
+    return isConfirmation ? Math.max(before, seen.stampMs ?? before) : before;
   };
   const enroll = (info: worker.WorkerInfo, seen: Sighting): void => {
     const known = entries.get(info.workerId);
     const isSameBoot = known?.bootId === seen.bootId;
-    const never = Number.NEGATIVE_INFINITY;
-    const foundUntilMs = nowMs() + roster.certainLapseMs(leaseMs());
+    const neverMs = Number.NEGATIVE_INFINITY;
+    const assumedLeaseUntilMs = nowMs() + roster.certainLapseMs(leaseMs());
     options.onWillChange();
     entries.set(info.workerId, {
       isQuarantined: known?.isQuarantined ?? false,
@@ -123,12 +124,12 @@
       isLeaving: seen.isLeaving,
       isFenced: true,
       // Only the reply to a report grants a lease, and a start without a lease would be rejected.
-      lastReportMs: seen.isReport ? nowMs() : never,
+      lastReportMs: seen.isReport ? nowMs() : neverMs,
       // A boot that is new to this leader may hold a lease from the previous leader.
-      leaseUntilMs: isSameBoot ? known.leaseUntilMs : foundUntilMs,
-      confirmedAtMs: confirmedAtMs(seen, isSameBoot ? known.confirmedAtMs : never),
+      leaseUntilMs: isSameBoot ? known.leaseUntilMs : assumedLeaseUntilMs,
+      confirmedAtMs: confirmedAtMs(seen, isSameBoot ? known.confirmedAtMs : neverMs),
     });
-    remember(info);
+    recordInInventory(info);
     const isMajorityNew = majorityFencedAtMs === undefined;
     if (isMajorityNew && roster.hasFencedMajority(entries, authority())) {
       majorityFencedAtMs = nowMs();
--- a/src/coordination/node/ledgerKeeper.ts
+++ b/src/coordination/node/ledgerKeeper.ts
@@ -51,7 +51,7 @@
 }
 
 /** Period of writes while records are small. */
-const WRITE_MS = 5000;
+const MIN_WRITE_PERIOD_MS = 5000;
 
 /**
  * Maximum rate of bytes written. In a cell of the target size an hour grows to about 50 kB; written
@@ -60,17 +60,20 @@
 const WRITE_BYTES_PER_S = 2000;
 
 /** Maximum period of writes; if a leader dies, at most this much time is unwitnessed. */
-const MAX_WRITE_MS = 120_000;
+const MAX_WRITE_PERIOD_MS = 120_000;
 
 /**
  * @param bytes - size of the last written record
  * @returns delay before the next write
  */
 export const writeDelayMs = (bytes: number): number =>
-  Math.min(MAX_WRITE_MS, Math.max(WRITE_MS, Math.ceil((bytes / WRITE_BYTES_PER_S) * 1000)));
+  Math.min(
+    MAX_WRITE_PERIOD_MS,
+    Math.max(MIN_WRITE_PERIOD_MS, Math.ceil((bytes / WRITE_BYTES_PER_S) * 1000)),
+  );
 
 /** Period of rolling up old hours. */
-const ROLL_UP_MS = ledgerEntry.HOUR_MS;
+const ROLL_UP_PERIOD_MS = ledgerEntry.HOUR_MS;
 
 /** A longer time without a leader is not booked but left as a hole, which the check reports. */
 export const MAX_GAP_MS = 604_800_000;
@@ -86,14 +89,14 @@
   const { cell, epoch, clock: timeSource, log } = options;
   let book: ledgerBook.Book = new Map();
   const written = new Map<number, { revision: number; bookedUntilMs: number }>();
-  const reported = new Set<string>();
-  let time: ledgerTime.LedgerTime | undefined;
+  const reportedFaults = new Set<string>();
+  let bookingTime: ledgerTime.LedgerTime | undefined;
   let timer: disposable.Disposable | undefined;
   let writing: Promise<void> = Promise.resolve();
   let rolledAtMs = Number.NEGATIVE_INFINITY;
   let writtenBytes = 0;
   let isDisposed = false;
-  let isDeposed = false;
+  let isSuperseded = false;
   let anomaly: ledgerTime.LedgerStep['anomaly'] = 'none';
 
   const spanOf = (fromMs: number, toMs: number): ledgerBook.Span => ({
@@ -111,21 +114,21 @@
     anomaly = next;
   };
   const settle = (): void => {
-    if (time === undefined) return;
-    const fromMs = time.bookedUntilMs;
-    const step = ledgerTime.step(time, timeSource.wallMs(), timeSource.monotonicMs());
+    if (bookingTime === undefined) return;
+    const fromMs = bookingTime.bookedUntilMs;
+    const step = ledgerTime.step(bookingTime, timeSource.wallMs(), timeSource.monotonicMs());
     reportAnomaly(step.anomaly);
-    time = step.next;
-    if (time.bookedUntilMs === fromMs) return;
+    bookingTime = step.next;
+    if (bookingTime.bookedUntilMs === fromMs) return;
     const { unwitnessedUntilMs } = step;
     if (unwitnessedUntilMs > fromMs) {
       book = ledgerBook.bookUnwitnessed(book, spanOf(fromMs, unwitnessedUntilMs));
     }
-    book = ledgerBook.bookSpan(book, spanOf(unwitnessedUntilMs, time.bookedUntilMs));
+    book = ledgerBook.bookSpan(book, spanOf(unwitnessedUntilMs, bookingTime.bookedUntilMs));
   };
-  const depose = (): never => {
-    if (!isDeposed) options.onDeposed();
-    isDeposed = true;
+  const failAsSuperseded = (): never => {
+    if (!isSuperseded) options.onDeposed();
+    isSuperseded = true;
     throw errors.fail('notLeader', `a later leader writes the ledger of cell ${cell}`);
   };
   const swap = async (
@@ -149,7 +152,7 @@
     let result = await swap(hour, written.get(hour.hour)?.revision ?? store.ABSENT_REVISION);
     if (!result.isSwapped) {
       const { current } = result;
-      if (current !== undefined && decode(current.value).epoch > epoch) depose();
+      if (current !== undefined && decode(current.value).epoch > epoch) failAsSuperseded();
       result = await swap(hour, current?.revision ?? store.ABSENT_REVISION);
     }
     if (!result.isSwapped) throw errors.fail('conflict', `ledger hour ${hour.hour} was written`);
@@ -159,8 +162,8 @@
   const check = (hour: ledgerEntry.LedgerHour): void => {
     for (const { kind, offMs } of ledgerCheck.checkHour(hour)) {
       const key = `${hour.hour} ${kind}`;
-      if (reported.has(key)) continue;
-      reported.add(key);
+      if (reportedFaults.has(key)) continue;
+      reportedFaults.add(key);
       log('error', 'ledgerOutOfBalance', { cell, hour: hour.hour, kind, offMs });
       options.metrics.count('auburnlift_ledger_faults_total', { cell, kind });
     }
@@ -176,7 +179,7 @@
     for (const hour of written.keys()) if (!book.has(hour)) written.delete(hour);
   };
   const writeAll = async (): Promise<void> => {
-    if (isDeposed) depose();
+    if (isSuperseded) failAsSuperseded();
     settle();
     for (const [, hour] of [...book].sort(([a], [b]) => a - b)) {
       const isDirty = written.get(hour.hour)?.bookedUntilMs !== hour.bookedUntilMs;
@@ -194,7 +197,7 @@
   };
   const rollUp = async (): Promise<void> => {
     const nowMs = timeSource.monotonicMs();
-    if (nowMs - rolledAtMs < ROLL_UP_MS) return;
+    if (nowMs - rolledAtMs < ROLL_UP_PERIOD_MS) return;
     rolledAtMs = nowMs;
     const { store: target } = options;
     await ledgerRollup.rollUp({ store: target, cell, epoch, nowMs: timeSource.wallMs() });
@@ -209,12 +212,12 @@
     schedule();
   };
   const schedule = (): void => {
-    if (isDisposed || isDeposed) return;
+    if (isDisposed || isSuperseded) return;
     timer = timeSource.after(writeDelayMs(writtenBytes), () => {
       void onTimer();
     });
   };
-  const startOf = (last: ledgerEntry.LedgerHour | undefined, nowMs: number): number => {
+  const bookingStartMs = (last: ledgerEntry.LedgerHour | undefined, nowMs: number): number => {
     if (last === undefined) return nowMs;
     if (nowMs - last.bookedUntilMs <= MAX_GAP_MS) return last.bookedUntilMs;
     log('error', 'ledgerHole', { cell, holeMs: nowMs - last.bookedUntilMs });
@@ -226,9 +229,9 @@
       const { entries } = await options.store.list(storeKeys.ledgerPrefix(cell));
       const entry = entries.at(-1);
       const last = entry === undefined ? undefined : decode(entry.value);
-      if (last !== undefined && last.epoch > epoch) depose();
+      if (last !== undefined && last.epoch > epoch) failAsSuperseded();
       const nowMs = Math.floor(timeSource.wallMs());
-      const fromMs = startOf(last, nowMs);
+      const fromMs = bookingStartMs(last, nowMs);
       // Written even if there is nothing to book, so that a previous leader's write conflicts.
       const first =
         last === undefined
@@ -239,7 +242,7 @@
         written.set(first.hour, { revision: entry.revision, bookedUntilMs: Number.NaN });
       }
       if (fromMs < nowMs) book = ledgerBook.bookUnwitnessed(book, spanOf(fromMs, nowMs));
-      time = {
+      bookingTime = {
         bookedUntilMs: Math.max(fromMs, nowMs),
         monotonicMs: timeSource.monotonicMs(),
       };
--- a/src/coordination/node/ledgerRollup.ts
+++ b/src/coordination/node/ledgerRollup.ts
@@ -27,7 +27,7 @@
   readonly nowMs: number;
 }
 
-interface KeptHour {
+interface StoredHour {
   readonly entry: store.StoreEntry;
   readonly hour: ledgerEntry.LedgerHour;
 }
@@ -66,10 +66,10 @@
 const decodeDay = (value: string): ledgerEntry.LedgerDay =>
   schemaIssues.decodeOrFail(ledgerEntry.LedgerDay, JSON.parse(value), 'ledger day');
 
-const rollDay = async (
+const rollUpDay = async (
   options: RollupOptions,
   day: number,
-  kept: readonly KeptHour[],
+  kept: readonly StoredHour[],
 ): Promise<void> => {
   const { store: target, cell, epoch } = options;
   const key = storeKeys.ledgerDayKey(cell, day);
@@ -112,14 +112,14 @@
   const today = dayOf(ledgerBook.hourOf(options.nowMs));
   // The next leader continues from the newest record, so it is retained whatever its age.
   const newestDay = dayOf(kept.at(-1)?.hour.hour ?? 0);
-  const byDay = new Map<number, KeptHour[]>();
+  const byDay = new Map<number, StoredHour[]>();
   for (const it of kept) {
     const day = dayOf(it.hour.hour);
     if (day < today - HOURLY_DAYS && day !== newestDay) {
       byDay.set(day, [...(byDay.get(day) ?? []), it]);
     }
   }
-  for (const [day, hours] of byDay) await rollDay(options, day, hours);
+  for (const [day, hours] of byDay) await rollUpDay(options, day, hours);
   if (byDay.size > 0) await dropOldDays(options, today);
   return [...byDay.keys()];
 };
--- a/src/coordination/node/liveWatch.ts
+++ b/src/coordination/node/liveWatch.ts
@@ -101,14 +101,14 @@
     entries = next;
     emitter.fire();
   };
-  const turn = async (): Promise<void> => {
+  const listOrFollow = async (): Promise<void> => {
     const isListDue = timeSource.monotonicMs() - listedAtMs >= options.listMs;
     await (isListDue ? list() : follow());
   };
   const run = async (): Promise<void> => {
     while (!stop.signal.aborted) {
       try {
-        await turn();
+        await listOrFollow();
         isConnected = true;
       } catch (thrown) {
         // On shutdown the process aborts its own watch, which is no failure of the store.
--- a/src/coordination/node/memberCommands.ts
+++ b/src/coordination/node/memberCommands.ts
@@ -33,7 +33,7 @@
 /** Reservations outlive a slow commit; a start after they expire is rejected. */
 const RESERVATION_LEASE_MS = 10_000;
 
-const commandOf = (record: job.JobRecord, effect: memberOutcome.MemberEffect): task.TaskCommand => {
+const toCommand = (record: job.JobRecord, effect: memberOutcome.MemberEffect): task.TaskCommand => {
   const { spec, attempt, checkpointMs } = record;
   const token = { jobId: spec.jobId, attempt, member: effect.member };
   const accelerators = record.placement[effect.member]?.accelerators ?? [];
@@ -54,7 +54,7 @@
  * @returns a sender without commands in flight
  */
 export const createMemberCommands = (options: MemberCommandsOptions): MemberCommands => {
-  const resends = new Set<disposable.Disposable>();
+  const resendTimers = new Set<disposable.Disposable>();
   let isDisposed = false;
 
   const send = (record: job.JobRecord, effect: memberOutcome.MemberEffect): void => {
@@ -63,7 +63,7 @@
       onOutcome(record, effect, undefined);
       return;
     }
-    options.outbox.enqueue(agentUrl, commandOf(record, effect), (outcome) =>
+    options.outbox.enqueue(agentUrl, toCommand(record, effect), (outcome) =>
       onOutcome(record, effect, outcome),
     );
   };
@@ -76,15 +76,15 @@
     if (isDisposed || options.runtimeOf(jobId)?.record.attempt !== record.attempt) return;
     const reading = memberOutcome.readOutcome(effect, outcome);
     if (reading.type === 'event') options.dispatch(jobId, reading.event);
-    if (reading.type === 'resend') resendLater(record, effect);
+    if (reading.type === 'resend') scheduleResend(record, effect);
   };
-  const resendLater = (record: job.JobRecord, effect: memberOutcome.MemberEffect): void => {
+  const scheduleResend = (record: job.JobRecord, effect: memberOutcome.MemberEffect): void => {
     const timer = options.clock.after(RESEND_MS, () => {
-      resends.delete(timer);
+      resendTimers.delete(timer);
       const runtime = options.runtimeOf(record.spec.jobId);
       if (memberOutcome.isStillWanted(runtime, record.attempt, effect)) send(record, effect);
     });
-    resends.add(timer);
+    resendTimers.add(timer);
   };
   return {
     send,
@@ -93,7 +93,7 @@
     },
     dispose: () => {
       isDisposed = true;
-      for (const timer of resends) void timer.dispose();
+      for (const timer of resendTimers) void timer.dispose();
     },
   };
 };
--- a/src/coordination/node/processPresence.ts
+++ b/src/coordination/node/processPresence.ts
@@ -36,7 +36,7 @@
   let lease: leaseHolder.LeaseHolder | undefined;
   let isDisposed = false;
   let timer: disposable.Disposable | undefined;
-  const ensure = async (): Promise<void> => {
+  const ensurePublished = async (): Promise<void> => {
     try {
       if (lease === undefined || lease.isLost()) {
         lease = await leaseHolder.acquireLease(options);
@@ -49,11 +49,11 @@
     if (isDisposed) await lease?.dispose();
     else {
       timer = options.clock.after(options.ttlMs / 3, () => {
-        void ensure();
+        void ensurePublished();
       });
     }
   };
-  void ensure();
+  void ensurePublished();
   return {
     dispose: async () => {
       isDisposed = true;
--- a/src/coordination/node/serviceLevelKeeper.ts
+++ b/src/coordination/node/serviceLevelKeeper.ts
@@ -32,13 +32,13 @@
   readonly flush: () => Promise<void>;
 }
 
-const WRITE_MS = 60_000;
+const WRITE_PERIOD_MS = 60_000;
 
 /** No process still writes an hour that ended this many hours ago. */
-const SETTLED_HOURS = 2;
+const FINAL_AFTER_HOURS = 2;
 
 /** Expired hours checked for records left by processes that no longer run. */
-const DELETE_SPAN_HOURS = 3;
+const CLEANUP_SPAN_HOURS = 3;
 
 /**
  * @param options - options
@@ -74,7 +74,7 @@
     const hour = serviceLevelCounters.hourOf(timeSource.wallMs());
     if (hour === cleanedHour) return;
     const first = hour - serviceLevel.KEPT_HOURS;
-    for (let old = first; old > first - DELETE_SPAN_HOURS; old -= 1) {
+    for (let old = first; old > first - CLEANUP_SPAN_HOURS; old -= 1) {
       const { entries } = await target.list(storeKeys.serviceLevelPrefix(old));
       for (const { key, revision } of entries) {
         await target.compareAndSwap({ key, expectedRevision: revision, value: null });
@@ -82,8 +82,8 @@
     }
     cleanedHour = hour;
   };
-  const forgetOld = (): void => {
-    const oldest = serviceLevelCounters.hourOf(timeSource.wallMs()) - SETTLED_HOURS;
+  const dropOldCounts = (): void => {
+    const oldest = serviceLevelCounters.hourOf(timeSource.wallMs()) - FINAL_AFTER_HOURS;
     counts = new Map([...counts].filter(([hour]) => hour >= oldest || dirty.has(hour)));
     for (const hour of revisions.keys()) if (!counts.has(hour)) revisions.delete(hour);
   };
@@ -98,7 +98,7 @@
         throw thrown;
       }
     }
-    forgetOld();
+    dropOldCounts();
     await deleteOld();
   };
   const flush = (): Promise<void> => {
@@ -107,7 +107,7 @@
   };
   const schedule = (): void => {
     if (timer !== undefined || isDisposed) return;
-    timer = timeSource.after(WRITE_MS, () => {
+    timer = timeSource.after(WRITE_PERIOD_MS, () => {
       flush()
         .catch((thrown: unknown) => {
           const reason = errors.normalize(thrown).message;
@@ -148,7 +148,7 @@
  * @returns the reader
  */
 export const createServiceLevelReader = (target: store.Store): ServiceLevelReader => {
-  const settled = new Map<number, readonly serviceLevel.ServiceLevelHour[]>();
+  const cachedHours = new Map<number, readonly serviceLevel.ServiceLevelHour[]>();
   const readHour = async (hour: number): Promise<readonly serviceLevel.ServiceLevelHour[]> => {
     const { entries } = await target.list(storeKeys.serviceLevelPrefix(hour));
     return entries.map((it) =>
@@ -162,11 +162,11 @@
   return async (nowMs) => {
     const current = serviceLevelCounters.hourOf(nowMs);
     const first = current - serviceLevel.KEPT_HOURS + 1;
-    for (const hour of settled.keys()) if (hour < first) settled.delete(hour);
+    for (const hour of cachedHours.keys()) if (hour < first) cachedHours.delete(hour);
     const found: serviceLevel.ServiceLevelHour[] = [];
     for (let hour = first; hour <= current; hour += 1) {
-      const records = settled.get(hour) ?? (await readHour(hour));
-      if (hour < current - SETTLED_HOURS) settled.set(hour, records);
+      const records = cachedHours.get(hour) ?? (await readHour(hour));
+      if (hour < current - FINAL_AFTER_HOURS) cachedHours.set(hour, records);
       found.push(...records);
     }
     return found;
--- a/src/coordination/node/statementIntake.ts
+++ b/src/coordination/node/statementIntake.ts
@@ -32,29 +32,29 @@
   readonly commits: Pick<commitQueue.CommitQueue, 'isDirty'>;
   readonly context: () => jobMachine.JobContext;
   readonly dispatch: (jobId: string, event: jobMachine.JobEvent) => void;
-  readonly planSoon: () => void;
+  readonly schedulePlanning: () => void;
 }
 
 /** Handles agents' reports and fences agents. */
 export interface StatementIntake {
-  readonly report: (stated: agentStatements.AgentReport) => agentStatements.ReportAnswer;
+  readonly report: (agentReport: agentStatements.AgentReport) => agentStatements.ReportAnswer;
   readonly fenceAgent: (agentUrl: string) => Promise<void>;
   /** Declares members on the worker lost that are missing from its full list of tasks. */
   readonly missTasks: (workerId: string, tasks: readonly task.TaskReport[], why: string) => void;
 }
 
-type WholeState = agentStatements.AgentState & { readonly worker: worker.WorkerInfo };
+type FullState = agentStatements.AgentState & { readonly worker: worker.WorkerInfo };
 
 /**
  * @param options - options
  * @returns the handler
  */
 export const createStatementIntake = (options: StatementIntakeOptions): StatementIntake => {
-  const { runtimes, workers, members, commits, context, dispatch, planSoon, log } = options;
+  const { runtimes, workers, members, commits, context, dispatch, schedulePlanning, log } = options;
   const fencing = new Set<string>();
   const nowMs = (): number => options.clock.monotonicMs();
 
-  const takeTask = (agentUrl: string, report: task.TaskReport, isTakeOver: boolean): void => {
+  const handleTask = (agentUrl: string, report: task.TaskReport, isTakeOver: boolean): void => {
     const { jobId } = report.token;
     const runtime = runtimes.get(jobId);
     const reading = reportIntake.readTask(runtime, report, isTakeOver);
@@ -85,13 +85,13 @@
       dispatch(jobId, { type: 'memberLost', member, reason: `${workerId} ${why}` });
     }
   };
-  const takeTasks = (state: WholeState, isNew: boolean): void => {
+  const handleTasks = (state: FullState, isNew: boolean): void => {
     const { agentUrl } = state.worker;
-    state.tasks.forEach((it) => takeTask(agentUrl, it, isNew));
-    if (isNew) planSoon();
+    state.tasks.forEach((it) => handleTask(agentUrl, it, isNew));
+    if (isNew) schedulePlanning();
   };
   /** Ignores outdated lists: one built before a start command lacks that command's task. */
-  const takeWhole = (state: WholeState): void => {
+  const handleFullList = (state: FullState): void => {
     const { workerId } = state.worker;
     if (isOutdated(workerId, state)) return;
     missTasks(workerId, state.tasks, 'does not know the task any more');
@@ -113,37 +113,37 @@
         isLeaving: false,
         isReport: false,
       });
-      const whole = { ...state, worker: state.worker };
-      takeTasks(whole, true);
-      takeWhole(whole);
+      const fullState = { ...state, worker: state.worker };
+      handleTasks(fullState, true);
+      handleFullList(fullState);
     } catch (thrown) {
       log('warn', 'fenceFailed', { agentUrl, reason: errors.normalize(thrown).message });
     } finally {
       fencing.delete(agentUrl);
     }
   };
-  const report = (stated: agentStatements.AgentReport): agentStatements.ReportAnswer => {
-    const { workerId, agentUrl } = stated.worker;
+  const report = (agentReport: agentStatements.AgentReport): agentStatements.ReportAnswer => {
+    const { workerId, agentUrl } = agentReport.worker;
     const known = workers.get(workerId);
     const answer = {
       epoch: options.epoch,
       stampMs: Math.floor(nowMs()),
       reportMs: workers.reportMs(),
     };
-    if (stated.acceptedEpoch > options.epoch) options.onDeposed();
-    const isFenced = stated.acceptedEpoch === options.epoch;
-    const isKnownBoot = known?.isFenced === true && known.bootId === stated.bootId;
+    if (agentReport.acceptedEpoch > options.epoch) options.onDeposed();
+    const isFenced = agentReport.acceptedEpoch === options.epoch;
+    const isKnownBoot = known?.isFenced === true && known.bootId === agentReport.bootId;
     if (!isFenced || !isKnownBoot) {
       if (known !== undefined) workers.noteUnfenced(workerId);
       void fenceAgent(agentUrl);
       return { ...answer, leaseMs: 0, wantsFull: true, acknowledged: [] };
     }
     const isFirst = known.lastReportMs === Number.NEGATIVE_INFINITY;
-    workers.enroll(stated.worker, { ...stated, isReport: true });
-    takeTasks(stated, false);
-    if (stated.isFull) takeWhole(stated);
-    if (isFirst) planSoon();
-    const acknowledged = stated.tasks
+    workers.enroll(agentReport.worker, { ...agentReport, isReport: true });
+    handleTasks(agentReport, false);
+    if (agentReport.isFull) handleFullList(agentReport);
+    if (isFirst) schedulePlanning();
+    const acknowledged = agentReport.tasks
       .filter((it) => {
         const { jobId } = it.token;
         return reportIntake.isAcknowledgeable(runtimes.get(jobId), it, !commits.isDirty(jobId));
--- a/src/coordination/node/workerInventory.ts
+++ b/src/coordination/node/workerInventory.ts
@@ -32,7 +32,7 @@
   schemaIssues.decodeOrFail(Inventory, JSON.parse(entry.value), 'worker inventory').workers;
 
 /** Attempts of one save if others write concurrently. */
-const SAVE_TRIES = 3;
+const MAX_SAVE_ATTEMPTS = 3;
 
 /**
  * @param target - the store
@@ -42,25 +42,25 @@
 export const createWorkerInventory = (target: store.Store, cell: string): WorkerInventory => {
   const key = storeKeys.workersKey(cell);
   const known = new Map<string, worker.WorkerInfo>();
-  let durable: ReadonlySet<string> = new Set();
-  let unsettled: readonly ReadonlySet<string>[] = [];
+  let confirmedSet: ReadonlySet<string> = new Set();
+  let unconfirmedSets: readonly ReadonlySet<string>[] = [];
   let isSaveOwed = false;
   let saving: Promise<void> | undefined;
   let writing: Promise<void> = Promise.resolve();
 
-  const isWritten = async (): Promise<boolean> => {
+  const tryWrite = async (): Promise<boolean> => {
     const current = await target.get(key);
     const kept = current === undefined ? [] : decode(current);
     const all = new Map([...kept, ...known.values()].map((it) => [it.workerId, it]));
     const ids = new Set(all.keys());
-    unsettled = [...unsettled, ids];
+    unconfirmedSets = [...unconfirmedSets, ids];
     const value = JSON.stringify({ workers: [...all.values()] });
     const expectedRevision = current?.revision ?? 0;
     const { isSwapped } = await target.compareAndSwap({ key, expectedRevision, value });
     if (!isSwapped) return false;
-    durable = ids;
+    confirmedSet = ids;
     isSaveOwed = [...known.keys()].some((it) => !ids.has(it));
-    unsettled = [];
+    unconfirmedSets = [];
     return true;
   };
   const write = async (): Promise<void> => {
@@ -68,8 +68,8 @@
     await Promise.resolve();
     saving = undefined;
     isSaveOwed = true;
-    for (let attempt = 0; attempt < SAVE_TRIES; attempt += 1) {
-      if (await isWritten()) return;
+    for (let attempt = 0; attempt < MAX_SAVE_ATTEMPTS; attempt += 1) {
+      if (await tryWrite()) return;
     }
     throw errors.fail('conflict', 'other processes keep writing the worker inventory');
   };
@@ -79,7 +79,7 @@
       if (entry === undefined) return [];
       const workers = decode(entry);
       workers.forEach((it) => known.set(it.workerId, it));
-      durable = new Set(known.keys());
+      confirmedSet = new Set(known.keys());
       return workers;
     },
     remember: (info) => {
@@ -95,6 +95,6 @@
       return saving;
     },
     isSaveOwed: () => isSaveOwed && saving === undefined,
-    possibleSets: () => [durable, ...unsettled],
+    possibleSets: () => [confirmedSet, ...unconfirmedSets],
   };
 };
