--- a/src/coordination/node/cellLeader.ts
+++ b/src/coordination/node/cellLeader.ts
@@ -190,10 +190,10 @@
     }),
   );
 
-  const logTransition = transitionLog.createTransitionLog(log, options.metrics);
+  const logStateChange = transitionLog.createTransitionLog(log, options.metrics);
   const recordTransition = (before: job.JobRecord, after: job.JobRecord): void => {
     if (before.state === after.state) return;
-    logTransition(before, after);
+    logStateChange(before, after);
     if (job.isTerminal(after.state)) archive.add(after);
     options.onDidChangeJob?.(before, after);
   };
@@ -276,7 +276,7 @@
     dispatch,
     onDidAccept: schedulePlanning,
   });
-  const agentReportHandler = statementIntake.createStatementIntake({
+  const reportHandler = statementIntake.createStatementIntake({
     epoch: options.epoch,
     clock: timeSource,
     log,
@@ -295,11 +295,9 @@
     ticks += 1;
     workers
       .lapsed()
-      .forEach((it) =>
-        agentReportHandler.missTasks(it, [], 'is silent and its leases have lapsed'),
-      );
+      .forEach((it) => reportHandler.missTasks(it, [], 'is silent and its leases have lapsed'));
     if (ticks % FENCE_EVERY_TICKS === 0) {
-      for (const agentUrl of workers.unfencedUrls()) void agentReportHandler.fenceAgent(agentUrl);
+      for (const agentUrl of workers.unfencedUrls()) void reportHandler.fenceAgent(agentUrl);
       workers.retrySave();
     }
     ledger.settle();
@@ -321,7 +319,7 @@
       await ledger.load();
       const discovered = await options.discoverAgents();
       await Promise.all(
-        [...new Set([...workers.unfencedUrls(), ...discovered])].map(agentReportHandler.fenceAgent),
+        [...new Set([...workers.unfencedUrls(), ...discovered])].map(reportHandler.fenceAgent),
       );
       log('info', 'cellTaken', {
         cell: options.cell,
@@ -336,7 +334,7 @@
     jobs: records,
     workers: workers.views,
     warnings: () => [...warnings, ...workers.warnings()],
-    report: agentReportHandler.report,
+    report: reportHandler.report,
     quarantine: (workerId, isQuarantined, reason) => {
       if (!workers.noteQuarantine(workerId, isQuarantined, reason)) {
         throw errors.fail('notFound', `no worker ${workerId}`, { field: 'workerId' });
--- a/src/coordination/node/configurationSync.ts
+++ b/src/coordination/node/configurationSync.ts
@@ -86,11 +86,11 @@
   };
   const raiseAlarm = (found: configuration.ConfigurationRecord | undefined): void => {
     const storeVersion = found?.version ?? 0;
-    const sentence =
+    const warning =
       `the store holds configuration version ${storeVersion}, but version ${holder.version()} is ` +
       'active: the store was restored from an older state; configuration writes are rejected';
-    if (sentence === storeBehindWarning) return;
-    storeBehindWarning = sentence;
+    if (warning === storeBehindWarning) return;
+    storeBehindWarning = warning;
     options.metrics.gauge(BEHIND_METRIC, 1);
     log('error', 'configurationRefused', {
       storeVersion,
--- a/src/coordination/node/jobStore.ts
+++ b/src/coordination/node/jobStore.ts
@@ -83,10 +83,11 @@
     const first = await swap(key, expected, value);
     // An earlier write of this leader may have taken effect although its reply was lost.
     const current = first.isSwapped ? undefined : first.current;
-    const isOwnEarlier = current !== undefined && decode(current.value).epoch === options.epoch;
-    const isUntouched = !first.isSwapped && (current?.revision ?? 0) === expected;
+    const isOwnEarlierWrite =
+      current !== undefined && decode(current.value).epoch === options.epoch;
+    const isUnchanged = !first.isSwapped && (current?.revision ?? 0) === expected;
     const result =
-      isOwnEarlier || isUntouched ? await swap(key, current?.revision ?? 0, value) : first;
+      isOwnEarlierWrite || isUnchanged ? await swap(key, current?.revision ?? 0, value) : first;
     if (!result.isSwapped) {
       throw errors.fail('notLeader', `cell ${options.cell} has another leader`);
     }
--- a/src/coordination/node/leadership.ts
+++ b/src/coordination/node/leadership.ts
@@ -81,7 +81,7 @@
 export const tryLead = async (options: LeadershipOptions): Promise<Leadership | undefined> => {
   const lease = await leaseHolder.acquireLease(options);
   try {
-    const isFirst = await swapOrReadBack(
+    const hasLeaseKey = await swapOrReadBack(
       options.store,
       {
         key: storeKeys.leaderLeaseKey(options.cell),
@@ -91,7 +91,7 @@
       },
       (value) => value === lease.leaseId,
     );
-    const epoch = isFirst ? await takeEpoch(options) : undefined;
+    const epoch = hasLeaseKey ? await takeEpoch(options) : undefined;
     if (epoch !== undefined) return { epoch, lease };
   } catch (thrown) {
     await lease.dispose();
--- a/src/coordination/node/planInputs.ts
+++ b/src/coordination/node/planInputs.ts
@@ -40,7 +40,7 @@
   /** Time of each worker's last release: earlier failures no longer count against it. */
   const releasedAtMs = new Map<string, number>();
   let estimates = runEstimates.NO_ESTIMATES;
-  const quarantineOf = (workerId: string): Partial<planTypes.PlanWorker> => {
+  const quarantineStateOf = (workerId: string): Partial<planTypes.PlanWorker> => {
     const sinceMs = quarantinedAtMs.get(workerId);
     const blameFromMs = releasedAtMs.get(workerId) ?? 0;
     return sinceMs === undefined
@@ -58,7 +58,7 @@
         rack: it.worker.rack,
         accelerators: it.worker.accelerators,
         health: it.health,
-        ...quarantineOf(it.worker.workerId),
+        ...quarantineStateOf(it.worker.workerId),
       })),
     setQuarantine: (workerId, why) => {
       const isQuarantined = why !== undefined;
--- a/src/protocol/node/requestRouter.ts
+++ b/src/protocol/node/requestRouter.ts
@@ -127,7 +127,7 @@
   const { clock: timeSource, directory, metrics: counters } = options;
   const retryBudget = requestBudgets.createBudget(INITIAL_CREDIT);
   const crossRegionBudget = requestBudgets.createBudget(INITIAL_CREDIT);
-  let open = 0;
+  let openCount = 0;
   const nowMs = (): number => timeSource.monotonicMs();
 
   const countBytes = (attempt: Attempt, bytes: number, direction: 'out' | 'back'): void => {
@@ -290,11 +290,11 @@
     if (request.isClaimed !== true || options.claims === undefined) {
       return { type: 'claimed', revision: 0 };
     }
-    const own = { agentUrl: attempt.agent.agentUrl, bootId, attemptId, startBeforeMs };
+    const ownClaim = { agentUrl: attempt.agent.agentUrl, bootId, attemptId, startBeforeMs };
     const key = `${request.customerId}/${request.requestId}`;
     let revision = fromRevision;
     while (nowMs() < deadlineAtMs) {
-      const result = await options.claims.take(key, revision, own);
+      const result = await options.claims.take(key, revision, ownClaim);
       if (result.type === 'taken') return { type: 'claimed', revision: result.revision };
       const { agentUrl, ...held } = result.claim;
       const agent = { agentUrl, region: options.region };
@@ -312,14 +312,14 @@
     deadlineAtMs: number,
   ): Promise<exchange.Answer> => {
     const excludedUrls = new Set<string>();
-    let last = errors.fail('noUpstream', 'no upstream is known', { retryAfterMs: 1000 });
+    let lastError = errors.fail('noUpstream', 'no upstream is known', { retryAfterMs: 1000 });
     let claimRevision = 0;
     crossRegionBudget.earn(policy.crossRegionMaxShare);
     for (let retry = 1; ; retry += 1) {
       const agent = chooseAgent(policy, excludedUrls);
       const attempt = agent && createAttempt(request, agent, deadlineAtMs);
-      if (attempt === undefined) throw last;
-      const before = last;
+      if (attempt === undefined) throw lastError;
+      const before = lastError;
       const claim = await claimKey(attempt, claimRevision).catch((thrown: unknown) => {
         throw attemptSteps.errorToReport(before, errors.normalize(thrown));
       });
@@ -334,26 +334,26 @@
           ? step.error
           : errors.fail('outcomeUnknown', 'the request was not settled');
       }
-      last = attemptSteps.errorToReport(last, step.error);
+      lastError = attemptSteps.errorToReport(lastError, step.error);
       excludedUrls.add(attempt.agent.agentUrl);
-      if (nowMs() >= deadlineAtMs || !retryBudget.take()) throw last;
+      if (nowMs() >= deadlineAtMs || !retryBudget.take()) throw lastError;
       counters.count('auburnlift_request_retries_total');
       await clock.sleep(timeSource, requestBudgets.backoffMs(retry, options.random()));
     }
   };
   return {
-    openRequests: () => open,
+    openRequests: () => openCount,
     route: async (request) => {
       const policy = options.policy();
       if (policy === undefined) {
         throw errors.fail('noUpstream', 'no configuration is active yet', { retryAfterMs: 1000 });
       }
-      open += 1;
+      openCount += 1;
       const startedMs = nowMs();
       try {
         return await routeUntil(request, policy, startedMs + request.deadlineMs);
       } finally {
-        open -= 1;
+        openCount -= 1;
         const labels = { customer: request.customerId };
         counters.time('auburnlift_request_ms', nowMs() - startedMs, labels);
       }
