--- a/src/coordination/node/workerInventory.ts
+++ b/src/coordination/node/workerInventory.ts
@@ -44,7 +44,7 @@
   const known = new Map<string, worker.WorkerInfo>();
   let confirmedSet: ReadonlySet<string> = new Set();
   let unconfirmedSets: readonly ReadonlySet<string>[] = [];
-  let isSaveOwed = false;
+  let hasUnsaved = false;
   let saving: Promise<void> | undefined;
   let writing: Promise<void> = Promise.resolve();
 
@@ -59,7 +59,7 @@
     const { isSwapped } = await target.compareAndSwap({ key, expectedRevision, value });
     if (!isSwapped) return false;
     confirmedSet = ids;
-    isSaveOwed = [...known.keys()].some((it) => !ids.has(it));
+    hasUnsaved = [...known.keys()].some((it) => !ids.has(it));
     unconfirmedSets = [];
     return true;
   };
@@ -67,7 +67,7 @@
     // Waits one microtask, so that workers that register concurrently share a write.
     await Promise.resolve();
     saving = undefined;
-    isSaveOwed = true;
+    hasUnsaved = true;
     for (let attempt = 0; attempt < MAX_SAVE_ATTEMPTS; attempt += 1) {
       if (await tryWrite()) return;
     }
@@ -94,7 +94,7 @@
       }
       return saving;
     },
-    isSaveOwed: () => isSaveOwed && saving === undefined,
+    isSaveOwed: () => hasUnsaved && saving === undefined,
     possibleSets: () => [confirmedSet, ...unconfirmedSets],
   };
 };
