--- a/src/coordination/node/leaderRoster.ts
+++ b/src/coordination/node/leaderRoster.ts
@@ -109,7 +109,7 @@
       seen.stampMs !== undefined && seen.uptimeMs >= roster.votingDelayMs(leaseMs());
     return isConfirmation ? Math.max(before, seen.stampMs ?? before) : before;
   };
-  const enroll = (info: worker.WorkerInfo, seen: Sighting): void => {
+  const recordWorker = (info: worker.WorkerInfo, seen: Sighting): void => {
     const known = entries.get(info.workerId);
     const isSameBoot = known?.bootId === seen.bootId;
     const neverMs = Number.NEGATIVE_INFINITY;
@@ -137,7 +137,7 @@
   };
   const isLapsed = (entry: roster.RosterEntry): boolean =>
     roster.isLapsed(entry, roster.formerLeasesEndMs(majorityFencedAtMs, leaseMs()), nowMs());
-  const views = (): WorkerView[] =>
+  const statuses = (): WorkerView[] =>
     [...entries.values()].map((it) => ({
       worker: it.info,
       health: roster.healthOf(it, nowMs(), reportMs()),
@@ -164,8 +164,8 @@
     agentUrlOf: (workerId) => entries.get(workerId)?.info.agentUrl,
     unfencedUrls: () =>
       [...entries.values()].filter((it) => !it.isFenced).map((it) => it.info.agentUrl),
-    views,
-    enroll,
+    views: statuses,
+    enroll: recordWorker,
     noteUnfenced: (workerId) => {
       const entry = entries.get(workerId);
       if (entry !== undefined) entries.set(workerId, { ...entry, isFenced: false });
--- a/src/coordination/node/planInputs.ts
+++ b/src/coordination/node/planInputs.ts
@@ -23,7 +23,7 @@
   /** Updates the estimates from a job whose state has changed. */
   readonly learn: (record: job.JobRecord) => void;
   /** The cell's workers in the form that planning uses. */
-  readonly workersOf: (views: readonly leaderRoster.WorkerView[]) => planTypes.PlanWorker[];
+  readonly workersOf: (statuses: readonly leaderRoster.WorkerView[]) => planTypes.PlanWorker[];
   /** Applies the decision of a planning round: quarantines with a reason, releases without one. */
   readonly setQuarantine: (workerId: string, why: string | undefined) => void;
   /** Records an operator's decision, which overrides planning's own. */
@@ -52,8 +52,8 @@
     learn: (record) => {
       estimates = runEstimates.learn(estimates, record);
     },
-    workersOf: (views) =>
-      views.map((it) => ({
+    workersOf: (statuses) =>
+      statuses.map((it) => ({
         workerId: it.worker.workerId,
         rack: it.worker.rack,
         accelerators: it.worker.accelerators,
--- a/src/coordination/node/statementIntake.ts
+++ b/src/coordination/node/statementIntake.ts
@@ -76,7 +76,11 @@
     return known?.bootId === state.bootId && state.commandCount < known.commandCount;
   };
   /** A task that is missing from a full list does not run on the worker. */
-  const missTasks = (workerId: string, tasks: readonly task.TaskReport[], why: string): void => {
+  const markMissingTasksLost = (
+    workerId: string,
+    tasks: readonly task.TaskReport[],
+    why: string,
+  ): void => {
     for (const { jobId, member } of reportIntake.missingMembers(
       [...runtimes.values()],
       workerId,
@@ -94,7 +98,7 @@
   const handleFullList = (state: FullState): void => {
     const { workerId } = state.worker;
     if (isOutdated(workerId, state)) return;
-    missTasks(workerId, state.tasks, 'does not know the task any more');
+    markMissingTasksLost(workerId, state.tasks, 'does not know the task any more');
   };
 
   const fenceAgent = async (agentUrl: string): Promise<void> => {
@@ -151,5 +155,5 @@
       .map((it) => it.token);
     return { ...answer, leaseMs: workers.grantMs(workerId), wantsFull: false, acknowledged };
   };
-  return { report, fenceAgent, missTasks };
+  return { report, fenceAgent, missTasks: markMissingTasksLost };
 };
