--- a/src/coordination/node/cellLeader.ts
+++ b/src/coordination/node/cellLeader.ts
@@ -1,9 +1,9 @@
 /**
- * Leads one cell: keeps its jobs and workers in memory, plans, commits and commands.
+ * Leads one cell: holds its jobs and workers in memory, plans, commits and sends commands.
  *
- * What the leader decides is pure (`jobMachine`, `reportIntake`, `memberOutcome`, `workerRoster`,
- * `placement`, `ledgerBook`); this module carries the decisions out and turns what happens into
- * events. It acts only after `takeOver` has fenced former leaders in the store and at the agents.
+ * Decisions are pure functions in `coordination/common`; this module performs their effects and
+ * turns replies, reports and timers into events. It acts only after `takeOver` has fenced previous
+ * leaders in the store and at the agents.
  */
 import type * as clock from '../../base/common/clock.js';
 import * as disposable from '../../base/common/disposable.js';
@@ -33,7 +33,7 @@
 import * as statementIntake from './statementIntake.js';
 import * as transitionLog from './transitionLog.js';
 
-/** What the leader needs. */
+/** Options of {@link createCellLeader}. */
 export interface CellLeaderOptions {
   readonly cell: string;
   readonly epoch: number;
@@ -43,20 +43,20 @@
   readonly log: logging.Log;
   readonly metrics: metrics.Metrics;
   readonly configuration: configurationHolder.ConfigurationHolder;
-  /** Makes the epoch known to an agent and asks what it holds. */
+  /** Announces the epoch to an agent and returns the agent's tasks. */
   readonly fence: (agentUrl: string) => Promise<agentStatements.AgentState>;
   readonly sendCommands: (
     agentUrl: string,
     bootId: string,
     commands: readonly task.TaskCommand[],
   ) => Promise<commandOutbox.CommandResults>;
-  /** Whether the store's lease on the leadership certainly stands. */
+  /** Whether the leadership lease in the store is certainly still valid. */
   readonly isLeaseHeld: () => boolean;
-  /** Agents of the zone that entries know; an agent that is missing reports by itself later. */
+  /** URLs of the zone's agents known to entries; a missing agent reports by itself later. */
   readonly discoverAgents: () => Promise<readonly string[]>;
-  /** Another leader took the cell. */
+  /** Called when another leader has taken over the cell. */
   readonly onDeposed: () => void;
-  /** Called after a job has changed its state. */
+  /** Called after a job's state has changed. */
   readonly onDidChangeJob?: (before: job.JobRecord, after: job.JobRecord) => void;
 }
 
@@ -64,7 +64,7 @@
 export interface CellLeader extends disposable.Disposable {
   readonly cell: string;
   readonly epoch: number;
-  /** Fences former leaders, reads the jobs and collects what runs. */
+  /** Fences previous leaders, reads the jobs and collects the running tasks from agents. */
   readonly takeOver: () => Promise<void>;
   readonly submit: (spec: job.JobSpec) => Promise<job.JobRecord>;
   readonly cancel: (jobIds: readonly string[]) => Promise<readonly job.JobRecord[]>;
@@ -74,30 +74,30 @@
   readonly warnings: () => readonly string[];
   readonly report: (report: agentStatements.AgentReport) => agentStatements.ReportAnswer;
   readonly quarantine: (workerId: string, isQuarantined: boolean, reason: string) => void;
-  /** Writes what is not yet written. */
+  /** Writes all pending changes to the store. */
   readonly flush: () => Promise<void>;
 }
 
-/** Wait that lets what happens together be planned together. */
+/** Delay that lets concurrent changes share one planning round. */
 const PLAN_DELAY_MS = 5;
 
-/** Period of the checks that nothing else triggers: lapsed leases, the ledger. */
+/** Period of checks that no event triggers: expired leases, the ledger. */
 const TICK_MS = 500;
 
 /**
- * Ticks between two planning rounds that nothing triggers but time: reservations fall due, estimates
- * run out, probes end. A round at each tick would take a quarter of what control may cost a node.
+ * Ticks between planning rounds that only time triggers: reservations fall due, estimates expire,
+ * probes end. A round at each tick would take a quarter of a node's control-plane budget.
  */
 const PLAN_EVERY_TICKS = 4;
 
-/** Ticks between two tries to reach agents that have not accepted the epoch. */
+/** Ticks between attempts to fence agents that have not accepted the epoch. */
 const FENCE_EVERY_TICKS = 8;
 
-/** Wait before writing again what could not be written. */
+/** Delay before a failed write is retried. */
 const COMMIT_RETRY_MS = 500;
 
 /**
- * @param options - what the leader needs
+ * @param options - options
  * @returns a leader that has not taken over yet
  */
 export const createCellLeader = (options: CellLeaderOptions): CellLeader => {
@@ -131,7 +131,7 @@
     isLeaseHeld: options.isLeaseHeld,
     onWillChange: () => ledger.settle(),
   });
-  const inputs = planInputs.createPlanInputs({ clock: timeSource, log, workers });
+  const planningInputs = planInputs.createPlanInputs({ clock: timeSource, log, workers });
   const outbox = commandOutbox.createCommandOutbox(
     (agentUrl, commands) => options.sendCommands(agentUrl, workers.bootIdOf(agentUrl), commands),
     log,
@@ -190,10 +190,10 @@
     }),
   );
 
-  const logTransition = transitionLog.createTransitionLog(log, options.metrics);
-  const noteTransition = (before: job.JobRecord, after: job.JobRecord): void => {
+  const logStateChange = transitionLog.createTransitionLog(log, options.metrics);
+  const recordTransition = (before: job.JobRecord, after: job.JobRecord): void => {
     if (before.state === after.state) return;
-    logTransition(before, after);
+    logStateChange(before, after);
     if (job.isTerminal(after.state)) archive.add(after);
     options.onDidChangeJob?.(before, after);
   };
@@ -201,16 +201,16 @@
     const before = runtimes.get(jobId);
     if (before === undefined) return;
     const { next, effects } = jobMachine.step(before, event, context());
-    // Most reports repeat what is known; only a change may cost a look at the whole ledger.
+    // Most reports change nothing; only a change is worth the cost of updating the ledger.
     if (next === before && effects.length === 0) return;
     ledger.settle();
     runtimes.set(jobId, next);
-    if (before.record.state !== next.record.state) inputs.learn(next.record);
-    noteTransition(before.record, next.record);
-    // Effects speak of the placement that the event found.
+    if (before.record.state !== next.record.state) planningInputs.learn(next.record);
+    recordTransition(before.record, next.record);
+    // If the event cleared the placement, its effects refer to the one before.
     const placed = next.record.placement.length > 0 ? next.record : before.record;
     effects.forEach((effect) => perform(placed, effect));
-    if (next.record.state !== before.record.state) planSoon();
+    if (next.record.state !== before.record.state) schedulePlanning();
   };
   const perform = (record: job.JobRecord, effect: jobMachine.JobEffect): void => {
     switch (effect.type) {
@@ -235,7 +235,7 @@
     }
   };
 
-  const planSoon = (): void => {
+  const schedulePlanning = (): void => {
     if (planTimer !== undefined || owned.isDisposed()) return;
     planTimer = timeSource.after(PLAN_DELAY_MS, () => {
       planTimer = undefined;
@@ -244,7 +244,7 @@
   };
   const plan = (): void => {
     const current = options.configuration.current();
-    // Without the store nothing can be committed, so nothing may be started.
+    // Without the store nothing can be committed, so nothing may start.
     if (current === undefined || !commits.isHealthy()) return;
     const startedMs = nowMs();
     const round = placement.planRound({
@@ -252,31 +252,31 @@
       cell: options.cell,
       configVersion: current.version,
       document: current.document,
-      workers: inputs.workersOf(workers.views()),
+      workers: planningInputs.workersOf(workers.views()),
       endedFailedJobs: records().filter((it) => job.isTerminal(it.state) && it.failures.length > 0),
-      estimates: inputs.estimates(),
+      estimates: planningInputs.estimates(),
       jobs: records()
         .filter((it) => !job.isTerminal(it.state))
         .sort((a, b) => a.submittedAtMs - b.submittedAtMs),
     });
     options.metrics.time('auburnlift_plan_ms', nowMs() - startedMs, { cell: options.cell });
     warnings = round.warnings;
-    round.quarantines.forEach((it) => inputs.setQuarantine(it.workerId, it.why));
-    round.releases.forEach((it) => inputs.setQuarantine(it.workerId, undefined));
-    if (round.quarantines.length + round.releases.length > 0) planSoon();
+    round.quarantines.forEach((it) => planningInputs.setQuarantine(it.workerId, it.why));
+    round.releases.forEach((it) => planningInputs.setQuarantine(it.workerId, undefined));
+    if (round.quarantines.length + round.releases.length > 0) schedulePlanning();
     round.stops.forEach((it) => dispatch(it.jobId, { type: 'stop', cause: it.cause, why: it.why }));
     round.placements.forEach((it) => dispatch(it.jobId, { type: 'planned', ...it }));
   };
 
-  const intake = jobIntake.createJobIntake({
+  const jobRequests = jobIntake.createJobIntake({
     cell: options.cell,
     runtimes,
     commits,
     context,
     dispatch,
-    onDidAccept: planSoon,
+    onDidAccept: schedulePlanning,
   });
-  const statements = statementIntake.createStatementIntake({
+  const reportHandler = statementIntake.createStatementIntake({
     epoch: options.epoch,
     clock: timeSource,
     log,
@@ -289,54 +289,58 @@
     commits,
     context,
     dispatch,
-    planSoon,
+    schedulePlanning,
   });
   const tick = (): void => {
     ticks += 1;
     workers
       .lapsed()
-      .forEach((it) => statements.missTasks(it, [], 'is silent and its leases have lapsed'));
+      .forEach((it) => reportHandler.missTasks(it, [], 'is silent and its leases have lapsed'));
     if (ticks % FENCE_EVERY_TICKS === 0) {
-      for (const agentUrl of workers.unfencedUrls()) void statements.fenceAgent(agentUrl);
+      for (const agentUrl of workers.unfencedUrls()) void reportHandler.fenceAgent(agentUrl);
       workers.retrySave();
     }
     ledger.settle();
-    if (ticks % PLAN_EVERY_TICKS === 1) planSoon();
+    if (ticks % PLAN_EVERY_TICKS === 1) schedulePlanning();
     if (!owned.isDisposed()) tickTimer = timeSource.after(TICK_MS, tick);
   };
   return {
     cell: options.cell,
     epoch: options.epoch,
     takeOver: async () => {
-      const kept = await options.jobStore.takeOver();
-      kept.forEach((it) => {
+      const storedJobs = await options.jobStore.takeOver();
+      storedJobs.forEach((it) => {
         runtimes.set(it.spec.jobId, jobMachine.takeOver(it));
-        inputs.learn(it);
+        planningInputs.learn(it);
       });
-      // A former leader may have died before it archived what ended last.
-      archive.addLately(kept);
+      // The previous leader may have died before it archived the jobs that ended last.
+      archive.addLately(storedJobs);
       await workers.load();
       await ledger.load();
       const discovered = await options.discoverAgents();
       await Promise.all(
-        [...new Set([...workers.unfencedUrls(), ...discovered])].map(statements.fenceAgent),
+        [...new Set([...workers.unfencedUrls(), ...discovered])].map(reportHandler.fenceAgent),
       );
-      log('info', 'cellTaken', { cell: options.cell, epoch: options.epoch, jobs: kept.length });
+      log('info', 'cellTaken', {
+        cell: options.cell,
+        epoch: options.epoch,
+        jobs: storedJobs.length,
+      });
       tick();
     },
-    submit: intake.submit,
-    cancel: intake.cancel,
-    show: intake.show,
+    submit: jobRequests.submit,
+    cancel: jobRequests.cancel,
+    show: jobRequests.show,
     jobs: records,
     workers: workers.views,
     warnings: () => [...warnings, ...workers.warnings()],
-    report: statements.report,
+    report: reportHandler.report,
     quarantine: (workerId, isQuarantined, reason) => {
       if (!workers.noteQuarantine(workerId, isQuarantined, reason)) {
         throw errors.fail('notFound', `no worker ${workerId}`, { field: 'workerId' });
       }
-      inputs.noteOperator(workerId, isQuarantined);
-      planSoon();
+      planningInputs.noteOperator(workerId, isQuarantined);
+      schedulePlanning();
     },
     flush: async () => {
       await commits.flush();
--- a/src/coordination/node/ledgerKeeper.ts
+++ b/src/coordination/node/ledgerKeeper.ts
@@ -1,13 +1,13 @@
 /**
- * Keeps a cell's ledger while it is led: books each span between two changes and writes the hours.
+ * Records the ledger of a led cell: books each span between two changes and writes the hours.
  *
  * Guards against these failures:
- * - A leader dies: what it had not written is seen as a gap by the next one, which books it from the
- *   jobs in the store (`ledgerBook.bookUnwitnessed`), starting where the last record ends.
- * - A deposed leader still writes: each record carries its writer's epoch. Loading rewrites the last
- *   record, so that the older leader's next write conflicts, reads a higher epoch and ends it.
- * - An answer is lost: the record is read back. A later conflict with a record of the own epoch can
- *   only be such a write, as an epoch has one writer; it is overwritten with all that is booked.
+ * - A leader dies: the next one sees the unwritten time as a gap after the last record, and books
+ *   it from the jobs in the store as unwitnessed time.
+ * - A previous leader still writes: each record carries its writer's epoch. Loading rewrites the
+ *   last record, so the previous leader's next write conflicts, reads a higher epoch and stops.
+ * - A reply is lost: the record is read back. A later conflict with a record of the own epoch can
+ *   only be such a write, as an epoch has one writer; it is overwritten with everything booked.
  * - The store is down for hours: hours stay in memory until they are written, oldest first.
  */
 import type * as clock from '../../base/common/clock.js';
@@ -26,74 +26,77 @@
 
 import * as ledgerRollup from './ledgerRollup.js';
 
-/** What the keeper needs. */
+/** Options of {@link createLedgerKeeper}. */
 export interface LedgerKeeperOptions {
   readonly cell: string;
-  /** Epoch of the leader that keeps the books. */
+  /** Epoch of the leader that writes the ledger. */
   readonly epoch: number;
   readonly store: store.Store;
   readonly clock: clock.Clock;
   readonly log: logging.Log;
   readonly metrics: metrics.Metrics;
   readonly holdings: () => ledgerHoldings.Holdings;
-  /** A later leader keeps the books. */
+  /** Called when a later leader writes the ledger. */
   readonly onDeposed: () => void;
 }
 
-/** The ledger of a cell that is led. */
+/** Ledger of one cell, written by its leader. */
 export interface LedgerKeeper extends disposable.Disposable {
-  /** Fences former keepers and books the time since their last record. */
+  /** Fences previous writers and books the time since their last record. */
   readonly load: () => Promise<void>;
-  /** Books what has been held until now; call it before anything changes. */
+  /** Books the allocations up to now; must be called before each change. */
   readonly settle: () => void;
   /** Writes the hours that changed. */
   readonly flush: () => Promise<void>;
 }
 
-/** How often the hours are written while they are small. */
-const WRITE_MS = 5000;
+/** Period of writes while records are small. */
+const MIN_WRITE_PERIOD_MS = 5000;
 
 /**
- * Bytes a second that writing may cost. Made for a cell at the target size, whose hour grows to some
- * 50 kB: written every 5 s it would take half of the 23 kB/s that control may spend on a node.
+ * Maximum rate of bytes written. In a cell of the target size an hour grows to about 50 kB; written
+ * every 5 s, it would take half of a node's control-plane budget of 23 kB/s.
  */
 const WRITE_BYTES_PER_S = 2000;
 
-/** Longest wait; a leader that dies leaves at most this much time unwitnessed. */
-const MAX_WRITE_MS = 120_000;
+/** Maximum period of writes; if a leader dies, at most this much time is unwitnessed. */
+const MAX_WRITE_PERIOD_MS = 120_000;
 
 /**
- * @param bytes - size of the record that was written last
- * @returns wait before the next write
+ * @param bytes - size of the last written record
+ * @returns delay before the next write
  */
 export const writeDelayMs = (bytes: number): number =>
-  Math.min(MAX_WRITE_MS, Math.max(WRITE_MS, Math.ceil((bytes / WRITE_BYTES_PER_S) * 1000)));
+  Math.min(
+    MAX_WRITE_PERIOD_MS,
+    Math.max(MIN_WRITE_PERIOD_MS, Math.ceil((bytes / WRITE_BYTES_PER_S) * 1000)),
+  );
 
-/** How often old hours are looked for. */
-const ROLL_UP_MS = ledgerEntry.HOUR_MS;
+/** Period of rolling up old hours. */
+const ROLL_UP_PERIOD_MS = ledgerEntry.HOUR_MS;
 
-/** A longer time without any leader stays a hole, which the check reports. */
+/** A longer time without a leader is not booked but left as a hole, which the check reports. */
 export const MAX_GAP_MS = 604_800_000;
 
 const decode = (value: string): ledgerEntry.LedgerHour =>
   schemaIssues.decodeOrFail(ledgerEntry.LedgerHour, JSON.parse(value), 'ledger hour');
 
 /**
- * @param options - what the keeper needs
- * @returns a keeper that has booked nothing
+ * @param options - options
+ * @returns a ledger without bookings
  */
 export const createLedgerKeeper = (options: LedgerKeeperOptions): LedgerKeeper => {
   const { cell, epoch, clock: timeSource, log } = options;
   let book: ledgerBook.Book = new Map();
   const written = new Map<number, { revision: number; bookedUntilMs: number }>();
-  const reported = new Set<string>();
-  let time: ledgerTime.LedgerTime | undefined;
+  const reportedFaults = new Set<string>();
+  let bookingTime: ledgerTime.LedgerTime | undefined;
   let timer: disposable.Disposable | undefined;
   let writing: Promise<void> = Promise.resolve();
   let rolledAtMs = Number.NEGATIVE_INFINITY;
   let writtenBytes = 0;
   let isDisposed = false;
-  let isDeposed = false;
+  let isSuperseded = false;
   let anomaly: ledgerTime.LedgerStep['anomaly'] = 'none';
 
   const spanOf = (fromMs: number, toMs: number): ledgerBook.Span => ({
@@ -111,22 +114,22 @@
     anomaly = next;
   };
   const settle = (): void => {
-    if (time === undefined) return;
-    const fromMs = time.bookedUntilMs;
-    const step = ledgerTime.step(time, timeSource.wallMs(), timeSource.monotonicMs());
+    if (bookingTime === undefined) return;
+    const fromMs = bookingTime.bookedUntilMs;
+    const step = ledgerTime.step(bookingTime, timeSource.wallMs(), timeSource.monotonicMs());
     reportAnomaly(step.anomaly);
-    time = step.next;
-    if (time.bookedUntilMs === fromMs) return;
+    bookingTime = step.next;
+    if (bookingTime.bookedUntilMs === fromMs) return;
     const { unwitnessedUntilMs } = step;
     if (unwitnessedUntilMs > fromMs) {
       book = ledgerBook.bookUnwitnessed(book, spanOf(fromMs, unwitnessedUntilMs));
     }
-    book = ledgerBook.bookSpan(book, spanOf(unwitnessedUntilMs, time.bookedUntilMs));
+    book = ledgerBook.bookSpan(book, spanOf(unwitnessedUntilMs, bookingTime.bookedUntilMs));
   };
-  const depose = (): never => {
-    if (!isDeposed) options.onDeposed();
-    isDeposed = true;
-    throw errors.fail('notLeader', `the ledger of cell ${cell} has a later keeper`);
+  const failAsSuperseded = (): never => {
+    if (!isSuperseded) options.onDeposed();
+    isSuperseded = true;
+    throw errors.fail('notLeader', `a later leader writes the ledger of cell ${cell}`);
   };
   const swap = async (
     hour: ledgerEntry.LedgerHour,
@@ -149,7 +152,7 @@
     let result = await swap(hour, written.get(hour.hour)?.revision ?? store.ABSENT_REVISION);
     if (!result.isSwapped) {
       const { current } = result;
-      if (current !== undefined && decode(current.value).epoch > epoch) depose();
+      if (current !== undefined && decode(current.value).epoch > epoch) failAsSuperseded();
       result = await swap(hour, current?.revision ?? store.ABSENT_REVISION);
     }
     if (!result.isSwapped) throw errors.fail('conflict', `ledger hour ${hour.hour} was written`);
@@ -159,13 +162,13 @@
   const check = (hour: ledgerEntry.LedgerHour): void => {
     for (const { kind, offMs } of ledgerCheck.checkHour(hour)) {
       const key = `${hour.hour} ${kind}`;
-      if (reported.has(key)) continue;
-      reported.add(key);
+      if (reportedFaults.has(key)) continue;
+      reportedFaults.add(key);
       log('error', 'ledgerOutOfBalance', { cell, hour: hour.hour, kind, offMs });
       options.metrics.count('auburnlift_ledger_faults_total', { cell, kind });
     }
   };
-  /** Forgets hours that are over and written. */
+  /** Drops past hours that are written. */
   const prune = (): void => {
     const last = Math.max(...book.keys());
     book = new Map(
@@ -176,7 +179,7 @@
     for (const hour of written.keys()) if (!book.has(hour)) written.delete(hour);
   };
   const writeAll = async (): Promise<void> => {
-    if (isDeposed) depose();
+    if (isSuperseded) failAsSuperseded();
     settle();
     for (const [, hour] of [...book].sort(([a], [b]) => a - b)) {
       const isDirty = written.get(hour.hour)?.bookedUntilMs !== hour.bookedUntilMs;
@@ -187,14 +190,14 @@
     }
     prune();
   };
-  /** One write at a time: two at once would conflict with each other. */
+  /** One write at a time, as concurrent writes would conflict with each other. */
   const flush = (): Promise<void> => {
     writing = writing.then(writeAll, writeAll);
     return writing;
   };
   const rollUp = async (): Promise<void> => {
     const nowMs = timeSource.monotonicMs();
-    if (nowMs - rolledAtMs < ROLL_UP_MS) return;
+    if (nowMs - rolledAtMs < ROLL_UP_PERIOD_MS) return;
     rolledAtMs = nowMs;
     const { store: target } = options;
     await ledgerRollup.rollUp({ store: target, cell, epoch, nowMs: timeSource.wallMs() });
@@ -209,12 +212,12 @@
     schedule();
   };
   const schedule = (): void => {
-    if (isDisposed || isDeposed) return;
+    if (isDisposed || isSuperseded) return;
     timer = timeSource.after(writeDelayMs(writtenBytes), () => {
       void onTimer();
     });
   };
-  const startOf = (last: ledgerEntry.LedgerHour | undefined, nowMs: number): number => {
+  const bookingStartMs = (last: ledgerEntry.LedgerHour | undefined, nowMs: number): number => {
     if (last === undefined) return nowMs;
     if (nowMs - last.bookedUntilMs <= MAX_GAP_MS) return last.bookedUntilMs;
     log('error', 'ledgerHole', { cell, holeMs: nowMs - last.bookedUntilMs });
@@ -226,10 +229,10 @@
       const { entries } = await options.store.list(storeKeys.ledgerPrefix(cell));
       const entry = entries.at(-1);
       const last = entry === undefined ? undefined : decode(entry.value);
-      if (last !== undefined && last.epoch > epoch) depose();
+      if (last !== undefined && last.epoch > epoch) failAsSuperseded();
       const nowMs = Math.floor(timeSource.wallMs());
-      const fromMs = startOf(last, nowMs);
-      // Taken or created even where there is nothing to book, so that a former keeper conflicts.
+      const fromMs = bookingStartMs(last, nowMs);
+      // Written even if there is nothing to book, so that a previous leader's write conflicts.
       const first =
         last === undefined
           ? ledgerBook.openHour({ cell, epoch }, nowMs)
@@ -239,7 +242,7 @@
         written.set(first.hour, { revision: entry.revision, bookedUntilMs: Number.NaN });
       }
       if (fromMs < nowMs) book = ledgerBook.bookUnwitnessed(book, spanOf(fromMs, nowMs));
-      time = {
+      bookingTime = {
         bookedUntilMs: Math.max(fromMs, nowMs),
         monotonicMs: timeSource.monotonicMs(),
       };
--- a/src/coordination/node/memberCommands.ts
+++ b/src/coordination/node/memberCommands.ts
@@ -1,5 +1,5 @@
 /**
- * Carries a job's commands to its members' agents and brings the outcomes back as events.
+ * Sends a job's commands to its members' agents and dispatches the outcomes as job events.
  */
 import type * as clock from '../../base/common/clock.js';
 import * as disposable from '../../base/common/disposable.js';
@@ -10,7 +10,7 @@
 
 import type * as commandOutbox from './commandOutbox.js';
 
-/** What the commands need. */
+/** Options of {@link createMemberCommands}. */
 export interface MemberCommandsOptions {
   readonly clock: clock.Clock;
   readonly outbox: commandOutbox.CommandOutbox;
@@ -21,19 +21,19 @@
 
 /** Commands to the members of a cell's jobs. */
 export interface MemberCommands extends disposable.Disposable {
-  /** Sends to the member's agent; starts and stops are repeated until they are answered. */
+  /** Sends a command to the member's agent; starts and stops are resent until acknowledged. */
   readonly send: (record: job.JobRecord, effect: memberOutcome.MemberEffect) => void;
-  /** Stops a task that no job wants. */
+  /** Stops a task that belongs to no active job. */
   readonly stopStray: (agentUrl: string, token: task.TaskToken) => void;
 }
 
-/** Wait before a start or stop whose answer was lost is sent again. */
+/** Delay before an unacknowledged start or stop is sent again. */
 const RESEND_MS = 500;
 
-/** Reservations outlive a slow commit; a start after them is refused. */
+/** Reservations outlive a slow commit; a start after they expire is rejected. */
 const RESERVATION_LEASE_MS = 10_000;
 
-const commandOf = (record: job.JobRecord, effect: memberOutcome.MemberEffect): task.TaskCommand => {
+const toCommand = (record: job.JobRecord, effect: memberOutcome.MemberEffect): task.TaskCommand => {
   const { spec, attempt, checkpointMs } = record;
   const token = { jobId: spec.jobId, attempt, member: effect.member };
   const accelerators = record.placement[effect.member]?.accelerators ?? [];
@@ -50,11 +50,11 @@
 };
 
 /**
- * @param options - what the commands need
- * @returns commands, none of which is under way
+ * @param options - options
+ * @returns a sender without commands in flight
  */
 export const createMemberCommands = (options: MemberCommandsOptions): MemberCommands => {
-  const resends = new Set<disposable.Disposable>();
+  const resendTimers = new Set<disposable.Disposable>();
   let isDisposed = false;
 
   const send = (record: job.JobRecord, effect: memberOutcome.MemberEffect): void => {
@@ -63,7 +63,7 @@
       onOutcome(record, effect, undefined);
       return;
     }
-    options.outbox.enqueue(agentUrl, commandOf(record, effect), (outcome) =>
+    options.outbox.enqueue(agentUrl, toCommand(record, effect), (outcome) =>
       onOutcome(record, effect, outcome),
     );
   };
@@ -76,15 +76,15 @@
     if (isDisposed || options.runtimeOf(jobId)?.record.attempt !== record.attempt) return;
     const reading = memberOutcome.readOutcome(effect, outcome);
     if (reading.type === 'event') options.dispatch(jobId, reading.event);
-    if (reading.type === 'resend') resendLater(record, effect);
+    if (reading.type === 'resend') scheduleResend(record, effect);
   };
-  const resendLater = (record: job.JobRecord, effect: memberOutcome.MemberEffect): void => {
+  const scheduleResend = (record: job.JobRecord, effect: memberOutcome.MemberEffect): void => {
     const timer = options.clock.after(RESEND_MS, () => {
-      resends.delete(timer);
+      resendTimers.delete(timer);
       const runtime = options.runtimeOf(record.spec.jobId);
       if (memberOutcome.isStillWanted(runtime, record.attempt, effect)) send(record, effect);
     });
-    resends.add(timer);
+    resendTimers.add(timer);
   };
   return {
     send,
@@ -93,7 +93,7 @@
     },
     dispose: () => {
       isDisposed = true;
-      for (const timer of resends) void timer.dispose();
+      for (const timer of resendTimers) void timer.dispose();
     },
   };
 };
--- a/src/coordination/node/serviceLevelKeeper.ts
+++ b/src/coordination/node/serviceLevelKeeper.ts
@@ -1,11 +1,11 @@
 /**
- * Keeps what a process counted against service-level objectives where it survives the process, and
- * reads what all processes counted.
+ * Persists a process's counts for service-level objectives in the store, and reads the counts of
+ * all processes.
  *
  * A process writes at most one record a minute, and lists and deletes once an hour. Guards against
- * a process that is started again under its old id: each run has a record of its own, so that it
- * has one writer and writing all of it again after a lost answer is safe. What a killed process
- * counted in its last minute is lost, which is stated on the operators' page.
+ * a process that restarts under its old id: each run has its own record and so a single writer,
+ * which makes it safe to rewrite the record after a lost reply. The last minute of a killed
+ * process is lost, as documented for operators.
  */
 import type * as clock from '../../base/common/clock.js';
 import type * as disposable from '../../base/common/disposable.js';
@@ -17,32 +17,32 @@
 import * as storeKeys from '../../state/common/storeKeys.js';
 import * as serviceLevelCounters from '../common/serviceLevelCounters.js';
 
-/** What the keeper needs. */
+/** Options of {@link createServiceLevelKeeper}. */
 export interface ServiceLevelKeeperOptions {
-  /** Id of this run of this process. */
+  /** Id of this run of the process. */
   readonly writerId: string;
   readonly store: store.Store;
   readonly clock: clock.Clock;
   readonly log: logging.Log;
 }
 
-/** Counts of one process. */
+/** Records the counts of one process. */
 export interface ServiceLevelKeeper extends disposable.Disposable {
   readonly note: (verdicts: readonly serviceLevelCounters.Verdict[]) => void;
   readonly flush: () => Promise<void>;
 }
 
-const WRITE_MS = 60_000;
+const WRITE_PERIOD_MS = 60_000;
 
-/** An hour that ended this long ago is written by nobody any more. */
-const SETTLED_HOURS = 2;
+/** No process still writes an hour that ended this many hours ago. */
+const FINAL_AFTER_HOURS = 2;
 
-/** Hours beyond the kept ones that are looked at for records of processes that went away. */
-const DELETE_SPAN_HOURS = 3;
+/** Expired hours checked for records left by processes that no longer run. */
+const CLEANUP_SPAN_HOURS = 3;
 
 /**
- * @param options - what the keeper needs
- * @returns a keeper that has counted nothing
+ * @param options - options
+ * @returns a recorder without counts
  */
 export const createServiceLevelKeeper = (
   options: ServiceLevelKeeperOptions,
@@ -63,7 +63,7 @@
     const swap = (expectedRevision: number): Promise<store.SwapResult> =>
       target.compareAndSwap({ key, expectedRevision, value });
     const first = await swap(revisions.get(hour) ?? store.ABSENT_REVISION);
-    // Only an earlier write of this very run whose answer was lost can stand there.
+    // A conflict can only come from an earlier write of this run whose reply was lost.
     const result = first.isSwapped
       ? first
       : await swap(first.current?.revision ?? store.ABSENT_REVISION);
@@ -74,7 +74,7 @@
     const hour = serviceLevelCounters.hourOf(timeSource.wallMs());
     if (hour === cleanedHour) return;
     const first = hour - serviceLevel.KEPT_HOURS;
-    for (let old = first; old > first - DELETE_SPAN_HOURS; old -= 1) {
+    for (let old = first; old > first - CLEANUP_SPAN_HOURS; old -= 1) {
       const { entries } = await target.list(storeKeys.serviceLevelPrefix(old));
       for (const { key, revision } of entries) {
         await target.compareAndSwap({ key, expectedRevision: revision, value: null });
@@ -82,14 +82,14 @@
     }
     cleanedHour = hour;
   };
-  const forgetOld = (): void => {
-    const oldest = serviceLevelCounters.hourOf(timeSource.wallMs()) - SETTLED_HOURS;
+  const dropOldCounts = (): void => {
+    const oldest = serviceLevelCounters.hourOf(timeSource.wallMs()) - FINAL_AFTER_HOURS;
     counts = new Map([...counts].filter(([hour]) => hour >= oldest || dirty.has(hour)));
     for (const hour of revisions.keys()) if (!counts.has(hour)) revisions.delete(hour);
   };
   const writeAll = async (): Promise<void> => {
     for (const hour of [...dirty].sort((a, b) => a - b)) {
-      // Taken off before: an event that comes while it is written marks it again.
+      // Cleared before the write, since an event during the write marks the hour dirty again.
       dirty.delete(hour);
       try {
         await write(hour);
@@ -98,7 +98,7 @@
         throw thrown;
       }
     }
-    forgetOld();
+    dropOldCounts();
     await deleteOld();
   };
   const flush = (): Promise<void> => {
@@ -107,7 +107,7 @@
   };
   const schedule = (): void => {
     if (timer !== undefined || isDisposed) return;
-    timer = timeSource.after(WRITE_MS, () => {
+    timer = timeSource.after(WRITE_PERIOD_MS, () => {
       flush()
         .catch((thrown: unknown) => {
           const reason = errors.normalize(thrown).message;
@@ -141,14 +141,14 @@
 ) => Promise<readonly serviceLevel.ServiceLevelHour[]>;
 
 /**
- * Hours that nobody writes any more are read once, so that a report costs three listings after the
- * first, which costs one for each hour that is kept.
+ * Hours that no process still writes are cached, so the first report costs one listing for each
+ * retained hour and later reports cost three.
  *
  * @param target - the store
  * @returns the reader
  */
 export const createServiceLevelReader = (target: store.Store): ServiceLevelReader => {
-  const settled = new Map<number, readonly serviceLevel.ServiceLevelHour[]>();
+  const cachedHours = new Map<number, readonly serviceLevel.ServiceLevelHour[]>();
   const readHour = async (hour: number): Promise<readonly serviceLevel.ServiceLevelHour[]> => {
     const { entries } = await target.list(storeKeys.serviceLevelPrefix(hour));
     return entries.map((it) =>
@@ -162,11 +162,11 @@
   return async (nowMs) => {
     const current = serviceLevelCounters.hourOf(nowMs);
     const first = current - serviceLevel.KEPT_HOURS + 1;
-    for (const hour of settled.keys()) if (hour < first) settled.delete(hour);
+    for (const hour of cachedHours.keys()) if (hour < first) cachedHours.delete(hour);
     const found: serviceLevel.ServiceLevelHour[] = [];
     for (let hour = first; hour <= current; hour += 1) {
-      const records = settled.get(hour) ?? (await readHour(hour));
-      if (hour < current - SETTLED_HOURS) settled.set(hour, records);
+      const records = cachedHours.get(hour) ?? (await readHour(hour));
+      if (hour < current - FINAL_AFTER_HOURS) cachedHours.set(hour, records);
       found.push(...records);
     }
     return found;
--- a/src/coordination/node/statementIntake.ts
+++ b/src/coordination/node/statementIntake.ts
@@ -1,6 +1,6 @@
 /**
- * Takes what agents say into the leader's picture of its cell: reports, answers to a fence, and the
- * tasks that a whole statement lacks.
+ * Updates the leader's in-memory state from agents' reports and fence replies, and declares tasks
+ * lost that are missing from a full report.
  */
 import type * as clock from '../../base/common/clock.js';
 import * as errors from '../../base/common/errors.js';
@@ -16,14 +16,14 @@
 import type * as leaderRoster from './leaderRoster.js';
 import type * as memberCommands from './memberCommands.js';
 
-/** What the intake needs. */
+/** Options of {@link createStatementIntake}. */
 export interface StatementIntakeOptions {
   readonly epoch: number;
   readonly clock: clock.Clock;
   readonly log: logging.Log;
-  /** Makes the epoch known to an agent and asks what it holds. */
+  /** Announces the epoch to an agent and returns the agent's tasks. */
   readonly fence: (agentUrl: string) => Promise<agentStatements.AgentState>;
-  /** An agent has accepted a later epoch. */
+  /** Called when an agent has accepted a later epoch. */
   readonly onDeposed: () => void;
   readonly isDisposed: () => boolean;
   readonly runtimes: ReadonlyMap<string, jobMachine.JobRuntime>;
@@ -32,29 +32,29 @@
   readonly commits: Pick<commitQueue.CommitQueue, 'isDirty'>;
   readonly context: () => jobMachine.JobContext;
   readonly dispatch: (jobId: string, event: jobMachine.JobEvent) => void;
-  readonly planSoon: () => void;
+  readonly schedulePlanning: () => void;
 }
 
-/** Intake of agents' statements. */
+/** Handles agents' reports and fences agents. */
 export interface StatementIntake {
-  readonly report: (stated: agentStatements.AgentReport) => agentStatements.ReportAnswer;
+  readonly report: (agentReport: agentStatements.AgentReport) => agentStatements.ReportAnswer;
   readonly fenceAgent: (agentUrl: string) => Promise<void>;
-  /** Counts the members as lost that a whole statement of the worker does not have. */
+  /** Declares members on the worker lost that are missing from its full list of tasks. */
   readonly missTasks: (workerId: string, tasks: readonly task.TaskReport[], why: string) => void;
 }
 
-type WholeState = agentStatements.AgentState & { readonly worker: worker.WorkerInfo };
+type FullState = agentStatements.AgentState & { readonly worker: worker.WorkerInfo };
 
 /**
- * @param options - what the intake needs
- * @returns the intake
+ * @param options - options
+ * @returns the handler
  */
 export const createStatementIntake = (options: StatementIntakeOptions): StatementIntake => {
-  const { runtimes, workers, members, commits, context, dispatch, planSoon, log } = options;
+  const { runtimes, workers, members, commits, context, dispatch, schedulePlanning, log } = options;
   const fencing = new Set<string>();
   const nowMs = (): number => options.clock.monotonicMs();
 
-  const takeTask = (agentUrl: string, report: task.TaskReport, isTakeOver: boolean): void => {
+  const handleTask = (agentUrl: string, report: task.TaskReport, isTakeOver: boolean): void => {
     const { jobId } = report.token;
     const runtime = runtimes.get(jobId);
     const reading = reportIntake.readTask(runtime, report, isTakeOver);
@@ -70,13 +70,17 @@
       members.send(runtime.record, { type: 'stop', member: reading.member, graceMs });
     }
   };
-  /** Whether a statement was written before the agent handled commands that it has answered. */
+  /** Whether the state was built before the agent handled commands that it has since answered. */
   const isOutdated = (workerId: string, state: agentStatements.AgentState): boolean => {
     const known = workers.get(workerId);
     return known?.bootId === state.bootId && state.commandCount < known.commandCount;
   };
-  /** A whole statement without a task that should be there: nothing of it runs. */
-  const missTasks = (workerId: string, tasks: readonly task.TaskReport[], why: string): void => {
+  /** A task that is missing from a full list does not run on the worker. */
+  const markMissingTasksLost = (
+    workerId: string,
+    tasks: readonly task.TaskReport[],
+    why: string,
+  ): void => {
     for (const { jobId, member } of reportIntake.missingMembers(
       [...runtimes.values()],
       workerId,
@@ -85,16 +89,16 @@
       dispatch(jobId, { type: 'memberLost', member, reason: `${workerId} ${why}` });
     }
   };
-  const takeTasks = (state: WholeState, isNew: boolean): void => {
+  const handleTasks = (state: FullState, isNew: boolean): void => {
     const { agentUrl } = state.worker;
-    state.tasks.forEach((it) => takeTask(agentUrl, it, isNew));
-    if (isNew) planSoon();
+    state.tasks.forEach((it) => handleTask(agentUrl, it, isNew));
+    if (isNew) schedulePlanning();
   };
-  /** What crossed a command on its way does not know the command's task yet. */
-  const takeWhole = (state: WholeState): void => {
+  /** Ignores outdated lists: one built before a start command lacks that command's task. */
+  const handleFullList = (state: FullState): void => {
     const { workerId } = state.worker;
     if (isOutdated(workerId, state)) return;
-    missTasks(workerId, state.tasks, 'does not know the task any more');
+    markMissingTasksLost(workerId, state.tasks, 'does not know the task any more');
   };
 
   const fenceAgent = async (agentUrl: string): Promise<void> => {
@@ -113,37 +117,37 @@
         isLeaving: false,
         isReport: false,
       });
-      const whole = { ...state, worker: state.worker };
-      takeTasks(whole, true);
-      takeWhole(whole);
+      const fullState = { ...state, worker: state.worker };
+      handleTasks(fullState, true);
+      handleFullList(fullState);
     } catch (thrown) {
       log('warn', 'fenceFailed', { agentUrl, reason: errors.normalize(thrown).message });
     } finally {
       fencing.delete(agentUrl);
     }
   };
-  const report = (stated: agentStatements.AgentReport): agentStatements.ReportAnswer => {
-    const { workerId, agentUrl } = stated.worker;
+  const report = (agentReport: agentStatements.AgentReport): agentStatements.ReportAnswer => {
+    const { workerId, agentUrl } = agentReport.worker;
     const known = workers.get(workerId);
     const answer = {
       epoch: options.epoch,
       stampMs: Math.floor(nowMs()),
       reportMs: workers.reportMs(),
     };
-    if (stated.acceptedEpoch > options.epoch) options.onDeposed();
-    const isFenced = stated.acceptedEpoch === options.epoch;
-    const isKnownBoot = known?.isFenced === true && known.bootId === stated.bootId;
+    if (agentReport.acceptedEpoch > options.epoch) options.onDeposed();
+    const isFenced = agentReport.acceptedEpoch === options.epoch;
+    const isKnownBoot = known?.isFenced === true && known.bootId === agentReport.bootId;
     if (!isFenced || !isKnownBoot) {
       if (known !== undefined) workers.noteUnfenced(workerId);
       void fenceAgent(agentUrl);
       return { ...answer, leaseMs: 0, wantsFull: true, acknowledged: [] };
     }
     const isFirst = known.lastReportMs === Number.NEGATIVE_INFINITY;
-    workers.enroll(stated.worker, { ...stated, isReport: true });
-    takeTasks(stated, false);
-    if (stated.isFull) takeWhole(stated);
-    if (isFirst) planSoon();
-    const acknowledged = stated.tasks
+    workers.enroll(agentReport.worker, { ...agentReport, isReport: true });
+    handleTasks(agentReport, false);
+    if (agentReport.isFull) handleFullList(agentReport);
+    if (isFirst) schedulePlanning();
+    const acknowledged = agentReport.tasks
       .filter((it) => {
         const { jobId } = it.token;
         return reportIntake.isAcknowledgeable(runtimes.get(jobId), it, !commits.isDirty(jobId));
@@ -151,5 +155,5 @@
       .map((it) => it.token);
     return { ...answer, leaseMs: workers.grantMs(workerId), wantsFull: false, acknowledged };
   };
-  return { report, fenceAgent, missTasks };
+  return { report, fenceAgent, missTasks: markMissingTasksLost };
 };
--- a/src/coordination/node/transitionLog.ts
+++ b/src/coordination/node/transitionLog.ts
@@ -1,5 +1,5 @@
 /**
- * Logs and counts the changes of a job's state.
+ * Logs and counts changes of job states.
  */
 import type * as logging from '../../base/common/logging.js';
 import type * as metrics from '../../base/common/metrics.js';
@@ -7,14 +7,14 @@
 
 /**
  * @param log - the process log
- * @param measured - the process's metrics
- * @returns a function that tells of a job before and after an event
+ * @param metricsRegistry - the process's metrics
+ * @returns a function that is called with a job before and after an event
  */
 export const createTransitionLog =
-  (log: logging.Log, measured: metrics.Metrics) =>
+  (log: logging.Log, metricsRegistry: metrics.Metrics) =>
   (before: job.JobRecord, after: job.JobRecord): void => {
     if (before.state === after.state) return;
     const { spec, attempt } = after;
     log('info', 'jobChanged', { jobId: spec.jobId, from: before.state, to: after.state, attempt });
-    measured.count('auburnlift_job_transitions_total', { to: after.state });
+    metricsRegistry.count('auburnlift_job_transitions_total', { to: after.state });
   };
--- a/src/protocol/node/test/faultyLine.ts
+++ b/src/protocol/node/test/faultyLine.ts
@@ -1,6 +1,6 @@
 /**
- * An entry's router and agents' hosts over a faulty line, on a fake clock, for tests of what callers
- * get and how often the upstreams run a request.
+ * Test harness: an entry's router and agents' hosts over a faulty network, on a fake clock. Tests
+ * check the callers' results and how often the upstreams run a request.
  */
 import * as clock from '../../../base/common/clock.js';
 import * as errors from '../../../base/common/errors.js';
@@ -14,30 +14,30 @@
 import * as requestHost from '../requestHost.js';
 import * as requestRouter from '../requestRouter.js';
 
-/** Time that an upstream holds a request. */
+/** Time that an upstream takes for a request. */
 export const SERVICE_MS = 100;
 /** Deadline of the requests. */
 export const DEADLINE_MS = 10_000;
 
-/** What the line does with the messages of one exchange, in turn; then it is sound. */
+/** Fault of one exchange; once the list of faults is used up, all exchanges succeed. */
 export type Fault =
   | 'sound'
-  /** Nothing arrives. */
+  /** The message is lost. */
   | 'silentBefore'
-  /** The agent gets it; its answer never arrives. */
+  /** The reply is lost. */
   | 'silentAfter'
   | 'cutAfter'
   | 'refusedConnection'
-  /** The agent dies while it runs it and comes back at once. */
+  /** The agent crashes while it runs the request and restarts immediately. */
   | 'restart'
-  /** The answer to another exchange arrives. */
+  /** The reply to another exchange arrives. */
   | 'swapped';
 
 interface FakeClaims extends requestClaims.RequestClaims {
   isDown: boolean;
 }
 
-const createClaims = (): FakeClaims => {
+const createFakeClaims = (): FakeClaims => {
   const held = new Map<string, { claim: requestClaims.Claim; revision: number }>();
   let revision = 0;
   const claims: FakeClaims = {
@@ -56,29 +56,29 @@
   return claims;
 };
 
-/** Entries, agents and what the upstreams ran. */
-export interface World {
+/** Entries, agents and the ids of the requests that the upstreams ran. */
+export interface Harness {
   readonly time: clock.FakeClock;
   readonly router: requestRouter.RequestRouter;
-  /** Another entry in front of the same agents and the same store. */
-  readonly other: requestRouter.RequestRouter;
+  /** Router of another entry with the same agents and the same store. */
+  readonly otherRouter: requestRouter.RequestRouter;
   readonly claims: FakeClaims;
   readonly runs: string[];
   readonly hosts: Map<string, requestHost.RequestHost>;
   readonly settles: () => number;
-  /** The agent at the address starts anew. */
+  /** Restarts the agent at the URL. */
   readonly boot: (url: string) => void;
 }
 
-/** Where the two agents listen. */
+/** URLs of the two agents. */
 export const URLS = ['http://a:1', 'http://b:1'];
 
 /**
- * @param faults - what the line does, in turn
- * @param isUpstreamLost - whether upstreams run and then lose their answers
- * @returns two entries in front of two agents
+ * @param faults - faults of the exchanges, in order
+ * @param isUpstreamLost - whether upstreams run requests and then lose their answers
+ * @returns two entries and two agents
  */
-export const createWorld = (faults: Fault[], isUpstreamLost = false): World => {
+export const createHarness = (faults: Fault[], isUpstreamLost = false): Harness => {
   const time = clock.createFakeClock(1000);
   const runs: string[] = [];
   const hosts = new Map<string, requestHost.RequestHost>();
@@ -134,7 +134,10 @@
     );
   hosts.forEach((host, url) => register(url, host));
 
-  const ask = async (request: http.HttpRequest, isSwapped: boolean): Promise<http.HttpReply> => {
+  const exchangeWithHost = async (
+    request: http.HttpRequest,
+    isSwapped: boolean,
+  ): Promise<http.HttpReply> => {
     const host = hosts.get(http.formatAddress(request.address));
     const head = JSON.parse(
       String(request.headers[exchange.REQUEST_HEADER]),
@@ -159,7 +162,7 @@
       body: isAnswer ? outcome.answer.body : Buffer.from(JSON.stringify(outcome.error)),
     };
   };
-  const never = async (request: http.HttpRequest): Promise<never> => {
+  const timeOut = async (request: http.HttpRequest): Promise<never> => {
     await sleep(request.timeoutMs);
     throw new http.HttpCallError(http.HttpFailure.timeout, 'silent');
   };
@@ -168,9 +171,9 @@
     if (fault === 'refusedConnection') {
       throw new http.HttpCallError(http.HttpFailure.notSent, 'connection refused');
     }
-    if (fault === 'silentBefore') return never(request);
-    const answer = ask(request, fault === 'swapped');
-    if (fault === 'silentAfter') return never(request);
+    if (fault === 'silentBefore') return timeOut(request);
+    const answer = exchangeWithHost(request, fault === 'swapped');
+    if (fault === 'silentAfter') return timeOut(request);
     if (fault === 'restart') {
       await sleep(SERVICE_MS / 2);
       boot(http.formatAddress(request.address));
@@ -181,7 +184,7 @@
     return reply;
   };
   let ids = 0;
-  const claims = createClaims();
+  const claims = createFakeClaims();
   const createRouter = (): requestRouter.RequestRouter =>
     requestRouter.createRequestRouter({
       claims,
@@ -206,11 +209,11 @@
       }),
       peerSecretHeaders: {},
     });
-  const [router, other] = [createRouter(), createRouter()];
+  const [router, otherRouter] = [createRouter(), createRouter()];
   return {
     time,
     router,
-    other,
+    otherRouter,
     claims,
     boot,
     runs,
@@ -220,7 +223,7 @@
 };
 
 /**
- * @param requestId - the key
+ * @param requestId - the idempotency key
  * @param isIdempotent - whether a second run does no harm
  * @returns a request
  */
@@ -238,27 +241,30 @@
   body: Buffer.from(`body of ${requestId}`),
 });
 
-/** How a request ended. */
-export interface End {
-  readonly word: string;
+/** Result of a request. */
+export interface RequestResult {
+  readonly outcome: string;
   readonly tookMs: number;
 }
 
 /**
- * @param world - where it is sent
+ * @param harness - routers and agents
  * @param request - the request
- * @returns how it ended for the caller
+ * @returns its result for the caller
  */
-export const send = async (world: World, request: requestRouter.CallerRequest): Promise<End> => {
-  const startedMs = world.time.monotonicMs();
-  const end = world.router.route(request).then(
+export const send = async (
+  harness: Harness,
+  request: requestRouter.CallerRequest,
+): Promise<RequestResult> => {
+  const startedMs = harness.time.monotonicMs();
+  const end = harness.router.route(request).then(
     (answer) => Buffer.from(answer.body).toString('utf8'),
     (thrown: unknown) => errors.normalize(thrown).kind,
   );
   let tookMs = 0;
   void end.then(() => {
-    tookMs = world.time.monotonicMs() - startedMs;
+    tookMs = harness.time.monotonicMs() - startedMs;
   });
-  await world.time.advance(DEADLINE_MS * 2);
-  return { word: await end, tookMs };
+  await harness.time.advance(DEADLINE_MS * 2);
+  return { outcome: await end, tookMs };
 };
