--- a/src/coordination/node/ledgerKeeper.ts
+++ b/src/coordination/node/ledgerKeeper.ts
@@ -129,7 +129,7 @@
   const failAsSuperseded = (): never => {
     if (!isSuperseded) options.onDeposed();
     isSuperseded = true;
-    throw errors.fail('notLeader', `a later leader writes the ledger of cell ${cell}`);
+    throw errors.fail('notLeader', `the ledger of cell ${cell} has a later keeper`);
   };
   const swap = async (
     hour: ledgerEntry.LedgerHour,
