--- a/src/bench/capacity/assumptions.ts
+++ b/src/bench/capacity/assumptions.ts
@@ -3,7 +3,7 @@
  * are recommended at each size, and assumptions of the project, each marked as such.
  */
 
-import * as workerRoster from '../../coordination/common/workerRoster.js';
+import * as workerRegistry from '../../coordination/common/workerRegistry.js';
 
 /** Where a number comes from. */
 export const Source = { given: 'given', setting: 'setting', assumed: 'assumed' } as const;
@@ -49,7 +49,7 @@
   queuedJobs: 20,
   runningJobs: 20,
   customers: 4,
-  reportMs: workerRoster.reportPeriodMs(4, 15_000),
+  reportMs: workerRegistry.reportPeriodMs(4, 15_000),
   lookMs: 1000,
   taskLeaseMs: 15_000,
   registerMs: 60_000,
@@ -69,7 +69,7 @@
   queuedJobs: 400,
   runningJobs: 264,
   customers: 52,
-  reportMs: workerRoster.reportPeriodMs(112, 60_000),
+  reportMs: workerRegistry.reportPeriodMs(112, 60_000),
   lookMs: 1000,
   taskLeaseMs: 60_000,
   registerMs: 60_000,
--- a/src/bench/jobsBaselines.ts
+++ b/src/bench/jobsBaselines.ts
@@ -3,8 +3,8 @@
  * and use the same verdict on bad workers, so that only the placement differs; neither reclaims,
  * learns run times or knows guarantees.
  */
-import * as blame from '../coordination/common/blame.js';
-import * as cellSpace from '../coordination/common/cellSpace.js';
+import * as failureAttribution from '../coordination/common/failureAttribution.js';
+import * as cellCapacity from '../coordination/common/cellCapacity.js';
 import * as gangFit from '../coordination/common/gangFit.js';
 import * as planningRound from '../coordination/common/planningRound.js';
 import type * as planTypes from '../coordination/common/planTypes.js';
@@ -19,21 +19,21 @@
 type Find = (
   round: planningRound.PlanningRound,
   record: job.JobRecord,
-) => cellSpace.GangPlan | undefined;
+) => cellCapacity.GangPlan | undefined;
 
 const openFor =
   (round: planningRound.PlanningRound, record: job.JobRecord) =>
   (worker: number): number => {
-    if (planningRound.failedOn(round, record).has(worker)) return 0;
-    return cellSpace.openOn(round.space, worker);
+    if (planningRound.excludedWorkers(round, record).has(worker)) return 0;
+    return cellCapacity.availableOn(round.capacity, worker);
   };
 
 /** The first workers in their order that hold the gang. */
 const firstFit: Find = (round, record) => {
   const { spec } = record;
   const open = openFor(round, record);
-  for (const group of cellSpace.groupsFor(round.space, spec)) {
-    const plan: cellSpace.WorkerShare[] = [];
+  for (const group of cellCapacity.groupsFor(round.capacity, spec)) {
+    const plan: cellCapacity.WorkerShare[] = [];
     let left = spec.members;
     for (const worker of group) {
       const members = Math.min(left, Math.floor(open(worker) / spec.acceleratorsPerMember));
@@ -51,7 +51,7 @@
   const endMs = round.view.nowMs + record.spec.declaredRunMs;
   const beneath = (worker: number): number =>
     endMs <= (round.backfillUntilMs[worker] ?? 0) ? open(worker) : 0;
-  return gangFit.findGang(round.space, record.spec, { open: beneath, setAside: [] });
+  return gangFit.findGangPlan(round.capacity, record.spec, { open: beneath, setAside: [] });
 };
 
 const mayBorrow = (
@@ -67,7 +67,7 @@
 const planWith =
   (find: Find, hasBackfill: boolean): Planner =>
   (view) => {
-    const verdict = blame.judge(view);
+    const verdict = failureAttribution.attributeFailures(view);
     const bad = new Set(verdict.quarantines.map((it) => it.workerId));
     const workers = view.workers.map((it) =>
       bad.has(it.workerId) ? { ...it, health: 'quarantined' as const } : it,
@@ -86,7 +86,7 @@
       if (!isClaim && ruleId === undefined) continue;
       const plan = find(round, record);
       if (plan !== undefined) {
-        planningRound.accept(round, record, plan, ruleId, 'fits');
+        planningRound.recordPlacement(round, record, plan, ruleId, 'fits');
         if (ruleId !== undefined) spareShares.note(borrowing, record, ruleId);
         continue;
       }
--- a/src/bench/jobsDriver.ts
+++ b/src/bench/jobsDriver.ts
@@ -135,7 +135,7 @@
     open -= 1;
     const ended = { ...record, state, endedAtMs: nowMs, placement: [] };
     if (record.failures.length > 0) endedFailed.push(ended);
-    estimates = runEstimates.learn(estimates, ended);
+    estimates = runEstimates.addFinishedRun(estimates, ended);
     figures.ended(ended, nowMs);
   };
   const requeue = (record: job.JobRecord, keptMs: number): void => {
@@ -237,14 +237,14 @@
       else if (record.state === job.JobState.running) finish(record, job.JobState.done);
     }
   };
-  const setHealth = (planned: planTypes.PlannedHealth, isBad: boolean): void => {
+  const setHealth = (planned: planTypes.PlannedHealthChange, isBad: boolean): void => {
     const index = workers.findIndex((it) => it.workerId === planned.workerId);
     const worker = workers[index];
     if (worker === undefined) return;
     const { autoQuarantinedSinceMs: _since, ...rest } = worker;
     workers[index] = isBad
       ? { ...rest, health: 'quarantined', autoQuarantinedSinceMs: nowMs }
-      : { ...rest, health: 'ready', blameFromMs: nowMs };
+      : { ...rest, health: 'ready', ignoreFailuresUntilMs: nowMs };
     figures.quarantined(planned.workerId, isBad);
   };
   const planNow = (): void => {
--- a/src/bench/planningBench.ts
+++ b/src/bench/planningBench.ts
@@ -2,8 +2,8 @@
  * `npm run bench -- planning`: processor time of one planning round of a pool, by its size.
  */
 import * as systemClock from '../base/node/systemClock.js';
-import * as estimateBook from '../coordination/common/pool/estimateBook.js';
-import * as jobBook from '../coordination/common/pool/jobBook.js';
+import * as runtimeEstimates from '../coordination/common/pool/runtimeEstimates.js';
+import * as jobState from '../coordination/common/pool/jobState.js';
 import * as planRound from '../coordination/common/pool/planRound.js';
 import type * as planTypes from '../coordination/common/pool/planTypes.js';
 import * as readyQueue from '../coordination/common/pool/readyQueue.js';
@@ -70,7 +70,7 @@
     memoryMb: MEMORY_MB / (runs + 1),
     accelerators: index % 2,
   };
-  const holdings = Array.from({ length: runs }, (_, run): planTypes.Holding => {
+  const holdings = Array.from({ length: runs }, (_, run): planTypes.Allocation => {
     // Every fourth run belongs to a gang that spans workers.
     const gang = run % 4 === 0 ? `gang-${Math.floor(index / RACK_SIZE)}-${run}` : undefined;
     const task = `run-${index}-${run}`;
@@ -100,7 +100,7 @@
     labels: [],
     capacity: { cpuMillicores: CORES, memoryMb: MEMORY_MB, accelerators: 8 },
     free: { cpuMillicores: CORES / (runs + 1), memoryMb: MEMORY_MB / (runs + 1), accelerators: 0 },
-    holdings,
+    allocations: holdings,
     isSuspect: false,
     placedSteps: new Map(),
   };
@@ -110,15 +110,22 @@
   const workers = Array.from({ length: size.workers }, (_, index) =>
     makeWorker(index, size.runsPerWorker),
   );
-  const queue = readyQueue.createReadyQueue(estimateBook.createEstimateBook());
+  const queue = readyQueue.createReadyQueue(runtimeEstimates.createRuntimeEstimates());
   const entries = Array.from({ length: size.waiting }, (_, index) =>
-    jobBook.createEntry(makeJob(index), 0),
+    jobState.createJobEntry(makeJob(index), 0),
   );
   queue.units(entries, 0, 0);
   const units = queue.units(entries, WAITED_MS, WAITED_MS);
   const guarantees = new Map(Array.from({ length: 52 }, (_, index) => [`customer-${index}`, 4]));
   const startedAtMs = systemClock.systemClock.monotonicMs();
-  planRound.planRound({ nowMs: WAITED_MS, workers, units, heldUp: [], guarantees, farFactor: 3 });
+  planRound.planRound({
+    nowMs: WAITED_MS,
+    workers,
+    units,
+    stragglerUnits: [],
+    guarantees,
+    remoteFactor: 3,
+  });
   return systemClock.systemClock.monotonicMs() - startedAtMs;
 };
 
--- a/src/bench/requestSimulation.ts
+++ b/src/bench/requestSimulation.ts
@@ -192,7 +192,7 @@
     };
     events.at(events.nowMs() + distanceMs(entry, agent), () => {
       entry.directory.addOutstanding(agent.url, -1);
-      entry.directory.noteAnswer(agent.url, note, events.nowMs());
+      entry.directory.recordAnswer(agent.url, note, events.nowMs());
       then();
     });
   };
--- a/src/bench/saturation/baselines.ts
+++ b/src/bench/saturation/baselines.ts
@@ -19,11 +19,11 @@
     if (placement === undefined) {
       waits.push({ unit, reason: 'no room' });
     } else {
-      gangPlacement.takeRoom(placement);
+      gangPlacement.reserveCapacity(placement);
       starts.push(placement);
     }
   }
-  return { starts, evictions: new Map(), waits, moves: [] };
+  return { starts, preemptions: new Map(), waits, relocations: [] };
 };
 
 const arrivalOf = (unit: planTypes.PlanUnit): number => unit.unit.entry.job.acceptedAtMs;
--- a/src/bench/saturation/outcomes.ts
+++ b/src/bench/saturation/outcomes.ts
@@ -40,9 +40,9 @@
 
 const owedChainMs = ({ arrival }: poolReplay.ReplayedJob, mix: mixes.Mix): number => {
   const slotsOf: jobChain.SlotsOf = (_, step) =>
-    mix.workers * poolJob.timesThatFit(mix.capacity, poolJob.roomOf(step));
+    mix.workers * poolJob.countFittingTasks(mix.capacity, poolJob.consumedResources(step));
   const workOf: jobChain.WorkOf = (_, index) => Math.max(...(arrival.workMs[index] ?? []));
-  return jobChain.owedChainMs(arrival.job, workOf, slotsOf);
+  return jobChain.longestChainInWavesMs(arrival.job, workOf, slotsOf);
 };
 
 const earnedShare = (job: poolReplay.ReplayedJob, mix: mixes.Mix): number => {
--- a/src/bench/saturation/poolReplay.ts
+++ b/src/bench/saturation/poolReplay.ts
@@ -3,16 +3,16 @@
  * planning round decide; only workers, their clocks and the callers are made up.
  */
 import * as random from '../../base/common/random.js';
-import * as estimateBook from '../../coordination/common/pool/estimateBook.js';
+import * as runtimeEstimates from '../../coordination/common/pool/runtimeEstimates.js';
 import * as gangPlacement from '../../coordination/common/pool/gangPlacement.js';
-import * as heldUpRuns from '../../coordination/common/pool/heldUpRuns.js';
-import * as jobBook from '../../coordination/common/pool/jobBook.js';
-import * as jobEnds from '../../coordination/common/pool/jobEnds.js';
+import * as stragglers from '../../coordination/common/pool/stragglers.js';
+import * as jobState from '../../coordination/common/pool/jobState.js';
+import * as jobTransitions from '../../coordination/common/pool/jobTransitions.js';
 import * as planRound from '../../coordination/common/pool/planRound.js';
 import type * as planTypes from '../../coordination/common/pool/planTypes.js';
 import * as readyQueue from '../../coordination/common/pool/readyQueue.js';
 import * as runPace from '../../coordination/common/pool/runPace.js';
-import * as workerBlame from '../../coordination/common/pool/workerBlame.js';
+import * as workerSuspicion from '../../coordination/common/pool/workerSuspicion.js';
 import * as workerTable from '../../coordination/common/pool/workerTable.js';
 import * as eventQueue from '../eventQueue.js';
 import type * as mixes from './mixes.js';
@@ -54,7 +54,7 @@
 
 interface Live {
   readonly worker: workerTable.WorkerEntry;
-  readonly run: workerTable.RunHolding;
+  readonly run: workerTable.ActiveRun;
   readonly group: Group;
   readonly startedAtMs: number;
 }
@@ -90,11 +90,11 @@
 ): ReplayResult => {
   const next = random.createRandom(seed);
   const events = eventQueue.createEventQueue();
-  const entries = new Map<string, jobBook.JobEntry>();
+  const entries = new Map<string, jobState.JobEntry>();
   const arrivalOf = new Map(arrivals.map((it) => [it.job.jobId, it]));
   const groups = new Set<Group>();
   const savedMs = new Map<string, number>();
-  const estimates = estimateBook.createEstimateBook();
+  const estimates = runtimeEstimates.createRuntimeEstimates();
   const queue = readyQueue.createReadyQueue(estimates);
   const guarantees: planTypes.Guarantees = new Map(
     Array.from({ length: mix.customers }, (_, index) => [
@@ -156,10 +156,10 @@
     const share = Math.min(1, (group.savedMs + group.doneMs) / (group.savedMs + group.workMs));
     const percent = Math.floor(100 * share);
     for (const { run } of group.members) {
-      run.first ??= { percent, atMs: nowMs };
-      if (percent > run.percent) run.movedAtMs = nowMs;
+      run.firstProgress ??= { percent, atMs: nowMs };
+      if (percent > run.percent) run.progressedAtMs = nowMs;
       run.percent = percent;
-      runPace.noteProgress(run.pace, nowMs, percent, run.step.estimatedMs);
+      runPace.recordProgress(run.pace, nowMs, percent, run.step.estimatedMs);
     }
   };
 
@@ -169,20 +169,20 @@
     const heldMs = events.nowMs() - live.startedAtMs;
     usedCoreMs += heldMs * planRound.weightInCores(run.step.resources);
     if (isLost) {
-      const lostMs = workerTable.lostByStopMs(run.step, heldMs);
+      const lostMs = workerTable.workLostByStopMs(run.step, heldMs);
       wastedCoreMs += lostMs * planRound.weightInCores(run.step.resources);
     }
     const isSaved = how === 'stopped' && run.step.isCheckpointing;
     if (isSaved) savedMs.set(run.name, group.savedMs + group.doneMs);
     const { jobId } = run.entry.job;
-    if (how === 'done' && !workerBlame.isSuspect(worker.blame, events.nowMs())) {
+    if (how === 'done' && !workerSuspicion.isSuspect(worker.suspicion, events.nowMs())) {
       const workMs = workerTable.observedWorkMs(run, events.nowMs());
-      estimateBook.noteDone(estimates, run.entry.job, run.step, workMs);
+      runtimeEstimates.recordTask(estimates, run.entry.job, run.step, workMs);
     }
-    if (how === 'done') workerBlame.noteSuccess(worker.blame);
-    if (how === 'failed') workerBlame.noteFailure(worker.blame, jobId, events.nowMs());
+    if (how === 'done') workerSuspicion.recordSuccess(worker.suspicion);
+    if (how === 'failed') workerSuspicion.recordFailure(worker.suspicion, jobId, events.nowMs());
     const wallMs = events.nowMs();
-    jobEnds.noteEnd(
+    jobTransitions.recordRunEnd(
       run.entry,
       run.task,
       { run: run.run, how, saved: isSaved ? 'saved' : '' },
@@ -210,8 +210,8 @@
     events.at(events.nowMs() + START_MS + mix.stopMs, () => endGroup(group, 'stopped', true));
   };
 
-  const stopUnwanted = (entry: jobBook.JobEntry): void => {
-    if (!jobBook.isEnded(entry)) return;
+  const stopUnwanted = (entry: jobState.JobEntry): void => {
+    if (!jobState.isEnded(entry)) return;
     for (const group of groups) {
       if (group.members[0]?.run.entry === entry) stopGroup(group);
     }
@@ -246,9 +246,9 @@
     const names = tasks.map((task) => workerTable.keysOf(entry, task).name);
     const saved = Math.max(0, ...names.map((name) => savedMs.get(name) ?? 0));
     const nowMs = events.nowMs();
-    const distanceFactor = gangPlacement.tasksAway(step, racks) > 0 ? mix.farFactor : 1;
+    const distanceFactor = gangPlacement.countRemoteTasks(step, racks) > 0 ? mix.farFactor : 1;
     const beginning = { wallMs: nowMs, distanceFactor };
-    jobBook.assign(entry, gangPlacement.assignmentsOf(placement), beginning);
+    jobState.assign(entry, gangPlacement.assignmentsOf(placement), beginning);
     const group: Group = {
       members: [],
       workMs: Math.max(1, whole - saved),
@@ -260,8 +260,8 @@
     };
     for (const task of tasks) {
       const worker = workerAt(task.agentId);
-      const run = workerTable.createRun(entry, task, workerTable.RunPhase.present, nowMs);
-      workerTable.expectWork(run, placement.unit.expectedMs);
+      const run = workerTable.createActiveRun(entry, task, workerTable.RunPhase.present, nowMs);
+      workerTable.setExpectedWork(run, placement.unit.expectedMs);
       worker.runs.set(workerTable.runKey(run.name, run.run), run);
       group.members.push({ worker, run, group, startedAtMs: nowMs });
     }
@@ -284,7 +284,7 @@
   };
 
   const move = ({ unit, groupKey }: planTypes.PlanUnit): void => {
-    jobBook.noteMove(unit.tasks);
+    jobState.recordRelocation(unit.tasks);
     stopByKey(groupKey);
   };
 
@@ -295,8 +295,8 @@
   const takeOver = (): void => {
     const nowMs = events.nowMs();
     for (const { run } of [...groups].flatMap((it) => it.members)) {
-      run.sinceMs = nowMs;
-      workerTable.countFromStart(run, estimates, { nowMs, wallMs: nowMs });
+      run.startedAtMs = nowMs;
+      workerTable.restoreStartTime(run, estimates, { nowMs, wallMs: nowMs });
     }
   };
 
@@ -304,8 +304,13 @@
     isDue = false;
     const nowMs = events.nowMs();
     if (isGap(nowMs)) return;
-    const units = queue.units(entries.values(), nowMs, nowMs, workerTable.createSlotCount(workers));
-    const heldUp = heldUpRuns.findHeldUp(workers, estimates, nowMs);
+    const units = queue.units(
+      entries.values(),
+      nowMs,
+      nowMs,
+      workerTable.createSlotCounter(workers),
+    );
+    const heldUp = stragglers.findStragglers(workers, estimates, nowMs);
     if (units.length === 0 && heldUp.length === 0) return;
     const planWorkers = workers
       .map((it) => workerTable.toPlanWorker(it, nowMs))
@@ -314,24 +319,24 @@
       nowMs,
       workers: planWorkers,
       units,
-      heldUp: queue.heldUpUnits(heldUp, nowMs, nowMs),
+      stragglerUnits: queue.stragglerUnits(heldUp, nowMs, nowMs),
       guarantees,
-      farFactor: mix.farFactor,
+      remoteFactor: mix.farFactor,
     });
     round.starts.forEach(begin);
-    for (const groupKey of round.evictions.keys()) evict(groupKey);
-    round.moves.forEach(move);
+    for (const groupKey of round.preemptions.keys()) evict(groupKey);
+    round.relocations.forEach(move);
   };
 
   for (const arrival of arrivals) {
     events.at(arrival.atMs, () => {
-      entries.set(arrival.job.jobId, jobBook.createEntry(arrival.job, arrival.atMs));
+      entries.set(arrival.job.jobId, jobState.createJobEntry(arrival.job, arrival.atMs));
       schedule();
     });
     if (Number.isFinite(arrival.cancelAtMs)) {
       events.at(arrival.cancelAtMs, () => {
         const entry = entries.get(arrival.job.jobId);
-        if (entry === undefined || !jobEnds.cancel(entry, events.nowMs())) return;
+        if (entry === undefined || !jobTransitions.cancel(entry, events.nowMs())) return;
         stopUnwanted(entry);
         schedule();
       });
--- a/src/cli/ledgerCommand.ts
+++ b/src/cli/ledgerCommand.ts
@@ -29,7 +29,7 @@
   });
 };
 
-const readBooks = async (input: Input, cell: string): Promise<ledgerReport.CellBooks> => {
+const readBooks = async (input: Input, cell: string): Promise<ledgerReport.CellLedger> => {
   const path = encodeURIComponent(cell);
   const { hours } = (await input.client.get(`/api/ledger/${path}`)) as {
     readonly hours: readonly ledgerEntry.LedgerHour[];
@@ -37,10 +37,10 @@
   const { days } = (await input.client.get(`/api/ledger-days/${path}`)) as {
     readonly days: readonly ledgerEntry.LedgerDay[];
   };
-  return ledgerReport.distinct({ cell, hours, days });
+  return ledgerReport.withoutDuplicateHours({ cell, hours, days });
 };
 
-const checkBooks = (books: readonly ledgerReport.CellBooks[]): Result => {
+const checkBooks = (books: readonly ledgerReport.CellLedger[]): Result => {
   const faults = books.flatMap((it) => ledgerCheck.checkHours(it.hours, it.days));
   const hours = books.flatMap((it) => it.hours).length;
   const days = books.flatMap((it) => it.days).length;
@@ -139,7 +139,7 @@
   },
   run: async (input) => {
     const cells = await cellQueries.cellNames(input);
-    const books: ledgerReport.CellBooks[] = [];
+    const books: ledgerReport.CellLedger[] = [];
     for (const cell of cells) books.push(await readBooks(input, cell));
     if (commandDefinition.hasFlag(input, 'check')) return checkBooks(books);
     const toMs = parseTime(input, 'to', input.nowMs);
--- a/src/coordination/common/agentDirectory.ts
+++ b/src/coordination/common/agentDirectory.ts
@@ -48,7 +48,7 @@
 }
 
 /** Load and state of the agent, sent along with an answer. */
-export interface AnswerNote {
+export interface AnswerStatus {
   readonly running: number;
   readonly queued: number;
   readonly serviceMs: number;
@@ -72,14 +72,14 @@
   readonly bootOf: (url: string, nowMs: number) => AgentBoot | undefined;
   /** Adjusts the requests in flight: 1 for one that is sent, -1 for one that has ended. */
   readonly addOutstanding: (url: string, change: 1 | -1) => void;
-  readonly noteAnswer: (url: string, note: AnswerNote, nowMs: number) => void;
+  readonly recordAnswer: (url: string, note: AnswerStatus, nowMs: number) => void;
   /** The agent has applied this version of the configuration. */
-  readonly noteVersion: (url: string, configVersion: number) => void;
-  readonly noteSuccess: (url: string, nowMs: number) => void;
+  readonly recordVersion: (url: string, configVersion: number) => void;
+  readonly recordSuccess: (url: string, nowMs: number) => void;
   /** The upstream answered with an error. */
-  readonly noteFailure: (url: string, nowMs: number, ejectionCapShare: number) => void;
+  readonly recordFailure: (url: string, nowMs: number, ejectionCapShare: number) => void;
   /** The agent did not respond. */
-  readonly noteSilence: (url: string, nowMs: number) => void;
+  readonly recordNoResponse: (url: string, nowMs: number) => void;
 }
 
 /** Period in which agents are asked to register again. */
@@ -142,7 +142,7 @@
   };
 };
 
-const withAnswer = (entry: DirectoryEntry, note: AnswerNote, nowMs: number): DirectoryEntry => {
+const withAnswer = (entry: DirectoryEntry, note: AnswerStatus, nowMs: number): DirectoryEntry => {
   const { running, queued, serviceMs, isLeaving, bootId, clockMs } = note;
   const next = renew(entry, { ...entry, bootId, clockMs }, nowMs);
   const upstream = next.upstream && { ...next.upstream, running, queued, serviceMs, isLeaving };
@@ -192,16 +192,17 @@
     },
     addOutstanding: (url, change) =>
       update(url, (it) => ({ ...it, outstanding: Math.max(0, it.outstanding + change) })),
-    noteAnswer: (url, note, nowMs) => {
+    recordAnswer: (url, note, nowMs) => {
       typicalMs = (typicalMs ?? note.serviceMs) * (1 - TYPICAL_SMOOTHING);
       typicalMs += note.serviceMs * TYPICAL_SMOOTHING;
       update(url, (it) => withAnswer(it, note, nowMs));
     },
-    noteVersion: (url, configVersion) =>
+    recordVersion: (url, configVersion) =>
       update(url, (it) => ({ ...it, configVersion: Math.max(it.configVersion, configVersion) })),
-    noteSuccess: (url, nowMs) => updateHealth(url, (it) => agentHealth.afterSuccess(it, nowMs)),
-    noteFailure: (url, nowMs, capShare) =>
+    recordSuccess: (url, nowMs) => updateHealth(url, (it) => agentHealth.afterSuccess(it, nowMs)),
+    recordFailure: (url, nowMs, capShare) =>
       updateHealth(url, (it) => agentHealth.afterFailure(it, nowMs, mayEject(nowMs, capShare))),
-    noteSilence: (url, nowMs) => updateHealth(url, (it) => agentHealth.afterSilence(it, nowMs)),
+    recordNoResponse: (url, nowMs) =>
+      updateHealth(url, (it) => agentHealth.afterNoResponse(it, nowMs)),
   };
 };
--- a/src/coordination/common/agentHealth.ts
+++ b/src/coordination/common/agentHealth.ts
@@ -8,12 +8,12 @@
 export interface AgentHealth {
   /** Smoothed fraction of failed exchanges at the time of the last one. */
   readonly errorShare: number;
-  readonly notedAtMs: number;
+  readonly updatedAtMs: number;
   readonly failuresInRow: number;
   /** No request goes there before this time. */
   readonly avoidUntilMs: number;
   /** Consecutive avoidances; each doubles the duration. */
-  readonly avoidances: number;
+  readonly consecutiveAvoidances: number;
   /** When this boot of the agent became known. */
   readonly knownSinceMs: number;
 }
@@ -45,10 +45,10 @@
  */
 export const newHealth = (nowMs: number): AgentHealth => ({
   errorShare: 0,
-  notedAtMs: nowMs,
+  updatedAtMs: nowMs,
   failuresInRow: 0,
   avoidUntilMs: 0,
-  avoidances: 0,
+  consecutiveAvoidances: 0,
   knownSinceMs: nowMs,
 });
 
@@ -56,7 +56,7 @@
 const NEGLIGIBLE_ERROR_SHARE = 0.01;
 
 const errorShareAt = (health: AgentHealth, nowMs: number): number => {
-  const share = health.errorShare * 0.5 ** ((nowMs - health.notedAtMs) / HALF_LIFE_MS);
+  const share = health.errorShare * 0.5 ** ((nowMs - health.updatedAtMs) / HALF_LIFE_MS);
   return share < NEGLIGIBLE_ERROR_SHARE ? 0 : share;
 };
 
@@ -68,14 +68,21 @@
 export const afterSuccess = (health: AgentHealth, nowMs: number): AgentHealth => ({
   ...health,
   errorShare: errorShareAt(health, nowMs) * (1 - SMOOTHING),
-  notedAtMs: nowMs,
+  updatedAtMs: nowMs,
   failuresInRow: 0,
-  avoidances: 0,
+  consecutiveAvoidances: 0,
 });
 
 const avoid = (health: AgentHealth, nowMs: number): AgentHealth => {
-  const durationMs = Math.min(LONGEST_AVOIDANCE_MS, FIRST_AVOIDANCE_MS * 2 ** health.avoidances);
-  return { ...health, avoidUntilMs: nowMs + durationMs, avoidances: health.avoidances + 1 };
+  const durationMs = Math.min(
+    LONGEST_AVOIDANCE_MS,
+    FIRST_AVOIDANCE_MS * 2 ** health.consecutiveAvoidances,
+  );
+  return {
+    ...health,
+    avoidUntilMs: nowMs + durationMs,
+    consecutiveAvoidances: health.consecutiveAvoidances + 1,
+  };
 };
 
 /**
@@ -106,7 +113,7 @@
  * @param nowMs - monotonic time
  * @returns health after a connection that failed or got no response
  */
-export const afterSilence = (health: AgentHealth, nowMs: number): AgentHealth =>
+export const afterNoResponse = (health: AgentHealth, nowMs: number): AgentHealth =>
   avoid(afterFailure(health, nowMs, false), nowMs);
 
 /**
--- a/src/coordination/common/agentTasks.ts
+++ b/src/coordination/common/agentTasks.ts
@@ -31,7 +31,7 @@
 }
 
 /** How long a stopped token is remembered: longer than any message can be in flight. */
-export const STOPPED_MEMORY_MS = 600_000;
+export const STOPPED_TOKEN_TTL_MS = 600_000;
 
 /** What the agent has to do at the worker. */
 export type AgentEffect =
@@ -60,7 +60,7 @@
  * @param accelerators - how many the worker has
  * @returns an agent that holds nothing and has accepted no epoch
  */
-export const empty = (accelerators: number): AgentTasks => ({
+export const createAgentTasks = (accelerators: number): AgentTasks => ({
   acceptedEpoch: 0,
   accelerators,
   held: new Map(),
@@ -124,7 +124,7 @@
   if (expired.length === 0 && !hasExpiredTombstones) return state;
   const held = new Map([...state.held].filter(([, it]) => !isExpiredReservation(it)));
   const stopped = new Map([...state.stopped].filter(([, untilMs]) => untilMs > nowMs));
-  for (const [key] of expired) stopped.set(key, nowMs + STOPPED_MEMORY_MS);
+  for (const [key] of expired) stopped.set(key, nowMs + STOPPED_TOKEN_TTL_MS);
   return { ...state, held, stopped };
 };
 
@@ -176,7 +176,7 @@
   const key = task.tokenKey(command.token);
   const known = state.held.get(key);
   if (known !== undefined && known.phase !== task.TaskPhase.reserved) return accept(state);
-  const stopped = new Map(state.stopped).set(key, nowMs + STOPPED_MEMORY_MS);
+  const stopped = new Map(state.stopped).set(key, nowMs + STOPPED_TOKEN_TTL_MS);
   return accept({ ...withoutHeld(state, key), stopped });
 };
 
@@ -187,7 +187,7 @@
   nowMs: number,
   reason: string,
 ): AgentStep => {
-  const stopped = new Map(state.stopped).set(key, nowMs + STOPPED_MEMORY_MS);
+  const stopped = new Map(state.stopped).set(key, nowMs + STOPPED_TOKEN_TTL_MS);
   return refuse({ ...withoutHeld(state, key), stopped }, reason);
 };
 
@@ -223,7 +223,7 @@
 
 const onStop = (state: AgentTasks, command: CommandOf<'stop'>, nowMs: number): AgentStep => {
   const key = task.tokenKey(command.token);
-  const stopped = new Map(state.stopped).set(key, nowMs + STOPPED_MEMORY_MS);
+  const stopped = new Map(state.stopped).set(key, nowMs + STOPPED_TOKEN_TTL_MS);
   const withTombstone = { ...state, stopped };
   const known = state.held.get(key);
   if (known === undefined) return gone(withTombstone);
@@ -330,7 +330,7 @@
  * @param tokens - ended tasks whose end is stored durably
  * @returns the agent without them
  */
-export const forget = (state: AgentTasks, tokens: readonly task.TaskToken[]): AgentTasks => {
+export const removeEnded = (state: AgentTasks, tokens: readonly task.TaskToken[]): AgentTasks => {
   const held = new Map(state.held);
   for (const token of tokens) {
     const key = task.tokenKey(token);
--- a/src/coordination/common/cellSpace.ts
+++ b/src/coordination/common/cellCapacity.ts
@@ -10,7 +10,7 @@
 
 /** How many members of a gang go to one worker. */
 export interface WorkerShare {
-  /** Index into {@link CellSpace.workers}. */
+  /** Index into {@link CellCapacity.workers}. */
   readonly worker: number;
   readonly members: number;
 }
@@ -29,7 +29,7 @@
 }
 
 /** Capacity of the cell, updated by the round. Arrays are indexed by worker. */
-export interface CellSpace {
+export interface CellCapacity {
   readonly workers: readonly planTypes.PlanWorker[];
   readonly indexOf: ReadonlyMap<string, number>;
   /** Worker indexes of each rack. */
@@ -83,10 +83,10 @@
  * @param placed - its jobs with an allocation
  * @returns its capacity at the start of a round
  */
-export const createCellSpace = (
+export const createCellCapacity = (
   view: planTypes.PlanView,
   placed: readonly job.JobRecord[],
-): CellSpace => {
+): CellCapacity => {
   const { workers } = view;
   const indexOf = new Map(workers.map((it, index) => [it.workerId, index]));
   const byRack = groupByRack(workers);
@@ -146,7 +146,7 @@
  * @param worker - index of a worker
  * @returns free accelerators there that are not held back
  */
-export const openOn = (capacity: CellSpace, worker: number): number =>
+export const availableOn = (capacity: CellCapacity, worker: number): number =>
   Math.max(0, (capacity.free[worker] ?? 0) - (capacity.kept[worker] ?? 0));
 
 /**
@@ -157,8 +157,8 @@
  * @param perMember - accelerators of each member
  * @returns the members' placements; every index was free, so none is allocated twice
  */
-export const takeGang = (
-  capacity: CellSpace,
+export const allocateGang = (
+  capacity: CellCapacity,
   plan: GangPlan,
   perMember: number,
 ): job.MemberPlacement[] => {
@@ -186,7 +186,7 @@
  * @returns the groups of workers that satisfy its adjacency
  */
 export const groupsFor = (
-  capacity: CellSpace,
+  capacity: CellCapacity,
   spec: job.JobSpec,
 ): readonly (readonly number[])[] => {
   if (spec.adjacency === 'rack') return capacity.racks;
--- a/src/coordination/common/claimPlanning.ts
+++ b/src/coordination/common/claimPlanning.ts
@@ -10,7 +10,7 @@
  */
 import * as job from '../../state/common/job.js';
 
-import * as cellSpace from './cellSpace.js';
+import * as cellCapacity from './cellCapacity.js';
 import * as gangFit from './gangFit.js';
 import * as planningRound from './planningRound.js';
 import * as reclaim from './reclaim.js';
@@ -41,12 +41,12 @@
 
 const useClaimable = (
   round: planningRound.PlanningRound,
-  plan: cellSpace.GangPlan,
+  plan: cellCapacity.GangPlan,
   perMember: number,
 ): void => {
   for (const { worker, members } of plan) {
-    const left = (round.space.claimable[worker] ?? 0) - members * perMember;
-    round.space.claimable[worker] = left;
+    const left = (round.capacity.claimable[worker] ?? 0) - members * perMember;
+    round.capacity.claimable[worker] = left;
   }
 };
 
@@ -63,19 +63,19 @@
 }
 
 /** Whether the other shapes fit besides the plan, in their current slots or in new ones. */
-const othersStillFit = (step: ClaimStep, plan: cellSpace.GangPlan): boolean => {
+const othersStillFit = (step: ClaimStep, plan: cellCapacity.GangPlan): boolean => {
   const per = step.record.spec.acceleratorsPerMember;
   if (plan.every((it) => it.members * per <= step.leftByOthers(it.worker))) return true;
   return planningRound.repack(step.round, step.record, plan, step.mostUnplaced);
 };
 
-const findFree = (step: ClaimStep): cellSpace.GangPlan | undefined => {
+const findFree = (step: ClaimStep): cellCapacity.GangPlan | undefined => {
   const { round, record } = step;
   for (const limit of [step.leftByOthers, step.claimable]) {
     const open = (worker: number): number =>
-      Math.min(cellSpace.openOn(round.space, worker), limit(worker));
+      Math.min(cellCapacity.availableOn(round.capacity, worker), limit(worker));
     const rules = { open, setAside: round.setAside };
-    const plan = gangFit.findGang(round.space, record.spec, rules);
+    const plan = gangFit.findGangPlan(round.capacity, record.spec, rules);
     if (plan !== undefined && othersStillFit(step, plan)) return plan;
   }
   return undefined;
@@ -89,7 +89,7 @@
 const findVictims = (step: ClaimStep): reclaim.ReclaimChoice | undefined => {
   for (const limit of [step.claimable, step.leftByOthers]) {
     const rules = { limit, canStop: () => true };
-    const choice = reclaim.chooseVictims(step.round.space, step.record.spec, rules);
+    const choice = reclaim.chooseVictims(step.round.capacity, step.record.spec, rules);
     if (choice !== undefined && othersStillFit(step, choice.plan)) return choice;
   }
   return undefined;
@@ -98,7 +98,7 @@
 const claim = (
   round: planningRound.PlanningRound,
   record: job.JobRecord,
-  plan: cellSpace.GangPlan,
+  plan: cellCapacity.GangPlan,
 ): void => {
   const shapeId = record.spec.shapeId ?? '';
   useClaimable(round, plan, record.spec.acceleratorsPerMember);
@@ -111,15 +111,19 @@
  */
 export const planClaim = (round: planningRound.PlanningRound, record: job.JobRecord): void => {
   const { spec } = record;
-  const { space: capacity } = round;
+  const { capacity } = round;
   const shapeId = spec.shapeId ?? '';
   if (isFullyClaimed(round, shapeId)) {
-    planningRound.wait(round, record, `all instances of shape ${shapeId} are already claimed`);
+    planningRound.recordWait(
+      round,
+      record,
+      `all instances of shape ${shapeId} are already claimed`,
+    );
     return;
   }
   const isOwnPlaced = round.slots.some((it) => it.shapeId === shapeId);
   const restoreSlot = releaseSlot(round, shapeId);
-  const failed = planningRound.failedOn(round, record);
+  const failed = planningRound.excludedWorkers(round, record);
   const anything = (worker: number): number =>
     failed.has(worker) ? 0 : (capacity.claimable[worker] ?? 0);
   const step: ClaimStep = {
@@ -131,24 +135,24 @@
   };
   const plan = findFree(step);
   if (plan !== undefined) {
-    planningRound.accept(round, record, plan, undefined, `claims shape ${shapeId}`);
+    planningRound.recordPlacement(round, record, plan, undefined, `claims shape ${shapeId}`);
     claim(round, record, plan);
     return;
   }
   const choice = findVictims(step);
   if (choice === undefined) {
     restoreSlot();
-    planningRound.wait(
+    planningRound.recordWait(
       round,
       record,
       `shape ${shapeId} does not fit on the ready workers together with the other guarantees`,
     );
     return;
   }
-  planningRound.makeRoom(round, choice.plan, spec.acceleratorsPerMember, choice.victims, {
+  planningRound.preemptFor(round, choice.plan, spec.acceleratorsPerMember, choice.victims, {
     cause: 'reclaimed',
     why: `reclaimed for ${spec.customerId} by job ${spec.jobId}`,
   });
   claim(round, record, choice.plan);
-  planningRound.wait(round, record, 'waits for borrowed accelerators to be returned');
+  planningRound.recordWait(round, record, 'waits for borrowed accelerators to be returned');
 };
--- a/src/coordination/common/blame.ts
+++ b/src/coordination/common/failureAttribution.ts
@@ -11,18 +11,18 @@
 import type * as planTypes from './planTypes.js';
 
 /** Failures older than this don't count against a worker. */
-export const EVIDENCE_MS = 3_600_000;
+export const MAX_AGE_MS = 3_600_000;
 
 /** Time in quarantine before a probe: long enough for a transient fault to end. */
 export const PROBE_AFTER_MS = 120_000;
 
 /** A probe that has run for this long shows that the worker is healthy again. */
-export const PROBE_GOOD_MS = 30_000;
+export const PROBE_SUCCESS_MS = 30_000;
 
 /** Workers to quarantine, release or probe according to the failures. */
-export interface BlameVerdict {
-  readonly quarantines: readonly planTypes.PlannedHealth[];
-  readonly releases: readonly planTypes.PlannedHealth[];
+export interface FailureAttribution {
+  readonly quarantines: readonly planTypes.PlannedHealthChange[];
+  readonly releases: readonly planTypes.PlannedHealthChange[];
   readonly warnings: readonly string[];
   /** Quarantined workers on which one small job may be placed as a probe. */
   readonly probeWorkerIds: ReadonlySet<string>;
@@ -39,14 +39,16 @@
   workers: readonly planTypes.PlanWorker[],
   nowMs: number,
 ): Map<string, Set<string>> => {
-  const blameFromMs = new Map(workers.map((it) => [it.workerId, it.blameFromMs ?? 0]));
+  const blameFromMs = new Map(workers.map((it) => [it.workerId, it.ignoreFailuresUntilMs ?? 0]));
   const blamed = new Map<string, Set<string>>();
   for (const record of records) {
     const [first, ...rest] = record.failures;
     if (first === undefined) continue;
     if (rest.some((it) => it.workerId !== first.workerId)) continue;
     const lastMs = Math.max(first.atMs, ...rest.map((it) => it.atMs));
-    if (nowMs - lastMs > EVIDENCE_MS || lastMs <= (blameFromMs.get(first.workerId) ?? 0)) continue;
+    if (nowMs - lastMs > MAX_AGE_MS || lastMs <= (blameFromMs.get(first.workerId) ?? 0)) {
+      continue;
+    }
     const jobIds = blamed.get(first.workerId) ?? new Set<string>();
     blamed.set(first.workerId, jobIds.add(record.spec.jobId));
   }
@@ -55,14 +57,15 @@
 
 /**
  * @param record - a job
- * @param badWorkerIds - workers that are quarantined
+ * @param quarantinedWorkerIds - workers that are quarantined
  * @returns number of distinct workers that are not quarantined and on which it failed
  */
-export const goodWorkerFailures = (
+export const countHealthyWorkerFailures = (
   record: job.JobRecord,
-  badWorkerIds: ReadonlySet<string>,
+  quarantinedWorkerIds: ReadonlySet<string>,
 ): number =>
-  new Set(record.failures.map((it) => it.workerId).filter((it) => !badWorkerIds.has(it))).size;
+  new Set(record.failures.map((it) => it.workerId).filter((it) => !quarantinedWorkerIds.has(it)))
+    .size;
 
 /** For each worker, the longest time that one of its running jobs has run there. */
 const longestRunMs = (view: planTypes.PlanView): Map<string, number> => {
@@ -93,22 +96,22 @@
  * @param view - the current state of the cell
  * @returns health changes, probes and warnings
  */
-export const judge = (view: planTypes.PlanView): BlameVerdict => {
+export const attributeFailures = (view: planTypes.PlanView): FailureAttribution => {
   const { nowMs, workers } = view;
   const { quarantineFailures, quarantineCapShare } = view.document.placement;
   const records = view.jobs
     .filter((it) => it.failures.length > 0)
     .concat(view.endedFailedJobs ?? []);
   const autoQuarantined = workers.filter((it) => it.autoQuarantinedSinceMs !== undefined);
-  if (records.length === 0 && autoQuarantined.length === 0) return NO_BLAME;
+  if (records.length === 0 && autoQuarantined.length === 0) return NO_ATTRIBUTION;
   const blamed = failuresByWorker(records, workers, nowMs);
   const longestRuns = longestRunMs(view);
-  const releases: planTypes.PlannedHealth[] = [];
+  const releases: planTypes.PlannedHealthChange[] = [];
   const probeWorkerIds = new Set<string>();
   for (const it of autoQuarantined) {
     const since = Math.max(it.autoQuarantinedSinceMs ?? 0, lastFailureMs(records, it.workerId));
     const isCleared = (blamed.get(it.workerId)?.size ?? 0) < quarantineFailures;
-    if ((longestRuns.get(it.workerId) ?? 0) >= PROBE_GOOD_MS) {
+    if ((longestRuns.get(it.workerId) ?? 0) >= PROBE_SUCCESS_MS) {
       releases.push({ workerId: it.workerId, why: 'a probe job runs on it without a failure' });
     } else if (isCleared) {
       releases.push({
@@ -118,7 +121,7 @@
     } else if (nowMs - since >= PROBE_AFTER_MS) probeWorkerIds.add(it.workerId);
   }
   const suspects = workers
-    .filter((it) => it.health === 'ready' && (longestRuns.get(it.workerId) ?? 0) < PROBE_GOOD_MS)
+    .filter((it) => it.health === 'ready' && (longestRuns.get(it.workerId) ?? 0) < PROBE_SUCCESS_MS)
     .map((it) => ({ workerId: it.workerId, failed: blamed.get(it.workerId)?.size ?? 0 }))
     .filter((it) => it.failed >= quarantineFailures)
     .sort((a, b) => b.failed - a.failed || a.workerId.localeCompare(b.workerId));
@@ -140,7 +143,7 @@
 };
 
 /** Result when no job failed and no worker is quarantined. */
-export const NO_BLAME: BlameVerdict = {
+export const NO_ATTRIBUTION: FailureAttribution = {
   quarantines: [],
   releases: [],
   warnings: [],
--- a/src/coordination/common/gangFit.ts
+++ b/src/coordination/common/gangFit.ts
@@ -7,7 +7,7 @@
  */
 import type * as job from '../../state/common/job.js';
 
-import * as cellSpace from './cellSpace.js';
+import * as cellCapacity from './cellCapacity.js';
 
 /** Capacity that one search may use. */
 export interface FitRules {
@@ -16,7 +16,7 @@
   /** Accelerators on each worker that are set aside for unclaimed guarantees. */
   readonly setAside: readonly number[];
   /** Whether `open` includes accelerators that are not free yet. */
-  readonly isAhead?: boolean;
+  readonly includesExpectedCapacity?: boolean;
 }
 
 /** Outweighs every difference in leftovers: a worker has at most 64 accelerators. */
@@ -25,7 +25,7 @@
 const LEFTOVER_COST = 1000;
 
 const costOn = (
-  capacity: cellSpace.CellSpace,
+  capacity: cellCapacity.CellCapacity,
   rules: FitRules,
   worker: number,
   need: number,
@@ -38,15 +38,15 @@
 };
 
 const fitOnWorker = (
-  capacity: cellSpace.CellSpace,
+  capacity: cellCapacity.CellCapacity,
   rules: FitRules,
   need: number,
-): cellSpace.GangPlan | undefined => {
+): cellCapacity.GangPlan | undefined => {
   let best = -1;
   let bestCost = Number.POSITIVE_INFINITY;
   for (const worker of capacity.all) {
     // Checks the free count first, since on a full cell it rules out almost every worker.
-    if (rules.isAhead !== true && (capacity.free[worker] ?? 0) < need) continue;
+    if (rules.includesExpectedCapacity !== true && (capacity.free[worker] ?? 0) < need) continue;
     const open = rules.open(worker);
     if (open < need) continue;
     const cost = costOn(capacity, rules, worker, need, open);
@@ -59,12 +59,12 @@
 };
 
 interface GroupFit {
-  readonly plan: cellSpace.WorkerShare[];
+  readonly plan: cellCapacity.WorkerShare[];
   readonly cost: number;
 }
 
 const fitInGroup = (
-  capacity: cellSpace.CellSpace,
+  capacity: cellCapacity.CellCapacity,
   rules: FitRules,
   group: readonly number[],
   spec: job.JobSpec,
@@ -73,7 +73,7 @@
   const open: { readonly worker: number; readonly size: number }[] = [];
   let memberCapacity = 0;
   for (const worker of group) {
-    if (rules.isAhead !== true && (capacity.free[worker] ?? 0) < per) continue;
+    if (rules.includesExpectedCapacity !== true && (capacity.free[worker] ?? 0) < per) continue;
     const size = rules.open(worker);
     if (size < per) continue;
     open.push({ worker, size });
@@ -87,7 +87,7 @@
       return { worker, fits, size, rank: (isSetAside ? SET_ASIDE_COST : 0) + size };
     })
     .sort((a, b) => a.rank - b.rank || a.worker - b.worker);
-  const plan: cellSpace.WorkerShare[] = [];
+  const plan: cellCapacity.WorkerShare[] = [];
   let left = members;
   let cost = 0;
   for (const it of order) {
@@ -107,17 +107,17 @@
  * @param rules - capacity that may be used
  * @returns a placement of all members, or undefined where no group of workers fits them
  */
-export const findGang = (
-  capacity: cellSpace.CellSpace,
+export const findGangPlan = (
+  capacity: cellCapacity.CellCapacity,
   spec: job.JobSpec,
   rules: FitRules,
-): cellSpace.GangPlan | undefined => {
+): cellCapacity.GangPlan | undefined => {
   if (spec.adjacency === 'worker' || spec.members === 1) {
     const plan = fitOnWorker(capacity, rules, spec.members * spec.acceleratorsPerMember);
     return plan?.map((it) => ({ ...it, members: spec.members }));
   }
   let best: GroupFit | undefined;
-  for (const group of cellSpace.groupsFor(capacity, spec)) {
+  for (const group of cellCapacity.groupsFor(capacity, spec)) {
     const fit = fitInGroup(capacity, rules, group, spec);
     if (fit !== undefined && fit.cost < (best?.cost ?? Number.POSITIVE_INFINITY)) best = fit;
   }
--- a/src/coordination/common/guaranteeCheck.ts
+++ b/src/coordination/common/guaranteeCheck.ts
@@ -13,7 +13,7 @@
 import type * as configuration from '../../state/common/configuration.js';
 import * as job from '../../state/common/job.js';
 
-import type * as cellSpace from './cellSpace.js';
+import type * as cellCapacity from './cellCapacity.js';
 
 /** One instance of a shape that no job claims. */
 export interface UnclaimedShape {
@@ -126,7 +126,7 @@
 type FitSign = 1 | -1;
 
 interface Packing {
-  readonly capacity: cellSpace.CellSpace;
+  readonly capacity: cellCapacity.CellCapacity;
   readonly perWorker: number;
   readonly sign: FitSign;
   /** Remaining accelerators of each worker. */
@@ -179,7 +179,7 @@
   return best;
 };
 
-const groupByLeft = (capacity: cellSpace.CellSpace, left: readonly number[]): number[][] => {
+const groupByLeft = (capacity: cellCapacity.CellCapacity, left: readonly number[]): number[][] => {
   const byLeft: number[][] = Array.from({ length: 1 + Math.max(0, ...left) }, () => []);
   for (const worker of capacity.all) byLeft[left[worker] ?? 0]?.push(worker);
   for (const it of byLeft) it.sort((a, b) => (capacity.free[a] ?? 0) - (capacity.free[b] ?? 0));
@@ -251,7 +251,7 @@
 };
 
 const packWith = (
-  capacity: cellSpace.CellSpace,
+  capacity: cellCapacity.CellCapacity,
   claimable: readonly number[],
   forms: readonly UnclaimedShape[],
   perWorker: number,
@@ -287,7 +287,7 @@
  * @returns an assignment; instances that could not be shown to fit are unplaced
  */
 export const packShapes = (
-  capacity: cellSpace.CellSpace,
+  capacity: cellCapacity.CellCapacity,
   claimable: readonly number[],
   forms: readonly UnclaimedShape[],
   perWorker: number,
--- a/src/coordination/common/jobSegments.ts
+++ b/src/coordination/common/jobSegments.ts
@@ -89,7 +89,7 @@
  * @param accepted - the job to be added
  * @returns whether the segment can hold it
  */
-export const hasRoom = (records: readonly job.JobRecord[], accepted: job.JobRecord): boolean =>
+export const hasCapacity = (records: readonly job.JobRecord[], accepted: job.JobRecord): boolean =>
   totalBytes(records.filter((it) => !job.isTerminal(it.state))) + bytesOf(accepted) <=
   MAX_SEGMENT_BYTES;
 
--- a/src/coordination/common/jobMachine.ts
+++ b/src/coordination/common/jobStateMachine.ts
@@ -16,7 +16,15 @@
 
 const { MemberPhase } = jobTypes;
 const { holds, indexesOf, withMember } = memberPhases;
-const { NOTHING, PERSIST, abandon, beginStop, decide, ended, settleStopping } = jobSteps;
+const {
+  NOTHING,
+  PERSIST,
+  abandon,
+  beginStop,
+  recordDecision: decide,
+  ended,
+  settleStopping,
+} = jobSteps;
 type JobRuntime = jobTypes.JobRuntime;
 type JobContext = jobTypes.JobContext;
 type JobEvent = jobTypes.JobEvent;
--- a/src/coordination/common/jobSteps.ts
+++ b/src/coordination/common/jobSteps.ts
@@ -3,7 +3,7 @@
  */
 import * as job from '../../state/common/job.js';
 
-import * as blame from './blame.js';
+import * as failureAttribution from './failureAttribution.js';
 import type * as jobTypes from './jobTypes.js';
 import * as memberPhases from './memberPhases.js';
 
@@ -25,7 +25,7 @@
  * @param why - reason, one sentence
  * @returns the job with the decision recorded
  */
-export const decide = (
+export const recordDecision = (
   record: job.JobRecord,
   context: JobContext,
   what: string,
@@ -58,12 +58,15 @@
 ): JobStep => {
   const { stopCause: _, ...rest } = record;
   const at = { ...rest, state, endedAtMs: context.nowMs, placement: [] };
-  return { next: { record: decide(at, context, state, why), members: [] }, effects: PERSIST };
+  return {
+    next: { record: recordDecision(at, context, state, why), members: [] },
+    effects: PERSIST,
+  };
 };
 
 const requeue = (record: job.JobRecord, context: JobContext, why: string): JobStep => ({
   next: {
-    record: decide(withoutPlacement(record, job.JobState.queued), context, 'requeued', why),
+    record: recordDecision(withoutPlacement(record, job.JobState.queued), context, 'requeued', why),
     members: [],
   },
   effects: PERSIST,
@@ -90,7 +93,10 @@
   if (cause === job.StopCause.cancelled) {
     return ended(record, job.JobState.cancelled, context, 'cancelled on request');
   }
-  const failedOn = blame.goodWorkerFailures(record, context.badWorkerIds);
+  const failedOn = failureAttribution.countHealthyWorkerFailures(
+    record,
+    context.quarantinedWorkerIds,
+  );
   if (cause === job.StopCause.memberFailed && failedOn >= context.unrunnableFailures) {
     const why = `failed on ${failedOn} different healthy workers`;
     return ended(record, job.JobState.unrunnable, context, why);
@@ -131,7 +137,7 @@
   cause: job.StopCause,
   why: string,
 ): JobStep => {
-  const record = decide(
+  const record = recordDecision(
     { ...runtime.record, state: job.JobState.stopping, stopCause: cause },
     context,
     'stopping',
--- a/src/coordination/common/jobTypes.ts
+++ b/src/coordination/common/jobTypes.ts
@@ -33,7 +33,7 @@
   /** Distinct healthy workers on which a job must fail before it becomes unrunnable. */
   readonly unrunnableFailures: number;
   /** Quarantined workers: failures there don't count against a job. */
-  readonly badWorkerIds: ReadonlySet<string>;
+  readonly quarantinedWorkerIds: ReadonlySet<string>;
   readonly reclaimGraceMs: number;
 }
 
--- a/src/coordination/common/ledgerHoldings.ts
+++ b/src/coordination/common/ledgerAllocations.ts
@@ -12,7 +12,7 @@
 import type * as worker from '../../state/common/worker.js';
 
 /** Capacity and health of a worker, as input of the ledger. */
-export interface BookWorker {
+export interface LedgerWorker {
   readonly workerId: string;
   readonly accelerators: number;
   readonly health: worker.WorkerHealth;
@@ -22,8 +22,8 @@
 export type Heading = Omit<ledgerEntry.LedgerEntry, 'acceleratorMs'>;
 
 /** State of a cell at one instant. */
-export interface Holdings {
-  readonly workers: readonly BookWorker[];
+export interface CellAllocations {
+  readonly workers: readonly LedgerWorker[];
   readonly jobs: readonly job.JobRecord[];
   readonly configVersion: number;
   /** Configured capacity of the cell; that of the workers where undefined. */
@@ -31,14 +31,14 @@
 }
 
 /** Accelerators under one heading. */
-export interface Held {
+export interface HeadingAllocation {
   readonly heading: Heading;
   readonly accelerators: number;
 }
 
 /** All accelerators of a cell by heading. */
-export interface Count {
-  readonly held: ReadonlyMap<string, Held>;
+export interface AllocationCount {
+  readonly byHeading: ReadonlyMap<string, HeadingAllocation>;
   readonly capacity: number;
   /** Accelerators allocated to two jobs; the second allocation is not counted. */
   readonly conflicts: number;
@@ -112,8 +112,8 @@
  * @param holdings - state of the cell at one instant
  * @returns accelerators by heading; they add up to the capacity
  */
-export const countHoldings = (holdings: Holdings): Count => {
-  const held = new Map<string, Held>();
+export const countAllocations = (holdings: CellAllocations): AllocationCount => {
+  const held = new Map<string, HeadingAllocation>();
   const add = (heading: Heading, accelerators: number): void => {
     if (accelerators === 0) return;
     const versioned = { ...heading, configVersion: holdings.configVersion };
@@ -140,18 +140,18 @@
   }
   const capacity = Math.max(present, holdings.configuredAccelerators ?? present + lost);
   add(unallocated(job.HoldReason.unreachable), capacity - present);
-  return { held, capacity, conflicts };
+  return { byHeading: held, capacity, conflicts };
 };
 
 /**
  * @param record - the active configuration, if any
  * @param cell - availability zone
- * @returns the configured capacity of the cell, as a part of {@link Holdings}
+ * @returns the configured capacity of the cell, as a part of {@link CellAllocations}
  */
 export const configuredCapacity = (
   record: configuration.ConfigurationRecord | undefined,
   cell: string,
-): Pick<Holdings, 'configuredAccelerators'> => {
+): Pick<CellAllocations, 'configuredAccelerators'> => {
   const found = record?.document.cells.find((it) => it.cell === cell);
   if (found === undefined) return {};
   return { configuredAccelerators: found.workers * found.acceleratorsPerWorker };
@@ -164,7 +164,7 @@
  * @param record - a job with an allocation
  * @returns time of its allocation, as far as is known from its record
  */
-export const heldSinceMs = (record: job.JobRecord): number => {
+export const allocatedSinceMs = (record: job.JobRecord): number => {
   const placed = record.decisions.filter((it) => it.what === PLACED).at(-1);
   return placed?.atMs ?? record.startedAtMs ?? 0;
 };
@@ -177,8 +177,11 @@
  * @param atMs - an instant without a leader
  * @returns the state at that instant
  */
-export const unwitnessed = (holdings: Holdings, atMs: number): Holdings => ({
+export const unobservedAllocations = (
+  holdings: CellAllocations,
+  atMs: number,
+): CellAllocations => ({
   ...holdings,
   workers: holdings.workers.map((it) => ({ ...it, health: 'unreachable' })),
-  jobs: holdings.jobs.filter((it) => heldSinceMs(it) <= atMs),
+  jobs: holdings.jobs.filter((it) => allocatedSinceMs(it) <= atMs),
 });
--- a/src/coordination/common/ledgerCheck.ts
+++ b/src/coordination/common/ledgerCheck.ts
@@ -4,7 +4,7 @@
  */
 import * as ledgerEntry from '../../state/common/ledgerEntry.js';
 
-import * as ledgerBook from './ledgerBook.js';
+import * as ledgerHours from './ledgerHours.js';
 
 /** Kinds of inconsistency of an hour. */
 export const LedgerFaultKind = {
@@ -48,7 +48,7 @@
     0,
   );
   const startMs = hour.hour * ledgerEntry.HOUR_MS;
-  add(LedgerFaultKind.imbalance, ledgerBook.imbalanceOf(hour));
+  add(LedgerFaultKind.imbalance, ledgerHours.imbalanceOf(hour));
   add(LedgerFaultKind.capacityMismatch, hour.capacityAcceleratorMs - countedAcceleratorMs);
   add(LedgerFaultKind.outside, countedMs - bookedMs);
   add(LedgerFaultKind.outside, Math.max(0, startMs - hour.bookedFromMs));
--- a/src/coordination/common/ledgerBook.ts
+++ b/src/coordination/common/ledgerHours.ts
@@ -4,7 +4,7 @@
  */
 import * as ledgerEntry from '../../state/common/ledgerEntry.js';
 
-import * as ledgerHoldings from './ledgerHoldings.js';
+import * as ledgerAllocations from './ledgerAllocations.js';
 
 /** An hour being recorded, with its entries by heading so that adding a span is cheap. */
 export interface OpenHour extends Omit<ledgerEntry.LedgerHour, 'entries'> {
@@ -12,7 +12,7 @@
 }
 
 /** Hours being recorded, by hour. */
-export type Book = ReadonlyMap<number, OpenHour>;
+export type OpenHours = ReadonlyMap<number, OpenHour>;
 
 /**
  * @param hour - an hour being recorded
@@ -29,7 +29,7 @@
  */
 export const fromRecord = (record: ledgerEntry.LedgerHour): OpenHour => ({
   ...record,
-  entries: new Map(record.entries.map((it) => [ledgerHoldings.headingKey(it), it])),
+  entries: new Map(record.entries.map((it) => [ledgerAllocations.headingKey(it), it])),
 });
 
 /**
@@ -40,7 +40,7 @@
 export const MAX_ENTRIES = 1600;
 
 /** A time span during which the allocations did not change. */
-export interface Span extends ledgerHoldings.Holdings {
+export interface Span extends ledgerAllocations.CellAllocations {
   readonly cell: string;
   readonly epoch: number;
   readonly fromMs: number;
@@ -53,7 +53,7 @@
  */
 export const hourOf = (atMs: number): number => Math.floor(atMs / ledgerEntry.HOUR_MS);
 
-const fold = (heading: ledgerHoldings.Heading): ledgerHoldings.Heading => ({
+const fold = (heading: ledgerAllocations.Heading): ledgerAllocations.Heading => ({
   ...heading,
   jobId: heading.jobId === '' ? '' : ledgerEntry.FOLDED_JOB,
   attempt: 0,
@@ -66,12 +66,12 @@
  */
 const addEntry = (
   entries: Map<string, ledgerEntry.LedgerEntry>,
-  heading: ledgerHoldings.Heading,
+  heading: ledgerAllocations.Heading,
   acceleratorMs: number,
 ): void => {
-  const isFull = entries.size >= MAX_ENTRIES && !entries.has(ledgerHoldings.headingKey(heading));
+  const isFull = entries.size >= MAX_ENTRIES && !entries.has(ledgerAllocations.headingKey(heading));
   const target = isFull ? fold(heading) : heading;
-  const key = ledgerHoldings.headingKey(target);
+  const key = ledgerAllocations.headingKey(target);
   const before = entries.get(key)?.acceleratorMs ?? 0;
   entries.set(key, { ...target, acceleratorMs: before + acceleratorMs });
 };
@@ -100,9 +100,13 @@
   return [...others, { accelerators, durationMs: known + durationMs }];
 };
 
-const addSpan = (hour: OpenHour, count: ledgerHoldings.Count, spanMs: number): OpenHour => {
+const addSpan = (
+  hour: OpenHour,
+  count: ledgerAllocations.AllocationCount,
+  spanMs: number,
+): OpenHour => {
   const entries = new Map(hour.entries);
-  for (const { heading, accelerators } of count.held.values()) {
+  for (const { heading, accelerators } of count.byHeading.values()) {
     addEntry(entries, heading, accelerators * spanMs);
   }
   return {
@@ -143,9 +147,9 @@
  * @param span - wall time and the allocations throughout it
  * @returns the hours including the span, split at full hours
  */
-export const bookSpan = (book: Book, span: Span): Book => {
+export const recordSpan = (book: OpenHours, span: Span): OpenHours => {
   const next = new Map(book);
-  const count = ledgerHoldings.countHoldings(span);
+  const count = ledgerAllocations.countAllocations(span);
   let fromMs = Math.round(span.fromMs);
   const toMs = Math.round(span.toMs);
   while (fromMs < toMs) {
@@ -166,15 +170,20 @@
  * @param span - the time, with the store's state at its end
  * @returns the hours including that time
  */
-export const bookUnwitnessed = (book: Book, span: Span): Book => {
+export const recordUnobserved = (book: OpenHours, span: Span): OpenHours => {
   const starts = span.jobs
-    .map(ledgerHoldings.heldSinceMs)
+    .map(ledgerAllocations.allocatedSinceMs)
     .filter((it) => it > span.fromMs && it < span.toMs);
   const edges = [...new Set([span.fromMs, ...starts, span.toMs])].sort((a, b) => a - b);
   let next = book;
   edges.slice(1).forEach((toMs, index) => {
     const fromMs = edges[index] ?? span.fromMs;
-    next = bookSpan(next, { ...span, ...ledgerHoldings.unwitnessed(span, fromMs), fromMs, toMs });
+    next = recordSpan(next, {
+      ...span,
+      ...ledgerAllocations.unobservedAllocations(span, fromMs),
+      fromMs,
+      toMs,
+    });
   });
   return next;
 };
--- a/src/coordination/common/ledgerReport.ts
+++ b/src/coordination/common/ledgerReport.ts
@@ -4,7 +4,7 @@
 import * as ledgerEntry from '../../state/common/ledgerEntry.js';
 
 /** Stored ledger of one cell: recent hours and older days. */
-export interface CellBooks {
+export interface CellLedger {
   readonly cell: string;
   readonly hours: readonly ledgerEntry.LedgerHour[];
   readonly days: readonly ledgerEntry.LedgerDay[];
@@ -41,7 +41,7 @@
  * @param books - the ledger as read from the store
  * @returns the ledger with each hour once
  */
-export const distinct = (books: CellBooks): CellBooks => {
+export const withoutDuplicateHours = (books: CellLedger): CellLedger => {
   const rolled = new Set(books.days.flatMap((it) => it.hours.map(({ hour }) => hour)));
   return { ...books, hours: books.hours.filter((it) => !rolled.has(it.hour)) };
 };
@@ -51,8 +51,8 @@
  * @param filter - selects the rows
  * @returns the rows, days first
  */
-export const rowsOf = (books: CellBooks, filter: LedgerFilter): readonly LedgerRow[] => {
-  const { cell, days, hours } = distinct(books);
+export const rowsOf = (books: CellLedger, filter: LedgerFilter): readonly LedgerRow[] => {
+  const { cell, days, hours } = withoutDuplicateHours(books);
   const periods = [
     ...days.map((it) => ({ fromMs: it.day * DAY_MS, periodMs: DAY_MS, entries: it.entries })),
     ...hours.map(({ hour, entries }) => ({
--- a/src/coordination/common/memberOutcome.ts
+++ b/src/coordination/common/memberOutcome.ts
@@ -1,10 +1,10 @@
 /** Maps the outcome of a command to the leader's action. Pure, like the mapping of reports. */
 import * as job from '../../state/common/job.js';
 
-import type * as jobMachine from './jobMachine.js';
+import type * as jobStateMachine from './jobStateMachine.js';
 
 /** An effect that sends a command to the agent of one member. */
-export type MemberEffect = Exclude<jobMachine.JobEffect, { type: 'persist' | 'commit' }>;
+export type MemberEffect = Exclude<jobStateMachine.JobEffect, { type: 'persist' | 'commit' }>;
 
 /** Outcome of a command; undefined where there was no answer. */
 export type CommandOutcome =
@@ -17,15 +17,15 @@
   | undefined;
 
 /** Action of the leader on an outcome. */
-export type OutcomeReading =
+export type OutcomeAction =
   | { readonly type: 'nothing' }
   | { readonly type: 'resend' }
-  | { readonly type: 'event'; readonly event: jobMachine.JobEvent };
+  | { readonly type: 'event'; readonly event: jobStateMachine.JobEvent };
 
-const NOTHING: OutcomeReading = { type: 'nothing' };
+const NOTHING: OutcomeAction = { type: 'nothing' };
 
 /** The answer ends a member that never ran; one that runs ends when its agent reports it. */
-const afterStop = (member: number, outcome: Exclude<CommandOutcome, undefined>): OutcomeReading => {
+const afterStop = (member: number, outcome: Exclude<CommandOutcome, undefined>): OutcomeAction => {
   if (!outcome.isAccepted) return { type: 'resend' };
   return outcome.isGone
     ? { type: 'event', event: { type: 'memberStopped', member, checkpointMs: 0 } }
@@ -37,7 +37,7 @@
  * @param outcome - its outcome
  * @returns the leader's action; an unanswered start or stop is resent, as both are idempotent
  */
-export const readOutcome = (effect: MemberEffect, outcome: CommandOutcome): OutcomeReading => {
+export const interpretOutcome = (effect: MemberEffect, outcome: CommandOutcome): OutcomeAction => {
   const { member } = effect;
   const reason = outcome?.reason ?? 'no response from the agent';
   if (effect.type === 'release') return NOTHING;
@@ -59,8 +59,8 @@
  * @param effect - the command
  * @returns whether the command still applies to the job
  */
-export const isStillWanted = (
-  runtime: jobMachine.JobRuntime | undefined,
+export const stillApplies = (
+  runtime: jobStateMachine.JobRuntime | undefined,
   attempt: number,
   effect: MemberEffect,
 ): boolean => {
--- a/src/coordination/common/placement.ts
+++ b/src/coordination/common/placement.ts
@@ -3,7 +3,7 @@
  * reclaim theirs, and quarantines or releases workers. Pure: a snapshot of the cell goes in, a plan
  * comes out.
  */
-import * as blame from './blame.js';
+import * as failureAttribution from './failureAttribution.js';
 import * as claimPlanning from './claimPlanning.js';
 import * as planningRound from './planningRound.js';
 import type * as planTypes from './planTypes.js';
@@ -11,7 +11,7 @@
 
 const withoutQuarantined = (
   view: planTypes.PlanView,
-  quarantines: readonly planTypes.PlannedHealth[],
+  quarantines: readonly planTypes.PlannedHealthChange[],
 ): planTypes.PlanView => {
   if (quarantines.length === 0) return view;
   const ids = new Set(quarantines.map((it) => it.workerId));
@@ -29,7 +29,7 @@
  * @returns what to place, what to stop, and why the other jobs wait
  */
 export const planRound = (view: planTypes.PlanView): planTypes.Plan => {
-  const verdict = blame.judge(view);
+  const verdict = failureAttribution.attributeFailures(view);
   const round = planningRound.beginRound(withoutQuarantined(view, verdict.quarantines));
   for (const record of round.queuedClaims) claimPlanning.planClaim(round, record);
   sparePlanning.planSpare(round, verdict.probeWorkerIds);
--- a/src/coordination/common/planTypes.ts
+++ b/src/coordination/common/planTypes.ts
@@ -17,7 +17,7 @@
   /** Set while the worker is quarantined by the planner and not by an operator. */
   readonly autoQuarantinedSinceMs?: number;
   /** Failures before this time don't count: the worker was released after them. */
-  readonly blameFromMs?: number;
+  readonly ignoreFailuresUntilMs?: number;
 }
 
 /** Input of a planning round. */
@@ -57,7 +57,7 @@
 }
 
 /** A worker to be quarantined or released. */
-export interface PlannedHealth {
+export interface PlannedHealthChange {
   readonly workerId: string;
   readonly why: string;
 }
@@ -67,8 +67,8 @@
   readonly placements: readonly PlannedPlacement[];
   readonly stops: readonly PlannedStop[];
   readonly waits: readonly PlannedWait[];
-  readonly quarantines: readonly PlannedHealth[];
-  readonly releases: readonly PlannedHealth[];
+  readonly quarantines: readonly PlannedHealthChange[];
+  readonly releases: readonly PlannedHealthChange[];
   /** Warnings for operators, such as guarantees that can't be met now. */
   readonly warnings: readonly string[];
 }
--- a/src/coordination/common/planningRound.ts
+++ b/src/coordination/common/planningRound.ts
@@ -3,7 +3,7 @@
  */
 import * as job from '../../state/common/job.js';
 
-import * as cellSpace from './cellSpace.js';
+import * as cellCapacity from './cellCapacity.js';
 import * as guaranteeCheck from './guaranteeCheck.js';
 import type * as planTypes from './planTypes.js';
 import * as runEstimates from './runEstimates.js';
@@ -17,7 +17,7 @@
   readonly queuedSpare: readonly job.JobRecord[];
   /** Jobs with an allocation. */
   readonly placed: readonly job.JobRecord[];
-  readonly space: cellSpace.CellSpace;
+  readonly capacity: cellCapacity.CellCapacity;
   readonly estimates: runEstimates.RunEstimates;
   /** Claimed instances by shape, including those of this round. */
   readonly claims: Map<string, number>;
@@ -30,13 +30,13 @@
   /** Time by which a backfilled job that can't yield must end, by worker. */
   readonly backfillUntilMs: number[];
   /** Expected start times of the reservations of this round. */
-  readonly reservedAtMs: number[];
+  readonly reservationStartsMs: number[];
   readonly placements: planTypes.PlannedPlacement[];
   readonly stops: planTypes.PlannedStop[];
   readonly waits: planTypes.PlannedWait[];
   readonly warnings: string[];
   /** Accelerators allocated to each customer's jobs. */
-  readonly heldBy: Map<string, number>;
+  readonly allocatedByCustomer: Map<string, number>;
 }
 
 const allocatedByCustomer = (jobs: readonly job.JobRecord[]): Map<string, number> => {
@@ -82,7 +82,7 @@
  */
 export const beginRound = (view: planTypes.PlanView): PlanningRound => {
   const { queuedClaims, queuedSpare, placed } = splitJobs(view.jobs);
-  const capacity = cellSpace.createCellSpace(view, placed);
+  const capacity = cellCapacity.createCellCapacity(view, placed);
   const claims = guaranteeCheck.countClaims(placed);
   const forms = guaranteeCheck.unclaimedShapes(view.document, view.cell, claims);
   const cell = view.document.cells.find((it) => it.cell === view.cell);
@@ -93,7 +93,7 @@
     queuedClaims,
     queuedSpare,
     placed,
-    space: capacity,
+    capacity,
     estimates: view.estimates ?? runEstimates.NO_ESTIMATES,
     claims,
     setAside: [...packing.setAside],
@@ -101,12 +101,12 @@
     unplaced: [...packing.unplaced],
     clearable: capacity.all.map(() => 0),
     backfillUntilMs: capacity.all.map(() => Number.POSITIVE_INFINITY),
-    reservedAtMs: [],
+    reservationStartsMs: [],
     placements: [],
     stops: [],
     waits: [],
     warnings: infeasibleWarnings(packing.unplaced),
-    heldBy: allocatedByCustomer(placed),
+    allocatedByCustomer: allocatedByCustomer(placed),
   };
 };
 
@@ -123,13 +123,13 @@
 export const repack = (
   round: PlanningRound,
   record: job.JobRecord,
-  plan: cellSpace.GangPlan,
+  plan: cellCapacity.GangPlan,
   mostUnplaced: number,
 ): boolean => {
   const { document, cell } = round.view;
   const shapeId = record.spec.shapeId ?? '';
   const claims = new Map(round.claims).set(shapeId, (round.claims.get(shapeId) ?? 0) + 1);
-  const claimable = [...round.space.claimable];
+  const claimable = [...round.capacity.claimable];
   for (const { worker, members } of plan) {
     const left = (claimable[worker] ?? 0) - members * record.spec.acceleratorsPerMember;
     if (left < 0) return false;
@@ -137,7 +137,7 @@
   }
   const forms = guaranteeCheck.unclaimedShapes(document, cell, claims);
   const perWorker = document.cells.find((it) => it.cell === cell)?.acceleratorsPerWorker ?? 1;
-  const packing = guaranteeCheck.packShapes(round.space, claimable, forms, perWorker);
+  const packing = guaranteeCheck.packShapes(round.capacity, claimable, forms, perWorker);
   if (packing.unplaced.length > mostUnplaced) return false;
   round.setAside.splice(0, round.setAside.length, ...packing.setAside);
   round.slots.splice(0, round.slots.length, ...packing.slots);
@@ -152,17 +152,17 @@
  * @param ruleId - the spare rule under which it borrows
  * @param why - human-readable reason
  */
-export const accept = (
+export const recordPlacement = (
   round: PlanningRound,
   record: job.JobRecord,
-  plan: cellSpace.GangPlan,
+  plan: cellCapacity.GangPlan,
   ruleId: string | undefined,
   why: string,
 ): void => {
   const { spec } = record;
-  const placement = cellSpace.takeGang(round.space, plan, spec.acceleratorsPerMember);
-  const held = round.heldBy.get(spec.customerId) ?? 0;
-  round.heldBy.set(spec.customerId, held + job.acceleratorsOf(record));
+  const placement = cellCapacity.allocateGang(round.capacity, plan, spec.acceleratorsPerMember);
+  const held = round.allocatedByCustomer.get(spec.customerId) ?? 0;
+  round.allocatedByCustomer.set(spec.customerId, held + job.acceleratorsOf(record));
   round.placements.push({ jobId: spec.jobId, placement, ruleId, why });
 };
 
@@ -171,7 +171,7 @@
  * @param record - a job that stays queued
  * @param why - human-readable reason
  */
-export const wait = (round: PlanningRound, record: job.JobRecord, why: string): void => {
+export const recordWait = (round: PlanningRound, record: job.JobRecord, why: string): void => {
   round.waits.push({ jobId: record.spec.jobId, why });
 };
 
@@ -184,11 +184,11 @@
  * @param victims - preemption victims
  * @param stop - cause and reason
  */
-export const makeRoom = (
+export const preemptFor = (
   round: PlanningRound,
-  plan: cellSpace.GangPlan,
+  plan: cellCapacity.GangPlan,
   perMember: number,
-  victims: readonly cellSpace.Borrower[],
+  victims: readonly cellCapacity.Borrower[],
   stop: Omit<planTypes.PlannedStop, 'jobId'>,
 ): void => {
   for (const victim of victims) {
@@ -196,7 +196,7 @@
     round.stops.push({ jobId: victim.record.spec.jobId, ...stop });
   }
   for (const { worker, members } of plan) {
-    round.space.kept[worker] = (round.space.kept[worker] ?? 0) + members * perMember;
+    round.capacity.kept[worker] = (round.capacity.kept[worker] ?? 0) + members * perMember;
   }
 };
 
@@ -208,10 +208,10 @@
   spec: job.JobSpec,
   excluded: ReadonlySet<number>,
 ): boolean =>
-  cellSpace.groupsFor(round.space, spec).some((group) => {
+  cellCapacity.groupsFor(round.capacity, spec).some((group) => {
     let memberCapacity = 0;
     for (const worker of group) {
-      const it = round.space.workers[worker];
+      const it = round.capacity.workers[worker];
       if (it?.health !== 'ready' || excluded.has(worker)) continue;
       memberCapacity += Math.floor(it.accelerators / spec.acceleratorsPerMember);
     }
@@ -228,11 +228,16 @@
  * @returns indexes of the workers on which it failed, to be excluded; where too few others remain
  *   to hold it, the workers of its oldest failures are allowed again first
  */
-export const failedOn = (round: PlanningRound, record: job.JobRecord): ReadonlySet<number> => {
+export const excludedWorkers = (
+  round: PlanningRound,
+  record: job.JobRecord,
+): ReadonlySet<number> => {
   if (record.failures.length === 0) return NO_WORKERS;
   const workerIds = [...new Set(record.failures.map((it) => it.workerId))];
   for (let from = 0; from < workerIds.length; from += 1) {
-    const excluded = new Set(workerIds.slice(from).map((it) => round.space.indexOf.get(it) ?? -1));
+    const excluded = new Set(
+      workerIds.slice(from).map((it) => round.capacity.indexOf.get(it) ?? -1),
+    );
     if (couldFit(round, record.spec, excluded)) return excluded;
   }
   return NO_WORKERS;
--- a/src/coordination/common/pool/claimHeadroom.ts
+++ b/src/coordination/common/pool/claimHeadroom.ts
@@ -24,12 +24,12 @@
     placement: planTypes.Placement,
     localGroups: gangPlacement.CandidateGroups,
   ) => planTypes.Placement | undefined;
-  readonly noteStart: (placement: planTypes.Placement) => void;
+  readonly recordStart: (placement: planTypes.Placement) => void;
 }
 
 /** A claim can take the entire worker without loss: it is idle, or all that runs there checkpoints. */
 const isReclaimableWithoutLoss = (worker: planTypes.PlanWorker): boolean => {
-  const preemptible = worker.holdings.filter((it) => it.priority > 0 && it.isCheckpointing);
+  const preemptible = worker.allocations.filter((it) => it.priority > 0 && it.isCheckpointing);
   const reclaimable = preemptible.reduce(
     (sum, it) => sum + it.room.accelerators,
     worker.free.accelerators,
@@ -66,7 +66,7 @@
       const others = localGroups.map((its) => its.filter((it) => !isReclaimable(it)));
       return gangPlacement.placeNow(others, placement.unit);
     },
-    noteStart: ({ unit, workers: its }) => {
+    recordStart: ({ unit, workers: its }) => {
       if (unit.unit.step.isCheckpointing) return;
       for (const { workerId } of its) reclaimableIds.delete(workerId);
     },
--- a/src/coordination/common/pool/lateOrders.ts
+++ b/src/coordination/common/pool/delayedOrders.ts
@@ -4,10 +4,10 @@
  */
 
 /** A worker carries out an order within this time, or never. */
-export const MAX_LATE_MS = 12_000;
+export const MAX_ORDER_DELAY_MS = 12_000;
 
 /** Both clocks of the leader, read at the same instant. */
-export interface Now {
+export interface ClockReadings {
   readonly monotonicMs: number;
   /** Unix milliseconds. */
   readonly wallMs: number;
@@ -20,5 +20,5 @@
  * @param now - the leader's clocks
  * @returns the same instant on this leader's monotonic clock
  */
-export const toOwnClock = (lateUntilWallMs: number, now: Now): number =>
-  now.monotonicMs + Math.min(MAX_LATE_MS, Math.max(0, lateUntilWallMs - now.wallMs));
+export const toMonotonicMs = (lateUntilWallMs: number, now: ClockReadings): number =>
+  now.monotonicMs + Math.min(MAX_ORDER_DELAY_MS, Math.max(0, lateUntilWallMs - now.wallMs));
--- a/src/coordination/common/pool/endLedger.ts
+++ b/src/coordination/common/pool/endTracker.ts
@@ -4,7 +4,7 @@
  */
 
 /** The run ends that one worker incarnation has reported. */
-export interface EndLedger {
+export interface EndTracker {
   /** @param sequence - an end that is being stored; ends are added in ascending order */
   readonly add: (sequence: number) => void;
   /**
@@ -17,7 +17,7 @@
 /**
  * @returns a tracker without ends
  */
-export const createEndLedger = (): EndLedger => {
+export const createEndTracker = (): EndTracker => {
   const open = new Set<number>();
   let highest = 0;
   return {
--- a/src/coordination/common/pool/roomToCome.ts
+++ b/src/coordination/common/pool/futurePlacement.ts
@@ -10,7 +10,7 @@
 const TERMINATION_MS = 400;
 
 /** Cost of ending or awaiting a run; `undefined` where that must not be done. */
-export type CostOf = (allocation: planTypes.Holding) => number | undefined;
+export type CostOf = (allocation: planTypes.Allocation) => number | undefined;
 
 /** A placement of a unit with the groups that have to end first. */
 export interface FuturePlacement {
@@ -38,7 +38,7 @@
 /** A run with its worker. */
 interface PlacedRun {
   readonly worker: planTypes.PlanWorker;
-  readonly allocation: planTypes.Holding;
+  readonly allocation: planTypes.Allocation;
 }
 
 /** Runs by the key of their group; all runs of a group end together. */
@@ -54,7 +54,7 @@
 export const indexRuns = (workers: readonly planTypes.PlanWorker[]): RunsByGroup => {
   const runs = new Map<string, PlacedRun[]>();
   for (const worker of workers) {
-    for (const allocation of worker.holdings) {
+    for (const allocation of worker.allocations) {
       const its = runs.get(allocation.groupKey);
       if (its === undefined) runs.set(allocation.groupKey, [{ worker, allocation }]);
       else its.push({ worker, allocation });
@@ -112,20 +112,20 @@
   let free = draft.free.get(worker.workerId) ?? worker.free;
   const groupKeys: string[] = [];
   let cost = 0;
-  const candidates = worker.holdings
+  const candidates = worker.allocations
     .filter((it) => !draft.leaving.has(it.groupKey) && it.stepKey !== unit.stepKey)
     .map((allocation) => ({ allocation, cost: costOfGroup(allocation.groupKey) }))
     .filter((it) => Number.isFinite(it.cost))
     .sort((a, b) => a.cost - b.cost);
   for (const it of candidates) {
-    if (poolJob.timesThatFit(free, unit.room) > 0) break;
+    if (poolJob.countFittingTasks(free, unit.room) > 0) break;
     free = poolJob.addResources(free, it.allocation.room);
     if (!groupKeys.includes(it.allocation.groupKey)) {
       groupKeys.push(it.allocation.groupKey);
       cost += it.cost;
     }
   }
-  return poolJob.timesThatFit(free, unit.room) > 0 ? { groupKeys, cost } : undefined;
+  return poolJob.countFittingTasks(free, unit.room) > 0 ? { groupKeys, cost } : undefined;
 };
 
 const releaseGroups = (
@@ -196,7 +196,7 @@
  * @param costOfGroup - cost of each group
  * @returns the placement of the lowest cost, or undefined where there is none
  */
-export const findRoomToCome = (
+export const findFuturePlacement = (
   runs: RunsByGroup,
   groups: gangPlacement.CandidateGroups,
   unit: planTypes.PlanUnit,
--- a/src/coordination/common/pool/gangPlacement.ts
+++ b/src/coordination/common/pool/gangPlacement.ts
@@ -6,7 +6,7 @@
  * leave no worker entirely free, and the large ones wait for the last of them to end.
  */
 import * as poolJob from '../../../state/common/pool/poolJob.js';
-import type * as jobBook from './jobBook.js';
+import type * as jobState from './jobState.js';
 import type * as planTypes from './planTypes.js';
 
 /** Capacity left on a worker as a share of its total, summed over the kinds of resources. */
@@ -25,7 +25,7 @@
 };
 
 const countOfStep = (worker: planTypes.PlanWorker, stepKey: string): number =>
-  worker.holdings.filter((it) => it.stepKey === stepKey).length +
+  worker.allocations.filter((it) => it.stepKey === stepKey).length +
   (worker.placedSteps.get(stepKey) ?? 0);
 
 /**
@@ -50,11 +50,11 @@
   if (worker.service !== entry.job.policy.service) return false;
   if (step.requiredLabel !== undefined && !worker.labels.includes(step.requiredLabel)) return false;
   if (unit.ticketsByWorker?.has(worker.workerId) === false) return false;
-  return poolJob.timesThatFit(worker.capacity, unit.room) > 0;
+  return poolJob.countFittingTasks(worker.capacity, unit.room) > 0;
 };
 
 const slotsOn = (worker: planTypes.PlanWorker, unit: planTypes.PlanUnit): number =>
-  Math.min(poolJob.timesThatFit(worker.free, unit.room), spreadLimit(worker, unit));
+  Math.min(poolJob.countFittingTasks(worker.free, unit.room), spreadLimit(worker, unit));
 
 /** Fills the workers first that are left with the least free capacity. */
 const fill = (
@@ -80,9 +80,9 @@
 /** Where a unit may be placed. */
 export interface Candidates {
   /** Local: single racks, where a rack is preferred or a gang asks for one; otherwise all usable workers. */
-  readonly near: CandidateGroups;
+  readonly localGroups: CandidateGroups;
   /** Remote: where it takes several times as long; empty where locality does not matter. */
-  readonly far: CandidateGroups;
+  readonly remoteGroups: CandidateGroups;
 }
 
 const byRack = (workers: readonly planTypes.PlanWorker[]): Map<string, planTypes.PlanWorker[]> => {
@@ -101,7 +101,9 @@
 ): boolean => {
   const { maxPerWorker } = unit.unit.step;
   const limit = maxPerWorker === 0 ? Number.MAX_SAFE_INTEGER : maxPerWorker;
-  const slots = workers.map((it) => Math.min(limit, poolJob.timesThatFit(it.capacity, unit.room)));
+  const slots = workers.map((it) =>
+    Math.min(limit, poolJob.countFittingTasks(it.capacity, unit.room)),
+  );
   return slots.reduce((sum, count) => sum + Math.min(count, 1e6), 0) >= unit.unit.tasks.length;
 };
 
@@ -116,7 +118,7 @@
 ): Candidates => {
   const { step, tasks } = unit.unit;
   const suitable = workers.filter((worker) => isSuitable(worker, unit));
-  const avoided = new Set(tasks.flatMap((task) => task.avoid));
+  const avoided = new Set(tasks.flatMap((task) => task.avoidedWorkerIds));
   const healthy = suitable.filter((worker) => !worker.isSuspect);
   const untried = healthy.filter((worker) => !avoided.has(worker.workerId));
   // A unit that failed on every worker may use them all again, since the fault is then its own.
@@ -131,9 +133,9 @@
     })
     .map(([, its]) => its);
   const hasLocalityPreference = needsOneRack || step.preferredRack !== undefined;
-  if (!hasLocalityPreference) return { near: [usable], far: [] };
+  if (!hasLocalityPreference) return { localGroups: [usable], remoteGroups: [] };
   const oneRack = needsOneRack ? racks.map(([, its]) => its) : [];
-  return { near: localGroups, far: [...oneRack, usable] };
+  return { localGroups, remoteGroups: [...oneRack, usable] };
 };
 
 /**
@@ -171,7 +173,10 @@
  * @param racks - the rack of each of them
  * @returns how many are remote from their data, or in a gang that should use one rack and does not
  */
-export const tasksAway = (step: poolJob.Step, racks: readonly (string | undefined)[]): number => {
+export const countRemoteTasks = (
+  step: poolJob.Step,
+  racks: readonly (string | undefined)[],
+): number => {
   const { preferredRack, isSameRack, isGang } = step;
   if (preferredRack !== undefined) return racks.filter((it) => it !== preferredRack).length;
   return isSameRack && isGang && new Set(racks).size > 1 ? racks.length : 0;
@@ -181,7 +186,7 @@
  * @param placement - a placement
  * @returns the worker of each task of its unit
  */
-export const assignmentsOf = ({ unit, workers }: planTypes.Placement): jobBook.Assignment[] =>
+export const assignmentsOf = ({ unit, workers }: planTypes.Placement): jobState.Assignment[] =>
   unit.unit.tasks.map((task, index) => {
     const { workerId, incarnationMs, agentId } = workers[index] as planTypes.PlanWorker;
     return { task, workerId, incarnationMs, agentId };
@@ -192,7 +197,7 @@
  *
  * @param placement - a placement
  */
-export const takeRoom = (placement: planTypes.Placement): void => {
+export const reserveCapacity = (placement: planTypes.Placement): void => {
   const { room, stepKey } = placement.unit;
   for (const worker of placement.workers) {
     worker.free = poolJob.addResources(worker.free, room, -1);
--- a/src/coordination/common/pool/jobChain.ts
+++ b/src/coordination/common/pool/jobChain.ts
@@ -7,7 +7,7 @@
 export type SlotsOf = (service: string, step: poolJob.Step) => number;
 
 /** Unlimited slots, for a pool of unknown or unlimited capacity. */
-export const endlessRoom: SlotsOf = () => Infinity;
+export const unlimitedSlots: SlotsOf = () => Infinity;
 
 /** Share of the slots that a step may take; a wider one is granted the time of several waves. */
 const WAVE_SHARE = 0.25;
@@ -49,7 +49,11 @@
  * @param slotsOf - the pool's slots
  * @returns its longest chain with each step counted once per wave; the objective is based on it
  */
-export const owedChainMs = (job: poolJob.PoolJob, workOf: WorkOf, slotsOf: SlotsOf): number =>
+export const longestChainInWavesMs = (
+  job: poolJob.PoolJob,
+  workOf: WorkOf,
+  slotsOf: SlotsOf,
+): number =>
   longestChainMs(job, (step, index) => workOf(step, index) * wavesOf(job, step, slotsOf));
 
 /**
--- a/src/coordination/common/pool/jobOutcome.ts
+++ b/src/coordination/common/pool/jobOutcome.ts
@@ -2,7 +2,7 @@
  * Outcome of a job that has ended, for metrics and the log: its duration, objective and timeliness.
  */
 import type * as poolJob from '../../../state/common/pool/poolJob.js';
-import * as jobBook from './jobBook.js';
+import * as jobState from './jobState.js';
 import * as jobChain from './jobChain.js';
 
 /** A job's duration compared with its objective. */
@@ -38,8 +38,8 @@
  * @param occurrence - one of its occurrences
  * @returns Unix milliseconds of its acceptance or due time, from which its duration is measured
  */
-export const countedFromMs = (job: poolJob.PoolJob, occurrence: number): number =>
-  job.schedule === undefined ? job.acceptedAtMs : jobBook.dueAtMs(job, occurrence);
+export const releaseTimeMs = (job: poolJob.PoolJob, occurrence: number): number =>
+  job.schedule === undefined ? job.acceptedAtMs : jobState.dueAtMs(job, occurrence);
 
 const timelinessOf = (durationMs: number, objectiveMs: number): Timeliness => {
   if (durationMs <= objectiveMs) return Timeliness.inTime;
@@ -48,7 +48,7 @@
 
 /** The objective is based on the observed work, or on the declared work where none was observed. */
 const observedWork =
-  (entry: jobBook.JobEntry, occurrence: number): jobChain.WorkOf =>
+  (entry: jobState.JobEntry, occurrence: number): jobChain.WorkOf =>
   (step, index) => {
     const tasks = entry.occurrences[occurrence]?.[index] ?? [];
     const longestMs = Math.max(0, ...tasks.map((it) => it.workMs));
@@ -60,18 +60,18 @@
  * @param slotsOf - the pool's slots
  * @returns its outcome
  */
-export const outcomeOf = (entry: jobBook.JobEntry, slotsOf: jobChain.SlotsOf): JobOutcome => {
+export const outcomeOf = (entry: jobState.JobEntry, slotsOf: jobChain.SlotsOf): JobOutcome => {
   const { job } = entry;
-  const occurrence = jobBook.occurrencesOf(job) - 1;
-  const durationMs = entry.endedAtMs - countedFromMs(job, occurrence);
+  const occurrence = jobState.occurrenceCount(job) - 1;
+  const durationMs = entry.endedAtMs - releaseTimeMs(job, occurrence);
   const workOf = observedWork(entry, occurrence);
-  const chainMs = Math.round(jobChain.owedChainMs(job, workOf, slotsOf));
+  const chainMs = Math.round(jobChain.longestChainInWavesMs(job, workOf, slotsOf));
   const objectiveMs = Math.round(jobChain.objectiveMs(job, chainMs));
   return {
     durationMs,
     chainMs,
     objectiveMs,
     timeliness: timelinessOf(durationMs, objectiveMs),
-    extraRuns: jobBook.tasksOf(entry).reduce((sum, task) => sum + Math.max(0, task.run - 1), 0),
+    extraRuns: jobState.tasksOf(entry).reduce((sum, task) => sum + Math.max(0, task.run - 1), 0),
   };
 };
--- a/src/coordination/common/pool/jobRegistry.ts
+++ b/src/coordination/common/pool/jobRegistry.ts
@@ -6,7 +6,7 @@
 import * as poolKeys from '../../../state/common/pool/poolKeys.js';
 import * as progressRecord from '../../../state/common/pool/progressRecord.js';
 import type * as store from '../../../state/common/store.js';
-import * as jobBook from './jobBook.js';
+import * as jobState from './jobState.js';
 
 /** What a store record changed. */
 export const RecordEffect = {
@@ -21,11 +21,11 @@
 
 /** The jobs that the leader knows. */
 export interface JobRegistry {
-  readonly get: (jobId: string) => jobBook.JobEntry | undefined;
-  readonly all: () => Iterable<jobBook.JobEntry>;
+  readonly get: (jobId: string) => jobState.JobEntry | undefined;
+  readonly all: () => Iterable<jobState.JobEntry>;
   /** Applies a job or its cancellation, which may arrive before the job. */
-  readonly takeRecord: (record: store.StoreEntry, nowMs: number) => RecordEffect;
-  readonly takeProgress: (record: store.StoreEntry) => void;
+  readonly applyRecord: (record: store.StoreEntry, nowMs: number) => RecordEffect;
+  readonly applyProgress: (record: store.StoreEntry) => void;
   readonly remove: (jobId: string) => boolean;
   /** Number of jobs by queue of which no task has started. */
   readonly pendingByQueue: () => Record<string, number>;
@@ -36,7 +36,7 @@
  * @returns a registry without jobs
  */
 export const createJobRegistry = (log: logging.Log): JobRegistry => {
-  const jobs = new Map<string, jobBook.JobEntry>();
+  const jobs = new Map<string, jobState.JobEntry>();
   const cancelled = new Set<string>();
 
   const parse = <T>(record: store.StoreEntry, decode: (text: string) => T): T | undefined => {
@@ -53,7 +53,7 @@
     if (jobs.has(jobId)) return RecordEffect.none;
     const job = parse(record, (text) => JSON.parse(text) as poolJob.PoolJob);
     if (job === undefined) return RecordEffect.none;
-    const entry = jobBook.createEntry(job, nowMs);
+    const entry = jobState.createJobEntry(job, nowMs);
     entry.isCancelled = cancelled.has(jobId);
     jobs.set(jobId, entry);
     return RecordEffect.submitted;
@@ -70,17 +70,17 @@
   return {
     get: (jobId) => jobs.get(jobId),
     all: () => jobs.values(),
-    takeRecord: (record, nowMs) => {
+    applyRecord: (record, nowMs) => {
       const key = poolKeys.parseJobKey(record.key);
       if (key === undefined) return RecordEffect.none;
       if (key.part === poolKeys.JobPart.spec) return submit(record, key.jobId, nowMs);
       return key.part === poolKeys.JobPart.cancel ? cancel(key.jobId) : RecordEffect.none;
     },
-    takeProgress: (record) => {
+    applyProgress: (record) => {
       const entry = jobs.get(record.key.slice(poolKeys.PROGRESS.length));
       const progress = parse(record, progressRecord.decodeProgress);
       if (entry === undefined || progress === undefined) return;
-      jobBook.restore(entry, progress, record.revision);
+      jobState.restoreProgress(entry, progress, record.revision);
     },
     remove: (jobId) => {
       cancelled.delete(jobId);
--- a/src/coordination/common/pool/jobBook.ts
+++ b/src/coordination/common/pool/jobState.ts
@@ -24,9 +24,9 @@
   /** Leader's clock before which it is not started again. */
   notBeforeMs: number;
   /** Workers on which it failed, stalled or straggled; its next run avoids them where possible. */
-  avoid: string[];
+  avoidedWorkerIds: string[];
   /** How often it was restarted on another worker because it was a straggler. */
-  moves: number;
+  relocations: number;
   /** Unix milliseconds at which its run was assigned; 0 where unknown. */
   startedAtWallMs: number;
   /** Factor by which its run takes longer than with local data; 0 where unknown. */
@@ -51,7 +51,7 @@
   /** Revision of the progress record in the store; 0 where there is none. */
   progressRevision: number;
   /** Leader's clock when it discovered the job. */
-  readonly learntAtMs: number;
+  readonly discoveredAtMs: number;
   /** How often a run of it was preempted. */
   preemptions: number;
 }
@@ -79,8 +79,8 @@
   saved: '',
   refusals: 0,
   notBeforeMs: 0,
-  avoid: [],
-  moves: 0,
+  avoidedWorkerIds: [],
+  relocations: 0,
   startedAtWallMs: 0,
   distanceFactor: 0,
   workMs: 0,
@@ -97,7 +97,7 @@
  * @param job - a job
  * @returns the number of its occurrences; 1 without a schedule
  */
-export const occurrencesOf = (job: poolJob.PoolJob): number => job.schedule?.occurrences ?? 1;
+export const occurrenceCount = (job: poolJob.PoolJob): number => job.schedule?.occurrences ?? 1;
 
 /**
  * @param job - a job
@@ -114,7 +114,7 @@
  * @param wallMs - Unix milliseconds now
  */
 export const addDueOccurrences = (entry: JobEntry, wallMs: number): void => {
-  const total = occurrencesOf(entry.job);
+  const total = occurrenceCount(entry.job);
   for (let next = entry.occurrences.length; next < total; next += 1) {
     if (dueAtMs(entry.job, next) > wallMs) return;
     entry.occurrences.push(newOccurrence(entry.job, next));
@@ -126,7 +126,7 @@
  * @param nowMs - the leader's clock
  * @returns the job without progress; its tasks are added at once unless it has a schedule
  */
-export const createEntry = (job: poolJob.PoolJob, nowMs: number): JobEntry => {
+export const createJobEntry = (job: poolJob.PoolJob, nowMs: number): JobEntry => {
   const entry: JobEntry = {
     job,
     state: poolJob.PoolJobState.queued,
@@ -134,7 +134,7 @@
     endedAtMs: 0,
     occurrences: [],
     progressRevision: 0,
-    learntAtMs: nowMs,
+    discoveredAtMs: nowMs,
     preemptions: 0,
   };
   if (job.schedule === undefined) addDueOccurrences(entry, 0);
@@ -162,7 +162,7 @@
  * @param record - its progress
  * @param revision - revision of the record in the store
  */
-export const restore = (
+export const restoreProgress = (
   entry: JobEntry,
   record: progressRecord.ProgressRecord,
   revision: number,
@@ -184,7 +184,7 @@
  * @param entry - a job
  * @returns its progress as it is stored
  */
-export const toRecord = (entry: JobEntry): progressRecord.ProgressRecord => ({
+export const toProgressRecord = (entry: JobEntry): progressRecord.ProgressRecord => ({
   state: entry.state,
   endedAtMs: entry.endedAtMs,
   tasks: tasksOf(entry).filter((task) => task.run > 0 || task.phase !== 'waiting'),
@@ -203,7 +203,7 @@
  * @param tasks - tasks of a step, or of a job
  * @returns whether all of them are done
  */
-export const isStepDone = (tasks: readonly TaskEntry[]): boolean =>
+export const areTasksDone = (tasks: readonly TaskEntry[]): boolean =>
   tasks.every((task) => task.phase === progressRecord.TaskPhase.done);
 
 const isWaiting = (task: TaskEntry): boolean => task.phase === progressRecord.TaskPhase.waiting;
@@ -233,7 +233,7 @@
  * @param task - the task
  * @param nowMs - the leader's clock
  */
-export const noteRefusal = (task: TaskEntry, nowMs: number): void => {
+export const recordRefusal = (task: TaskEntry, nowMs: number): void => {
   task.notBeforeMs =
     nowMs + Math.min(MAX_REFUSAL_BACKOFF_MS, FIRST_REFUSAL_BACKOFF_MS * 2 ** task.refusals);
   task.refusals += 1;
@@ -244,10 +244,10 @@
  *
  * @param tasks - a gang, or one task
  */
-export const noteMove = (tasks: readonly TaskEntry[]): void => {
+export const recordRelocation = (tasks: readonly TaskEntry[]): void => {
   for (const task of tasks) {
-    task.moves += 1;
-    task.avoid.push(task.workerId);
+    task.relocations += 1;
+    task.avoidedWorkerIds.push(task.workerId);
   }
 };
 
@@ -259,7 +259,7 @@
   if (isEnded(entry) || entry.isCancelled) return [];
   return entry.occurrences.flatMap((steps, occurrence) =>
     entry.job.steps.flatMap((step, stepIndex) => {
-      const isReady = step.after.every((before) => isStepDone(steps[before] ?? []));
+      const isReady = step.after.every((before) => areTasksDone(steps[before] ?? []));
       return isReady ? readyOfStep(entry, occurrence, stepIndex, step) : [];
     }),
   );
@@ -284,7 +284,7 @@
 }
 
 /** Start of a run; 0 where a value is unknown. */
-export interface Beginning {
+export interface RunStart {
   /** Unix milliseconds. */
   readonly wallMs: number;
   /** Factor by which the run takes longer than with local data. */
@@ -302,7 +302,7 @@
 export const assign = (
   entry: JobEntry,
   assignments: readonly Assignment[],
-  start: Beginning = { wallMs: 0, distanceFactor: 0 },
+  start: RunStart = { wallMs: 0, distanceFactor: 0 },
 ): void => {
   const run = 1 + Math.max(...assignments.map(({ task }) => task.run));
   const saved = assignments.map(({ task }) => task.saved).find((it) => it !== '') ?? '';
--- a/src/coordination/common/pool/jobEnds.ts
+++ b/src/coordination/common/pool/jobTransitions.ts
@@ -4,26 +4,26 @@
 import * as poolJob from '../../../state/common/pool/poolJob.js';
 import type * as poolWorker from '../../../state/common/pool/poolWorker.js';
 import * as progressRecord from '../../../state/common/pool/progressRecord.js';
-import * as jobBook from './jobBook.js';
+import * as jobState from './jobState.js';
 
-const updateJobState = (entry: jobBook.JobEntry, wallMs: number): void => {
-  if (jobBook.isEnded(entry)) return;
-  const tasks = jobBook.tasksOf(entry);
+const updateJobState = (entry: jobState.JobEntry, wallMs: number): void => {
+  if (jobState.isEnded(entry)) return;
+  const tasks = jobState.tasksOf(entry);
   if (tasks.some((task) => task.phase === progressRecord.TaskPhase.failed)) {
     entry.state = poolJob.PoolJobState.failed;
     entry.endedAtMs = wallMs;
     return;
   }
-  const hasAllOccurrences = entry.occurrences.length === jobBook.occurrencesOf(entry.job);
-  if (hasAllOccurrences && jobBook.isStepDone(tasks)) {
+  const hasAllOccurrences = entry.occurrences.length === jobState.occurrenceCount(entry.job);
+  if (hasAllOccurrences && jobState.areTasksDone(tasks)) {
     entry.state = poolJob.PoolJobState.complete;
     entry.endedAtMs = wallMs;
   }
 };
 
 const countFailure = (
-  entry: jobBook.JobEntry,
-  group: readonly jobBook.TaskEntry[],
+  entry: jobState.JobEntry,
+  group: readonly jobState.TaskEntry[],
   run: number,
 ): void => {
   const isLongRunning = entry.job.steps[group[0]?.step ?? 0]?.isLongRunning === true;
@@ -56,15 +56,15 @@
  * @param wallMs - Unix milliseconds now
  * @returns whether the job changed
  */
-export const noteEnd = (
-  entry: jobBook.JobEntry,
-  task: jobBook.TaskEntry,
+export const recordRunEnd = (
+  entry: jobState.JobEntry,
+  task: jobState.TaskEntry,
   outcome: RunOutcome,
   wallMs: number,
 ): boolean => {
   const isCurrentRun = task.phase === progressRecord.TaskPhase.assigned && task.run === outcome.run;
   if (!isCurrentRun) return false;
-  const group = jobBook.groupOf(entry, task);
+  const group = jobState.groupOf(entry, task);
   if (outcome.saved !== '') for (const member of group) member.saved = outcome.saved;
   const step = entry.job.steps[task.step];
   if (outcome.how === 'done' && step?.isLongRunning !== true) {
@@ -74,8 +74,8 @@
   } else {
     if (outcome.how === 'failed') {
       countFailure(entry, group, outcome.run);
-      if (task.workerId !== '' && !task.avoid.includes(task.workerId)) {
-        task.avoid.push(task.workerId);
+      if (task.workerId !== '' && !task.avoidedWorkerIds.includes(task.workerId)) {
+        task.avoidedWorkerIds.push(task.workerId);
       }
     }
     if (task.phase === progressRecord.TaskPhase.assigned) {
@@ -96,9 +96,9 @@
  * @param wallMs - Unix milliseconds now
  * @returns whether the job changed
  */
-export const noteEarlierDone = (
-  entry: jobBook.JobEntry,
-  task: jobBook.TaskEntry,
+export const recordEarlierRunDone = (
+  entry: jobState.JobEntry,
+  task: jobState.TaskEntry,
   { run, how }: RunOutcome,
   wallMs: number,
 ): boolean => {
@@ -107,7 +107,7 @@
     task.phase === progressRecord.TaskPhase.waiting ||
     (task.phase === progressRecord.TaskPhase.assigned && run < task.run);
   if (how !== 'done' || !isUnfinished || isLongRunning || task.earlierDoneRun > 0) return false;
-  for (const member of jobBook.groupOf(entry, task)) {
+  for (const member of jobState.groupOf(entry, task)) {
     member.earlierDoneRun = run;
     const { waiting, done } = progressRecord.TaskPhase;
     if (member.phase === waiting) member.phase = done;
@@ -123,9 +123,9 @@
  * @param wallMs - Unix milliseconds now
  * @returns whether the job changed
  */
-export const cancel = (entry: jobBook.JobEntry, wallMs: number): boolean => {
+export const cancel = (entry: jobState.JobEntry, wallMs: number): boolean => {
   entry.isCancelled = true;
-  if (jobBook.isEnded(entry)) return false;
+  if (jobState.isEnded(entry)) return false;
   entry.state = poolJob.PoolJobState.cancelled;
   entry.endedAtMs = wallMs;
   return true;
--- a/src/coordination/common/pool/leaseClock.ts
+++ b/src/coordination/common/pool/leaseClock.ts
@@ -31,12 +31,12 @@
  * @param untilMs - end of a lease on the worker's clock
  * @returns the leader's time by which the lease has certainly expired
  */
-export const lapsedBy = (sample: ClockSample, untilMs: number): number =>
+export const expiredByMs = (sample: ClockSample, untilMs: number): number =>
   sample.atMs + Math.max(0, untilMs - sample.clockMs) / SLOWEST_WORKER_CLOCK + KILL_MS;
 
 /**
  * @param maxLeaseMs - the longest lease that a worker grants
  * @returns time after a takeover until all leases of the previous leader have certainly expired
  */
-export const formerLeasesLapseMs = (maxLeaseMs: number): number =>
+export const previousLeasesExpiryMs = (maxLeaseMs: number): number =>
   maxLeaseMs / SLOWEST_WORKER_CLOCK + KILL_MS;
--- a/src/coordination/common/pool/placeChoice.ts
+++ b/src/coordination/common/pool/localityChoice.ts
@@ -6,22 +6,22 @@
  */
 import * as gangPlacement from './gangPlacement.js';
 import type * as planTypes from './planTypes.js';
-import * as roomToCome from './roomToCome.js';
+import * as futurePlacement from './futurePlacement.js';
 
 /** Inputs of the choice. */
-export interface PlaceChoiceInput {
+export interface LocalityChoiceInput {
   readonly workers: readonly planTypes.PlanWorker[];
-  readonly runs: roomToCome.RunsByGroup;
+  readonly runs: futurePlacement.RunsByGroup;
   /** Cost of waiting until a group has ended by itself. */
-  readonly waitCosts: roomToCome.CostOfGroup;
+  readonly waitCosts: futurePlacement.CostOfGroup;
   /** Factor by which a task takes longer remote from its data or rack. */
-  readonly farFactor: number;
+  readonly remoteFactor: number;
 }
 
 /** Locality decisions of one round. */
-export interface PlaceChoice {
+export interface LocalityChoice {
   /** Groups of workers local to a unit's data or rack. */
-  readonly nearOf: (unit: planTypes.PlanUnit) => gangPlacement.CandidateGroups;
+  readonly localGroupsOf: (unit: planTypes.PlanUnit) => gangPlacement.CandidateGroups;
   /** Groups of workers on which it waits for capacity. */
   readonly groupsOf: (unit: planTypes.PlanUnit) => gangPlacement.CandidateGroups;
   /** A placement on capacity that is free now. */
@@ -43,27 +43,27 @@
  * @param input - inputs of the choice
  * @returns the choice; each unit is decided once, by the free capacity at that time
  */
-export const createPlaceChoice = (input: PlaceChoiceInput): PlaceChoice => {
-  const { workers, runs, waitCosts, farFactor: remoteFactor } = input;
+export const createLocalityChoice = (input: LocalityChoiceInput): LocalityChoice => {
+  const { workers, runs, waitCosts, remoteFactor } = input;
   const candidatesOf = memoizeByUnit((unit) => gangPlacement.candidateGroups(workers, unit));
 
   const isRemoteFaster = memoizeByUnit((unit) => {
-    const { near: localGroups, far: remoteGroups } = candidatesOf(unit);
+    const { localGroups, remoteGroups } = candidatesOf(unit);
     if (remoteGroups.length === 0) return false;
     const slowdownMs = (remoteFactor - 1) * unit.expectedMs;
     if (localGroups.length === 0 || unit.waitedMs >= slowdownMs) return true;
-    const future = roomToCome.findRoomToCome(runs, localGroups, unit, waitCosts);
-    return future === undefined || roomToCome.longestWaitMs(runs, future.leaving) > slowdownMs;
+    const future = futurePlacement.findFuturePlacement(runs, localGroups, unit, waitCosts);
+    return future === undefined || futurePlacement.longestWaitMs(runs, future.leaving) > slowdownMs;
   });
 
   return {
-    nearOf: (unit) => candidatesOf(unit).near,
+    localGroupsOf: (unit) => candidatesOf(unit).localGroups,
     groupsOf: (unit) => {
-      const { near: localGroups, far: remoteGroups } = candidatesOf(unit);
+      const { localGroups, remoteGroups } = candidatesOf(unit);
       return isRemoteFaster(unit) ? [...localGroups, ...remoteGroups] : localGroups;
     },
     findNow: (unit) => {
-      const { near: localGroups, far: remoteGroups } = candidatesOf(unit);
+      const { localGroups, remoteGroups } = candidatesOf(unit);
       const placement = gangPlacement.placeNow(localGroups, unit);
       if (placement !== undefined || !isRemoteFaster(unit)) return placement;
       return gangPlacement.placeNow(remoteGroups, unit);
--- a/src/coordination/common/pool/planRound.ts
+++ b/src/coordination/common/pool/planRound.ts
@@ -9,9 +9,9 @@
 import * as poolJob from '../../../state/common/pool/poolJob.js';
 import * as claimHeadroom from './claimHeadroom.js';
 import * as gangPlacement from './gangPlacement.js';
-import * as placeChoice from './placeChoice.js';
+import * as localityChoice from './localityChoice.js';
 import type * as planTypes from './planTypes.js';
-import * as roomToCome from './roomToCome.js';
+import * as futurePlacement from './futurePlacement.js';
 
 /** Concurrent reservations; each one takes workers from all units behind it. */
 const MAX_RESERVATIONS = 2;
@@ -20,7 +20,7 @@
 const RESERVE_AFTER_MS = 1500;
 
 /** Longest time for which units without value to the caller go last: their callers still want them done. */
-const MAX_SET_BACK_MS = 30_000;
+const MAX_DEPRIORITIZED_MS = 30_000;
 
 /** Urgent work beyond its guarantee preempts others that lose at most this multiple of its own work. */
 const MAX_LOSS_SHARE = 1;
@@ -44,10 +44,10 @@
   readonly workers: readonly planTypes.PlanWorker[];
   readonly units: readonly planTypes.PlanUnit[];
   /** Stragglers: running groups that would be late where they are and in time on other workers. */
-  readonly heldUp: readonly planTypes.HeldUpUnit[];
+  readonly stragglerUnits: readonly planTypes.StragglerUnit[];
   readonly guarantees: planTypes.Guarantees;
   /** Factor by which a task takes longer remote from its data or rack. */
-  readonly farFactor: number;
+  readonly remoteFactor: number;
 }
 
 /**
@@ -58,16 +58,16 @@
   resources.cpuMillicores / 1000 + CORES_PER_ACCELERATOR * resources.accelerators;
 
 /** Loss by preempting a run for urgent work of priority 0; undefined where it must not be preempted. */
-const lossOf: roomToCome.CostOf = (allocation) =>
+const lossOf: futurePlacement.CostOf = (allocation) =>
   allocation.priority > 0 && !allocation.isProtected
     ? (1 + allocation.unsavedMs) * weightInCores(allocation.room)
     : undefined;
 
 /** The same for work beyond its guarantee: spares jobs that were preempted too often already. */
-const preemptLossOf: roomToCome.CostOf = (allocation) =>
+const preemptLossOf: futurePlacement.CostOf = (allocation) =>
   allocation.preemptions < MAX_PREEMPTIONS ? lossOf(allocation) : undefined;
 
-const waitCostOf: roomToCome.CostOf = (allocation) => 1 + allocation.remainingMs;
+const waitCostOf: futurePlacement.CostOf = (allocation) => 1 + allocation.remainingMs;
 
 const acceleratorsOf = (unit: planTypes.PlanUnit): number =>
   unit.room.accelerators * unit.unit.tasks.length;
@@ -75,7 +75,7 @@
 /** Accelerators that each customer's runs of priority 0 occupy. */
 const claimedByCustomer = (workers: readonly planTypes.PlanWorker[]): Map<string, number> => {
   const claimed = new Map<string, number>();
-  for (const { priority, customerId, room } of workers.flatMap((it) => it.holdings)) {
+  for (const { priority, customerId, room } of workers.flatMap((it) => it.allocations)) {
     if (priority === 0) {
       claimed.set(customerId, (claimed.get(customerId) ?? 0) + room.accelerators);
     }
@@ -92,7 +92,7 @@
 const NO_VALUE_RANK = 1_000_000;
 
 const rankOf = (unit: planTypes.PlanUnit, nowMs: number): number => {
-  if (nowMs > unit.uselessAfterMs && unit.waitedMs < MAX_SET_BACK_MS) {
+  if (nowMs > unit.latestUsefulStartMs && unit.waitedMs < MAX_DEPRIORITIZED_MS) {
     return NO_VALUE_RANK + unit.priority;
   }
   return unit.priority + (nowMs > unit.latestStartMs ? LATE_RANK : 0);
@@ -121,37 +121,38 @@
  * @returns what to start, preempt and relocate, and what waits
  */
 export const planRound = (input: RoundInput): planTypes.RoundPlan => {
-  const { workers, farFactor: remoteFactor, nowMs } = input;
+  const { workers, remoteFactor, nowMs } = input;
   const starts: planTypes.Placement[] = [];
   const preemptions = new Map<string, planTypes.PlanUnit>();
   const waits: planTypes.Wait[] = [];
   const { claims, others } = splitClaims(input);
-  const runs = roomToCome.indexRuns(workers);
-  const claimCosts = roomToCome.createGroupCosts(runs, lossOf);
-  const preemptCosts = roomToCome.createGroupCosts(runs, preemptLossOf);
-  const waitCosts = roomToCome.createGroupCosts(runs, waitCostOf);
+  const runs = futurePlacement.indexRuns(workers);
+  const claimCosts = futurePlacement.createGroupCosts(runs, lossOf);
+  const preemptCosts = futurePlacement.createGroupCosts(runs, preemptLossOf);
+  const waitCosts = futurePlacement.createGroupCosts(runs, waitCostOf);
   const leaving = new Set(
     workers.flatMap((it) =>
-      it.holdings
+      it.allocations
         .filter((allocation) => allocation.isLeaving)
         .map((allocation) => allocation.groupKey),
     ),
   );
 
-  const places = placeChoice.createPlaceChoice({
+  const places = localityChoice.createLocalityChoice({
     workers,
     runs,
     waitCosts,
-    farFactor: remoteFactor,
+    remoteFactor,
   });
   const headroom = claimHeadroom.createClaimHeadroom(workers, nowMs);
 
   const startNow = (unit: planTypes.PlanUnit): boolean => {
     const found = places.findNow(unit);
-    const placement = found === undefined ? undefined : headroom.spare(found, places.nearOf(unit));
+    const placement =
+      found === undefined ? undefined : headroom.spare(found, places.localGroupsOf(unit));
     if (placement === undefined) return false;
-    headroom.noteStart(placement);
-    gangPlacement.takeRoom(placement);
+    headroom.recordStart(placement);
+    gangPlacement.reserveCapacity(placement);
     starts.push(placement);
     return true;
   };
@@ -160,21 +161,26 @@
   const waitForFreeCapacity = (unit: planTypes.PlanUnit): boolean => {
     const untilMs = Math.min(
       unit.latestStartMs - STOP_AND_START_MS,
-      unit.countedFromMs + MAX_DEFERRED_MS,
+      unit.releaseTimeMs + MAX_DEFERRED_MS,
     );
     if (nowMs >= untilMs) return false;
-    const future = roomToCome.findRoomToCome(runs, places.groupsOf(unit), unit, waitCosts);
+    const future = futurePlacement.findFuturePlacement(
+      runs,
+      places.groupsOf(unit),
+      unit,
+      waitCosts,
+    );
     if (future === undefined) return false;
-    const remainingMs = roomToCome.longestWaitMs(runs, future.leaving);
+    const remainingMs = futurePlacement.longestWaitMs(runs, future.leaving);
     if (nowMs + remainingMs > untilMs) return false;
-    gangPlacement.takeRoom(future.placement);
+    gangPlacement.reserveCapacity(future.placement);
     waits.push({ unit, reason: 'room for it becomes free in time' });
     return true;
   };
 
   /** Reserves the capacity, and preempts what is not terminating already. */
-  const preemptFor = (unit: planTypes.PlanUnit, future: roomToCome.FuturePlacement): void => {
-    gangPlacement.takeRoom(future.placement);
+  const preemptFor = (unit: planTypes.PlanUnit, future: futurePlacement.FuturePlacement): void => {
+    gangPlacement.reserveCapacity(future.placement);
     for (const key of future.leaving) if (!leaving.has(key)) preemptions.set(key, unit);
     waits.push({ unit, reason: `waits for ${future.leaving.size} groups to leave` });
   };
@@ -184,8 +190,8 @@
     const groups = places.groupsOf(unit);
     const anywhere = workers.filter((it) => gangPlacement.isSuitable(it, unit));
     const future =
-      roomToCome.findRoomToCome(runs, groups, unit, claimCosts) ??
-      roomToCome.findRoomToCome(runs, [anywhere], unit, claimCosts);
+      futurePlacement.findFuturePlacement(runs, groups, unit, claimCosts) ??
+      futurePlacement.findFuturePlacement(runs, [anywhere], unit, claimCosts);
     if (future === undefined) {
       waits.push({ unit, reason: 'no room even after stopping what may be stopped' });
       return;
@@ -194,7 +200,7 @@
       preemptFor(unit, future);
       return;
     }
-    gangPlacement.takeRoom(future.placement);
+    gangPlacement.reserveCapacity(future.placement);
     starts.push(future.placement);
   };
 
@@ -204,7 +210,12 @@
   const preempt = (unit: planTypes.PlanUnit): boolean => {
     if (unit.priority !== 0 || nowMs > unit.latestStartMs) return false;
     if (waitForFreeCapacity(unit)) return true;
-    const future = roomToCome.findRoomToCome(runs, places.groupsOf(unit), unit, preemptCosts);
+    const future = futurePlacement.findFuturePlacement(
+      runs,
+      places.groupsOf(unit),
+      unit,
+      preemptCosts,
+    );
     const ownWork = unit.expectedMs * weightInCores(unit.room) * unit.unit.tasks.length;
     if (future === undefined || future.cost > MAX_LOSS_SHARE * ownWork) return false;
     preemptFor(unit, future);
@@ -220,10 +231,10 @@
       fullSteps.add(unit.stepKey);
       const isReserving = reservations < MAX_RESERVATIONS && unit.waitedMs >= RESERVE_AFTER_MS;
       const future = isReserving
-        ? roomToCome.findRoomToCome(runs, places.groupsOf(unit), unit, waitCosts)
+        ? futurePlacement.findFuturePlacement(runs, places.groupsOf(unit), unit, waitCosts)
         : undefined;
       if (future !== undefined) {
-        gangPlacement.takeRoom(future.placement);
+        gangPlacement.reserveCapacity(future.placement);
         reservations += 1;
       }
       waits.push({ unit, reason: future === undefined ? 'no room' : 'room is kept for it' });
@@ -231,15 +242,15 @@
   }
   // After all waiting units: a relocated run loses its progress, so it only uses spare capacity.
   const relocations: planTypes.PlanUnit[] = [];
-  for (const { unit, workerIds } of input.heldUp) {
+  for (const { unit, workerIds } of input.stragglerUnits) {
     const elsewhere = workers.filter((it) => !workerIds.has(it.workerId));
-    const { near: localGroups } = gangPlacement.candidateGroups(elsewhere, unit);
+    const { localGroups } = gangPlacement.candidateGroups(elsewhere, unit);
     const placement = gangPlacement.placeNow(localGroups, unit);
     const isHealthy = placement?.workers.every((it) => !it.isSuspect) === true;
     if (placement !== undefined && isHealthy) {
-      gangPlacement.takeRoom(placement);
+      gangPlacement.reserveCapacity(placement);
       relocations.push(unit);
     }
   }
-  return { starts, evictions: preemptions, waits, moves: relocations };
+  return { starts, preemptions, waits, relocations };
 };
--- a/src/coordination/common/pool/planTypes.ts
+++ b/src/coordination/common/pool/planTypes.ts
@@ -2,10 +2,10 @@
  * Inputs and decisions of a planning round.
  */
 import type * as poolJob from '../../../state/common/pool/poolJob.js';
-import type * as jobBook from './jobBook.js';
+import type * as jobState from './jobState.js';
 
 /** A run that occupies capacity on a worker until its end is reported. */
-export interface Holding {
+export interface Allocation {
   readonly jobId: string;
   readonly task: string;
   readonly run: number;
@@ -40,7 +40,7 @@
   readonly capacity: poolJob.Resources;
   /** Free capacity; a round takes from it. */
   free: poolJob.Resources;
-  readonly holdings: readonly Holding[];
+  readonly allocations: readonly Allocation[];
   /** Suspected of failing or slowing its runs; used only where no other worker can ever hold a unit. */
   readonly isSuspect: boolean;
   /** Tasks of each step that the round has placed here. */
@@ -49,7 +49,7 @@
 
 /** Tasks that start together or not at all. */
 export interface PlanUnit {
-  readonly unit: jobBook.ReadyUnit;
+  readonly unit: jobState.ReadyUnit;
   readonly groupKey: string;
   readonly stepKey: string;
   readonly priority: number;
@@ -58,9 +58,9 @@
   /** Latest start, on the leader's clock, with which the job is in time. */
   readonly latestStartMs: number;
   /** Latest start, on the leader's clock, with which the job still has value to the caller. */
-  readonly uselessAfterMs: number;
+  readonly latestUsefulStartMs: number;
   /** Acceptance or due time, on the leader's clock. */
-  readonly countedFromMs: number;
+  readonly releaseTimeMs: number;
   /** How long it has been ready. */
   readonly waitedMs: number;
   /** Expected runtime of one task with local data. */
@@ -83,7 +83,7 @@
 }
 
 /** A straggler, as a unit to be started on another worker. */
-export interface HeldUpUnit {
+export interface StragglerUnit {
   readonly unit: PlanUnit;
   /** Workers that run it now. */
   readonly workerIds: ReadonlySet<string>;
@@ -93,10 +93,10 @@
 export interface RoundPlan {
   readonly starts: readonly Placement[];
   /** Groups to preempt by key, each with the unit that gets its capacity. */
-  readonly evictions: ReadonlyMap<string, PlanUnit>;
+  readonly preemptions: ReadonlyMap<string, PlanUnit>;
   readonly waits: readonly Wait[];
   /** Stragglers to stop, so that they restart on other workers. */
-  readonly moves: readonly PlanUnit[];
+  readonly relocations: readonly PlanUnit[];
 }
 
 /** Accelerators guaranteed to each customer's jobs of priority 0. */
--- a/src/coordination/common/pool/progressBatch.ts
+++ b/src/coordination/common/pool/progressBatch.ts
@@ -76,7 +76,7 @@
  * @param refusal - the store's answer
  * @returns the meaning of the refusal
  */
-export const judgeRefusal = (
+export const interpretRefusal = (
   batch: ProgressBatch,
   leadership: recordStore.Condition,
   refusal: Extract<recordStore.TransactionResult, { isCommitted: false }>,
--- a/src/coordination/common/pool/readyQueue.ts
+++ b/src/coordination/common/pool/readyQueue.ts
@@ -2,9 +2,9 @@
  * The units that are ready to start, with the properties that a planning round needs.
  */
 import * as poolJob from '../../../state/common/pool/poolJob.js';
-import type * as heldUpRuns from './heldUpRuns.js';
-import * as estimateBook from './estimateBook.js';
-import * as jobBook from './jobBook.js';
+import type * as stragglers from './stragglers.js';
+import * as runtimeEstimates from './runtimeEstimates.js';
+import * as jobState from './jobState.js';
 import * as jobChain from './jobChain.js';
 import * as jobOutcome from './jobOutcome.js';
 import type * as planTypes from './planTypes.js';
@@ -20,7 +20,7 @@
    * @returns the units that may start now
    */
   readonly units: (
-    entries: Iterable<jobBook.JobEntry>,
+    entries: Iterable<jobState.JobEntry>,
     nowMs: number,
     wallMs: number,
     slotsOf?: jobChain.SlotsOf,
@@ -31,11 +31,11 @@
    * @param wallMs - Unix milliseconds now
    * @returns the groups as units that would start again now
    */
-  readonly heldUpUnits: (
-    groups: readonly heldUpRuns.HeldUpGroup[],
+  readonly stragglerUnits: (
+    groups: readonly stragglers.StragglerGroup[],
     nowMs: number,
     wallMs: number,
-  ) => planTypes.HeldUpUnit[];
+  ) => planTypes.StragglerUnit[];
 }
 
 interface JobTiming {
@@ -45,38 +45,38 @@
 
 const timingOf = (
   job: poolJob.PoolJob,
-  estimates: estimateBook.EstimateBook,
+  estimates: runtimeEstimates.RuntimeEstimates,
   slotsOf: jobChain.SlotsOf,
 ): JobTiming => {
   const { queue } = job.policy;
   const workOf: jobChain.WorkOf = (step) =>
-    estimateBook.expectedWorkMs(estimates, queue, step.estimatedMs);
+    runtimeEstimates.expectedWorkMs(estimates, queue, step.estimatedMs);
   return {
     chainMs: jobChain.longestChainMs(job, workOf),
-    objectiveMs: jobChain.objectiveMs(job, jobChain.owedChainMs(job, workOf, slotsOf)),
+    objectiveMs: jobChain.objectiveMs(job, jobChain.longestChainInWavesMs(job, workOf, slotsOf)),
   };
 };
 
-const isDue = (unit: jobBook.ReadyUnit, nowMs: number): boolean =>
+const isDue = (unit: jobState.ReadyUnit, nowMs: number): boolean =>
   unit.tasks.every((task) => task.notBeforeMs <= nowMs);
 
 /**
  * @param estimates - runtime estimates of tasks
  * @returns a queue in which no unit has been ready yet
  */
-export const createReadyQueue = (estimates: estimateBook.EstimateBook): ReadyQueue => {
+export const createReadyQueue = (estimates: runtimeEstimates.RuntimeEstimates): ReadyQueue => {
   let readySinceMs = new Map<string, number>();
 
   const toPlanUnit = (
-    unit: jobBook.ReadyUnit,
+    unit: jobState.ReadyUnit,
     timing: JobTiming,
     nowMs: number,
     wallMs: number,
   ): planTypes.PlanUnit => {
     const { job } = unit.entry;
     const [first] = unit.tasks;
-    const { stepKey, groupKey } = workerTable.keysOf(unit.entry, first as jobBook.TaskEntry);
-    const releaseMs = nowMs - wallMs + jobOutcome.countedFromMs(job, unit.occurrence);
+    const { stepKey, groupKey } = workerTable.keysOf(unit.entry, first as jobState.TaskEntry);
+    const releaseMs = nowMs - wallMs + jobOutcome.releaseTimeMs(job, unit.occurrence);
     const { objectiveMs, chainMs } = timing;
     return {
       unit,
@@ -84,31 +84,35 @@
       stepKey,
       priority: job.policy.priority,
       customerId: job.customerId,
-      room: poolJob.roomOf(unit.step),
+      room: poolJob.consumedResources(unit.step),
       latestStartMs: releaseMs + objectiveMs - chainMs,
-      uselessAfterMs: releaseMs + jobOutcome.LATE_MULTIPLE * objectiveMs - chainMs,
-      countedFromMs: releaseMs,
+      latestUsefulStartMs: releaseMs + jobOutcome.LATE_MULTIPLE * objectiveMs - chainMs,
+      releaseTimeMs: releaseMs,
       waitedMs: nowMs - (readySinceMs.get(groupKey) ?? nowMs),
-      expectedMs: estimateBook.expectedWorkMs(estimates, job.policy.queue, unit.step.estimatedMs),
+      expectedMs: runtimeEstimates.expectedWorkMs(
+        estimates,
+        job.policy.queue,
+        unit.step.estimatedMs,
+      ),
     };
   };
 
   return {
-    heldUpUnits: (groups, nowMs, wallMs) =>
+    stragglerUnits: (groups, nowMs, wallMs) =>
       groups.map(({ unit, workerIds }) => ({
         unit: toPlanUnit(
           unit,
-          timingOf(unit.entry.job, estimates, jobChain.endlessRoom),
+          timingOf(unit.entry.job, estimates, jobChain.unlimitedSlots),
           nowMs,
           wallMs,
         ),
         workerIds,
       })),
-    units: (entries, nowMs, wallMs, slotsOf = jobChain.endlessRoom) => {
+    units: (entries, nowMs, wallMs, slotsOf = jobChain.unlimitedSlots) => {
       const sinceMs = new Map<string, number>();
       const units: planTypes.PlanUnit[] = [];
       for (const entry of entries) {
-        const ready = jobBook.readyUnits(entry).filter((it) => isDue(it, nowMs));
+        const ready = jobState.readyUnits(entry).filter((it) => isDue(it, nowMs));
         if (ready.length === 0) continue;
         const timing = timingOf(entry.job, estimates, slotsOf);
         for (const it of ready) {
--- a/src/coordination/common/pool/viewIntake.ts
+++ b/src/coordination/common/pool/reportReconciliation.ts
@@ -7,30 +7,30 @@
 import * as workerTable from './workerTable.js';
 
 /** A worker's report with the fence under which it was given. */
-export interface NumberedView {
-  readonly view: poolWorker.WorkerView;
+export interface FencedReport {
+  readonly view: poolWorker.WorkerReport;
   /** Fence under which the worker answered. */
   readonly viewFence: number;
 }
 
 /** Changes that follow from a worker's report. */
-export interface ViewFacts {
+export interface ReportChanges {
   /** Ends that were not reported before, in their order. */
   readonly ends: readonly poolWorker.EndedRun[];
   /** Runs known to the leader that are done, among the ends. */
-  readonly done: readonly workerTable.RunHolding[];
+  readonly done: readonly workerTable.ActiveRun[];
   /** Runs that the worker reports and the leader does not know. */
-  readonly strays: readonly poolWorker.RunningTask[];
+  readonly unknownRuns: readonly poolWorker.RunningTask[];
   /** Runs that are certainly gone without a reported end. */
-  readonly gone: readonly workerTable.RunHolding[];
+  readonly gone: readonly workerTable.ActiveRun[];
   /** Runs that were present and are not reported any more. */
-  readonly vanished: readonly workerTable.RunHolding[];
+  readonly missing: readonly workerTable.ActiveRun[];
   /** Runs that have a new checkpoint. */
-  readonly saved: readonly workerTable.RunHolding[];
+  readonly saved: readonly workerTable.ActiveRun[];
 }
 
 const updateRun = (
-  run: workerTable.RunHolding,
+  run: workerTable.ActiveRun,
   listed: poolWorker.RunningTask,
   clockMs: number,
   nowMs: number,
@@ -38,10 +38,10 @@
   if (run.phase === workerTable.RunPhase.ordering || run.phase === workerTable.RunPhase.closing) {
     run.phase = workerTable.RunPhase.present;
   }
-  run.first ??= { percent: listed.percent, atMs: nowMs };
-  if (listed.percent > run.percent) run.movedAtMs = nowMs;
+  run.firstProgress ??= { percent: listed.percent, atMs: nowMs };
+  if (listed.percent > run.percent) run.progressedAtMs = nowMs;
   run.percent = listed.percent;
-  runPace.noteProgress(run.pace, clockMs, listed.percent, run.step.estimatedMs);
+  runPace.recordProgress(run.pace, clockMs, listed.percent, run.step.estimatedMs);
   if (listed.saved === '' || listed.saved === run.saved) return false;
   run.saved = listed.saved;
   return true;
@@ -56,14 +56,14 @@
  * @param nowMs - the leader's clock
  * @returns the changes
  */
-export const takeView = (
+export const applyReport = (
   worker: workerTable.WorkerEntry,
-  fenced: NumberedView,
+  fenced: FencedReport,
   nowMs: number,
-): ViewFacts => {
+): ReportChanges => {
   const { view, viewFence } = fenced;
   const ends: poolWorker.EndedRun[] = [];
-  const done: workerTable.RunHolding[] = [];
+  const done: workerTable.ActiveRun[] = [];
   for (const end of view.ended) {
     if (end.sequence > worker.appliedUpTo) {
       ends.push(end);
@@ -75,7 +75,7 @@
     }
   }
   const unknownRuns: poolWorker.RunningTask[] = [];
-  const saved: workerTable.RunHolding[] = [];
+  const saved: workerTable.ActiveRun[] = [];
   const listed = new Set<string>();
   for (const running of view.running) {
     const key = workerTable.runKey(running.task, running.run);
@@ -84,8 +84,8 @@
     if (run === undefined) unknownRuns.push(running);
     else if (updateRun(run, running, view.clockMs, nowMs)) saved.push(run);
   }
-  const gone: workerTable.RunHolding[] = [];
-  const missing: workerTable.RunHolding[] = [];
+  const gone: workerTable.ActiveRun[] = [];
+  const missing: workerTable.ActiveRun[] = [];
   for (const [key, run] of worker.runs) {
     if (!listed.has(key)) {
       const isClosed = run.phase === workerTable.RunPhase.closing && viewFence >= run.closeFence;
@@ -94,5 +94,5 @@
     }
   }
   gone.forEach((run) => worker.runs.delete(workerTable.runKey(run.name, run.run)));
-  return { ends, done, strays: unknownRuns, gone, vanished: missing, saved };
+  return { ends, done, unknownRuns, gone, missing, saved };
 };
--- a/src/coordination/common/pool/runPace.ts
+++ b/src/coordination/common/pool/runPace.ts
@@ -41,7 +41,7 @@
  * @param percent - progress that it reported
  * @param estimatedMs - declared work of the entire task
  */
-export const noteProgress = (
+export const recordProgress = (
   pace: RunPace,
   clockMs: number,
   percent: number,
@@ -61,5 +61,5 @@
  * @param pace - a run's speed
  * @returns whether the run is a straggler, as far as is known
  */
-export const isHeldUp = (pace: RunPace): boolean =>
+export const isStraggler = (pace: RunPace): boolean =>
   pace.speed !== undefined && pace.speed < SLOW_SPEED;
--- a/src/coordination/common/pool/estimateBook.ts
+++ b/src/coordination/common/pool/runtimeEstimates.ts
@@ -29,7 +29,7 @@
 }
 
 /** Observed work of all queues. */
-export interface EstimateBook {
+export interface RuntimeEstimates {
   readonly queues: Map<string, QueueObservations>;
 }
 
@@ -54,7 +54,7 @@
 /**
  * @returns estimates without observations
  */
-export const createEstimateBook = (): EstimateBook => ({ queues: new Map() });
+export const createRuntimeEstimates = (): RuntimeEstimates => ({ queues: new Map() });
 
 const mean = (values: readonly number[]): number =>
   values.reduce((sum, it) => sum + it, 0) / values.length;
@@ -87,8 +87,8 @@
  * @param step - its step, with the declared runtime
  * @param workMs - observed runtime, converted to that with local data; 0 where unknown
  */
-export const noteDone = (
-  estimates: EstimateBook,
+export const recordTask = (
+  estimates: RuntimeEstimates,
   job: poolJob.PoolJob,
   step: poolJob.Step,
   workMs: number,
@@ -109,8 +109,8 @@
  * @param job - a job
  * @param tasks - its tasks
  */
-export const noteJob = (
-  estimates: EstimateBook,
+export const recordRestoredJob = (
+  estimates: RuntimeEstimates,
   job: poolJob.PoolJob,
   tasks: readonly { readonly step: number; readonly workMs: number }[],
 ): void => {
@@ -119,7 +119,7 @@
     undefined,
   );
   const step = longest === undefined ? undefined : job.steps[longest.step];
-  if (longest !== undefined && step !== undefined) noteDone(estimates, job, step, longest.workMs);
+  if (longest !== undefined && step !== undefined) recordTask(estimates, job, step, longest.workMs);
 };
 
 /**
@@ -131,7 +131,7 @@
  * @returns its expected runtime with local data
  */
 export const expectedWorkMs = (
-  estimates: EstimateBook,
+  estimates: RuntimeEstimates,
   queue: string,
   declaredMs: number,
 ): number => {
@@ -147,7 +147,7 @@
  * @param queue - a queue
  * @returns whether nearly all its jobs took at most twice what was declared
  */
-export const isReliable = (estimates: EstimateBook, queue: string): boolean => {
+export const areDeclarationsReliable = (estimates: RuntimeEstimates, queue: string): boolean => {
   const observed = estimates.queues.get(queue)?.observed;
   if (observed === undefined || observed.size < MIN_JOBS) return false;
   const ratios = [...observed.values()].map((it) => it.declaredMs / it.workMs);
--- a/src/coordination/common/pool/heldUpRuns.ts
+++ b/src/coordination/common/pool/stragglers.ts
@@ -2,18 +2,18 @@
  * Finds the stragglers that are worth relocating: running groups that are slow because of a worker, and
  * in time only if they are restarted on another one.
  */
-import * as estimateBook from './estimateBook.js';
+import * as runtimeEstimates from './runtimeEstimates.js';
 import * as gangPlacement from './gangPlacement.js';
-import * as jobBook from './jobBook.js';
+import * as jobState from './jobState.js';
 import * as jobChain from './jobChain.js';
 import * as jobOutcome from './jobOutcome.js';
 import * as runPace from './runPace.js';
 import * as workerTable from './workerTable.js';
 
 /** A straggler: a running group that is slow because of a worker. */
-export interface HeldUpGroup {
+export interface StragglerGroup {
   readonly groupKey: string;
-  readonly unit: jobBook.ReadyUnit;
+  readonly unit: jobState.ReadyUnit;
   /** Workers that run it now. */
   readonly workerIds: ReadonlySet<string>;
 }
@@ -28,13 +28,13 @@
 const MIN_GAIN = 1.3;
 
 /** Relocations of a task as a straggler; after these its slowness is attributed to the task itself. */
-export const MAX_MOVES = 2;
+export const MAX_RELOCATIONS = 2;
 
-const estimateLeftMs = ({ step, percent }: workerTable.RunHolding): number =>
+const estimateLeftMs = ({ step, percent }: workerTable.ActiveRun): number =>
   (step.estimatedMs * (100 - percent)) / 100;
 
 /** Time to its end on its present worker. */
-const remainingIfKeptMs = (run: workerTable.RunHolding): number => {
+const remainingIfKeptMs = (run: workerTable.ActiveRun): number => {
   const leftMs = estimateLeftMs(run);
   const afterRecoveryMs = RECOVERY_MS + leftMs;
   const { speed = 1 } = run.pace;
@@ -42,18 +42,18 @@
 };
 
 /** Time to its end if it is restarted on another worker. */
-const remainingIfRelocatedMs = (run: workerTable.RunHolding): number =>
+const remainingIfRelocatedMs = (run: workerTable.ActiveRun): number =>
   RELOCATION_MS + (run.step.isCheckpointing ? estimateLeftMs(run) : run.step.estimatedMs);
 
 /** Declared work on the job's longest chain of steps, less that of this step. */
-const otherChainMs = ({ entry, step }: workerTable.RunHolding): number =>
+const otherChainMs = ({ entry, step }: workerTable.ActiveRun): number =>
   Math.max(0, jobChain.longestChainMs(entry.job) - step.estimatedMs);
 
-const isWorthRelocating = (members: readonly workerTable.RunHolding[], wallMs: number): boolean => {
+const isWorthRelocating = (members: readonly workerTable.ActiveRun[], wallMs: number): boolean => {
   const [first] = members;
   if (first === undefined || first.step.isLongRunning) return false;
   const { job } = first.entry;
-  const endMs = jobOutcome.countedFromMs(job, first.task.occurrence) + jobChain.objectiveMs(job);
+  const endMs = jobOutcome.releaseTimeMs(job, first.task.occurrence) + jobChain.objectiveMs(job);
   const slackMs = endMs - wallMs - otherChainMs(first);
   const keptMs = Math.max(...members.map(remainingIfKeptMs));
   const relocatedMs = Math.max(...members.map(remainingIfRelocatedMs));
@@ -66,7 +66,7 @@
 /** A run with its worker. */
 interface PlacedRun {
   readonly worker: workerTable.WorkerEntry;
-  readonly run: workerTable.RunHolding;
+  readonly run: workerTable.ActiveRun;
 }
 
 /**
@@ -81,8 +81,8 @@
   return speeds.length > 0 && (run.pace.speed ?? 0) >= SIBLING_SHARE * Math.max(...speeds);
 };
 
-const canBeRelocated = (run: workerTable.RunHolding): boolean =>
-  run.phase === workerTable.RunPhase.present && run.task.moves < MAX_MOVES;
+const canBeRelocated = (run: workerTable.ActiveRun): boolean =>
+  run.phase === workerTable.RunPhase.present && run.task.relocations < MAX_RELOCATIONS;
 
 /**
  * @param workers - workers with their runs
@@ -90,18 +90,18 @@
  * @param wallMs - Unix milliseconds now
  * @returns groups that would be late where they are and in time on other workers
  */
-export const findHeldUp = (
+export const findStragglers = (
   workers: readonly workerTable.WorkerEntry[],
-  estimates: estimateBook.EstimateBook,
+  estimates: runtimeEstimates.RuntimeEstimates,
   wallMs: number,
-): HeldUpGroup[] => {
+): StragglerGroup[] => {
   const all = workers.flatMap((worker) =>
     [...worker.runs.values()].map((run): PlacedRun => ({ worker, run })),
   );
   const slow = all.filter(
     (it) =>
-      runPace.isHeldUp(it.run.pace) &&
-      estimateBook.isReliable(estimates, it.run.entry.job.policy.queue) &&
+      runPace.isStraggler(it.run.pace) &&
+      runtimeEstimates.areDeclarationsReliable(estimates, it.run.entry.job.policy.queue) &&
       !isSlowElsewhere(all, it),
   );
   return [...new Set(slow.map(({ run }) => run.groupKey))].flatMap((groupKey) => {
@@ -111,9 +111,9 @@
     if (first === undefined || !runs.every(canBeRelocated)) return [];
     const { entry, step, task } = first;
     const racks = members.map(({ worker }) => worker.info?.rack);
-    const tasks = jobBook.groupOf(entry, task);
+    const tasks = jobState.groupOf(entry, task);
     const isComplete = tasks.length === runs.length;
-    const isRemote = gangPlacement.tasksAway(step, racks) > 0;
+    const isRemote = gangPlacement.countRemoteTasks(step, racks) > 0;
     if (!isComplete || isRemote || !isWorthRelocating(runs, wallMs)) return [];
     const unit = { entry, step, stepIndex: task.step, occurrence: task.occurrence, tasks };
     return [{ groupKey, unit, workerIds: new Set(tasks.map((it) => it.workerId)) }];
--- a/src/coordination/common/pool/test/jobBook.test.ts
+++ b/src/coordination/common/pool/test/jobState.test.ts
@@ -6,11 +6,16 @@
 
 import type * as poolJob from '../../../../state/common/pool/poolJob.js';
 import * as progressRecord from '../../../../state/common/pool/progressRecord.js';
-import * as jobBook from '../jobBook.js';
-import * as jobEnds from '../jobEnds.js';
+import * as jobState from '../jobState.js';
+import * as jobTransitions from '../jobTransitions.js';
 import * as fixtures from './poolFixtures.js';
 
-type End = readonly [step: number, index: number, run: number, how: jobEnds.RunOutcome['how']];
+type End = readonly [
+  step: number,
+  index: number,
+  run: number,
+  how: jobTransitions.RunOutcome['how'],
+];
 
 interface Case {
   readonly name: string;
@@ -107,32 +112,32 @@
   },
 ];
 
-const assignAll = (entry: jobBook.JobEntry): void => {
-  for (const { tasks } of jobBook.readyUnits(entry)) {
+const assignAll = (entry: jobState.JobEntry): void => {
+  for (const { tasks } of jobState.readyUnits(entry)) {
     const place = { workerId: 'w', incarnationMs: 1, agentId: 'a' };
-    jobBook.assign(
+    jobState.assign(
       entry,
       tasks.map((task) => ({ task, ...place })),
     );
   }
 };
 
-const recordAll = (entry: jobBook.JobEntry, ends: readonly End[]): void => {
+const recordAll = (entry: jobState.JobEntry, ends: readonly End[]): void => {
   for (const [step, index, run, how] of ends) {
     const name = { jobId: 'job', occurrence: 0, step, index };
-    const task = jobBook.findTask(entry, name) as jobBook.TaskEntry;
-    jobEnds.noteEnd(entry, task, { run, how, saved: '' }, 5);
+    const task = jobState.findTask(entry, name) as jobState.TaskEntry;
+    jobTransitions.recordRunEnd(entry, task, { run, how, saved: '' }, 5);
   }
 };
 
-const readyOf = (entry: jobBook.JobEntry): string[] =>
-  jobBook.readyUnits(entry).map((it) => `${it.stepIndex}.${it.tasks[0]?.index ?? ''}`);
+const readyOf = (entry: jobState.JobEntry): string[] =>
+  jobState.readyUnits(entry).map((it) => `${it.stepIndex}.${it.tasks[0]?.index ?? ''}`);
 
 test.describe('jobBook', () => {
   for (const it of CASES) {
     test.it(it.name, () => {
       const job = fixtures.makeJob(it.steps, { attempts: it.attempts ?? 3 });
-      const entry = jobBook.createEntry(job, 0);
+      const entry = jobState.createJobEntry(job, 0);
       for (const ends of it.rounds) {
         assignAll(entry);
         recordAll(entry, ends);
@@ -140,24 +145,24 @@
       assert.equal(entry.state, it.state);
       if (it.ready !== undefined) assert.deepEqual(readyOf(entry), it.ready);
       // The stored record is sufficient for the next leader.
-      const text = progressRecord.encodeProgress(jobBook.toRecord(entry));
-      const restored = jobBook.createEntry(job, 0);
-      jobBook.restore(restored, progressRecord.decodeProgress(text), 1);
+      const text = progressRecord.encodeProgress(jobState.toProgressRecord(entry));
+      const restored = jobState.createJobEntry(job, 0);
+      jobState.restoreProgress(restored, progressRecord.decodeProgress(text), 1);
       assert.equal(restored.state, it.state);
       assert.deepEqual(readyOf(restored), readyOf(entry));
     });
   }
 
   test.it('a gang resumes from one checkpoint, under one run number', () => {
-    const entry = jobBook.createEntry(fixtures.makeJob([GANG]), 0);
+    const entry = jobState.createJobEntry(fixtures.makeJob([GANG]), 0);
     assignAll(entry);
-    const [first] = jobBook.tasksOf(entry);
+    const [first] = jobState.tasksOf(entry);
     assert.ok(first);
-    jobEnds.noteEnd(entry, first, { run: 1, how: 'stopped', saved: 'here' }, 5);
+    jobTransitions.recordRunEnd(entry, first, { run: 1, how: 'stopped', saved: 'here' }, 5);
     recordAll(entry, [[0, 1, 1, 'broken']]);
     assignAll(entry);
     assert.deepEqual(
-      jobBook.tasksOf(entry).map((task) => [task.run, task.saved]),
+      jobState.tasksOf(entry).map((task) => [task.run, task.saved]),
       [
         [2, 'here'],
         [2, 'here'],
@@ -167,24 +172,24 @@
 
   test.it('an occurrence starts when it is due, and the job ends with the last one', () => {
     const schedule = { firstAtMs: 1000, intervalMs: 500, occurrences: 2 };
-    const entry = jobBook.createEntry(fixtures.makeJob([{}], { schedule }), 0);
-    jobBook.addDueOccurrences(entry, 999);
-    assert.equal(jobBook.readyUnits(entry).length, 0);
-    jobBook.addDueOccurrences(entry, 1000);
+    const entry = jobState.createJobEntry(fixtures.makeJob([{}], { schedule }), 0);
+    jobState.addDueOccurrences(entry, 999);
+    assert.equal(jobState.readyUnits(entry).length, 0);
+    jobState.addDueOccurrences(entry, 1000);
     assignAll(entry);
     recordAll(entry, [[0, 0, 1, 'done']]);
     assert.equal(entry.state, 'running');
-    jobBook.addDueOccurrences(entry, 1500);
+    jobState.addDueOccurrences(entry, 1500);
     assignAll(entry);
-    const task = jobBook.findTask(entry, { jobId: 'job', occurrence: 1, step: 0, index: 0 });
+    const task = jobState.findTask(entry, { jobId: 'job', occurrence: 1, step: 0, index: 0 });
     assert.ok(task);
-    jobEnds.noteEnd(entry, task, { run: 1, how: 'done', saved: '' }, 5);
+    jobTransitions.recordRunEnd(entry, task, { run: 1, how: 'done', saved: '' }, 5);
     assert.equal(entry.state, 'complete');
   });
 
   test.it('a cancelled job starts nothing more', () => {
-    const entry = jobBook.createEntry(fixtures.makeJob([{ count: 2 }]), 0);
-    assert.equal(jobEnds.cancel(entry, 5), true);
+    const entry = jobState.createJobEntry(fixtures.makeJob([{ count: 2 }]), 0);
+    assert.equal(jobTransitions.cancel(entry, 5), true);
     assert.deepEqual(readyOf(entry), []);
     assert.equal(entry.state, 'cancelled');
   });
--- a/src/coordination/common/pool/test/jobEnds.test.ts
+++ b/src/coordination/common/pool/test/jobTransitions.test.ts
@@ -6,8 +6,8 @@
 
 import type * as poolJob from '../../../../state/common/pool/poolJob.js';
 import * as progressRecord from '../../../../state/common/pool/progressRecord.js';
-import * as jobBook from '../jobBook.js';
-import * as jobEnds from '../jobEnds.js';
+import * as jobState from '../jobState.js';
+import * as jobTransitions from '../jobTransitions.js';
 import * as fixtures from './poolFixtures.js';
 
 const LOST = { run: 1, how: 'lost', saved: '' } as const;
@@ -19,9 +19,9 @@
   readonly step?: Partial<poolJob.Step>;
   /** Whether a second run is in progress when the end of the first is reported. */
   readonly isReassigned: boolean;
-  readonly how: jobEnds.RunOutcome['how'];
+  readonly how: jobTransitions.RunOutcome['how'];
   /** How the second run ends, where there is one. */
-  readonly laterHow?: jobEnds.RunOutcome['how'];
+  readonly laterHow?: jobTransitions.RunOutcome['how'];
   readonly state: string;
   readonly isReady: boolean;
 }
@@ -84,10 +84,10 @@
   },
 ];
 
-const assignAll = (entry: jobBook.JobEntry): void => {
+const assignAll = (entry: jobState.JobEntry): void => {
   const place = { workerId: 'w', incarnationMs: 1, agentId: 'a' };
-  for (const { tasks } of jobBook.readyUnits(entry)) {
-    jobBook.assign(
+  for (const { tasks } of jobState.readyUnits(entry)) {
+    jobState.assign(
       entry,
       tasks.map((task) => ({ task, ...place })),
     );
@@ -95,10 +95,10 @@
 };
 
 /** The state of the job after the next leader has restored it. */
-const restored = (entry: jobBook.JobEntry): jobBook.JobEntry => {
-  const text = progressRecord.encodeProgress(jobBook.toRecord(entry));
-  const next = jobBook.createEntry(entry.job, 0);
-  jobBook.restore(next, progressRecord.decodeProgress(text), 1);
+const restored = (entry: jobState.JobEntry): jobState.JobEntry => {
+  const text = progressRecord.encodeProgress(jobState.toProgressRecord(entry));
+  const next = jobState.createJobEntry(entry.job, 0);
+  jobState.restoreProgress(next, progressRecord.decodeProgress(text), 1);
   return next;
 };
 
@@ -106,21 +106,21 @@
   for (const it of CASES) {
     test.it(it.name, () => {
       const job = fixtures.makeJob([it.step ?? {}], { attempts: 1 });
-      let entry = jobBook.createEntry(job, 0);
+      let entry = jobState.createJobEntry(job, 0);
       assignAll(entry);
-      for (const task of jobBook.tasksOf(entry)) jobEnds.noteEnd(entry, task, LOST, 5);
+      for (const task of jobState.tasksOf(entry)) jobTransitions.recordRunEnd(entry, task, LOST, 5);
       if (it.isReassigned) assignAll(entry);
-      const [first] = jobBook.tasksOf(entry);
+      const [first] = jobState.tasksOf(entry);
       assert.ok(first);
-      jobEnds.noteEarlierDone(entry, first, { run: 1, how: it.how, saved: '' }, 5);
+      jobTransitions.recordEarlierRunDone(entry, first, { run: 1, how: it.how, saved: '' }, 5);
       entry = restored(entry);
       if (it.laterHow !== undefined) {
-        const [later] = jobBook.tasksOf(entry);
+        const [later] = jobState.tasksOf(entry);
         assert.ok(later);
-        jobEnds.noteEnd(entry, later, { run: 2, how: it.laterHow, saved: '' }, 6);
+        jobTransitions.recordRunEnd(entry, later, { run: 2, how: it.laterHow, saved: '' }, 6);
       }
       assert.equal(entry.state, it.state);
-      assert.equal(jobBook.readyUnits(entry).length > 0, it.isReady);
+      assert.equal(jobState.readyUnits(entry).length > 0, it.isReady);
     });
   }
 });
--- a/src/coordination/common/pool/test/planRound.test.ts
+++ b/src/coordination/common/pool/test/planRound.test.ts
@@ -48,7 +48,7 @@
     name: 'small tasks go where the least capacity is left, so that an entire worker stays free',
     workers: () => [
       fixtures.makeWorker('w1'),
-      fixtures.makeWorker('w2', { holdings: [fixtures.makeHolding('a', 6)] }),
+      fixtures.makeWorker('w2', { allocations: [fixtures.makeAllocation('a', 6)] }),
     ],
     jobs: [fixtures.makeJob([{ count: 2 }])],
     starts: { 'job.0.0.0': ['w2'], 'job.0.0.1': ['w2'] },
@@ -62,7 +62,7 @@
   {
     name: 'a gang that asks for one rack waits for it while that costs less time than several racks',
     workers: () => [
-      fixtures.makeWorker('w1', { holdings: [fixtures.makeHolding('a', 8)] }),
+      fixtures.makeWorker('w1', { allocations: [fixtures.makeAllocation('a', 8)] }),
       fixtures.makeWorker('w2'),
       fixtures.makeWorker('w3', { rack: 'r2' }),
     ],
@@ -72,7 +72,7 @@
   {
     name: 'it is spread over racks once it has waited longer than the spread costs',
     workers: () => [
-      fixtures.makeWorker('w1', { holdings: [fixtures.makeHolding('a', 8)] }),
+      fixtures.makeWorker('w1', { allocations: [fixtures.makeAllocation('a', 8)] }),
       fixtures.makeWorker('w2'),
       fixtures.makeWorker('w3', { rack: 'r2' }),
     ],
@@ -84,10 +84,10 @@
     name: 'a claim within the guarantee preempts lower-priority work that frees its capacity at the least loss',
     workers: () => [
       fixtures.makeWorker('w1', {
-        holdings: [fixtures.makeHolding('dear', 8, { unsavedMs: 9e3, remainingMs: 9e3 })],
+        allocations: [fixtures.makeAllocation('dear', 8, { unsavedMs: 9e3, remainingMs: 9e3 })],
       }),
       fixtures.makeWorker('w2', {
-        holdings: [fixtures.makeHolding('cheap', 8, { remainingMs: 9e3 })],
+        allocations: [fixtures.makeAllocation('cheap', 8, { remainingMs: 9e3 })],
       }),
     ],
     jobs: [fixtures.makeJob([needing(8)], { priority: 0 })],
@@ -99,9 +99,9 @@
     // Guards against preemption of work shortly before its end, for capacity that was about to become free.
     name: 'a claim waits for a run that ends by itself soon enough',
     workers: () => [
-      fixtures.makeWorker('w1', { holdings: [fixtures.makeHolding('ends', 8)] }),
+      fixtures.makeWorker('w1', { allocations: [fixtures.makeAllocation('ends', 8)] }),
       fixtures.makeWorker('w2', {
-        holdings: [fixtures.makeHolding('cheap', 8, { unsavedMs: 1, remainingMs: 9e3 })],
+        allocations: [fixtures.makeAllocation('cheap', 8, { unsavedMs: 1, remainingMs: 9e3 })],
       }),
     ],
     jobs: [fixtures.makeJob([needing(8)], { priority: 0 })],
@@ -111,7 +111,9 @@
   },
   {
     name: 'a claim that has waited as long as allowed preempts what does not end in time',
-    workers: () => [fixtures.makeWorker('w1', { holdings: [fixtures.makeHolding('ends', 8)] })],
+    workers: () => [
+      fixtures.makeWorker('w1', { allocations: [fixtures.makeAllocation('ends', 8)] }),
+    ],
     jobs: [fixtures.makeJob([needing(8)], { priority: 0 })],
     waitedMs: 1400,
     guarantees: guaranteed8,
@@ -143,7 +145,7 @@
       fixtures.makeWorker('w1', { rack: 'near' }),
       fixtures.makeWorker('w2', {
         rack: 'far',
-        holdings: [fixtures.makeHolding('a', 4, { remainingMs: 9e3 })],
+        allocations: [fixtures.makeAllocation('a', 4, { remainingMs: 9e3 })],
       }),
     ],
     jobs: [fixtures.makeJob([{ preferredRack: 'near', ...needing(4) }])],
@@ -155,7 +157,7 @@
     workers: () => [
       fixtures.makeWorker('w1', {
         rack: 'near',
-        holdings: [fixtures.makeHolding('a', 8, { remainingMs: 2500 })],
+        allocations: [fixtures.makeAllocation('a', 8, { remainingMs: 2500 })],
       }),
       fixtures.makeWorker('w2', { rack: 'far' }),
     ],
@@ -165,9 +167,9 @@
   {
     name: 'a claim preempts nothing while a terminating run frees capacity for it',
     workers: () => [
-      fixtures.makeWorker('w1', { holdings: [fixtures.makeHolding('runs', 8)] }),
+      fixtures.makeWorker('w1', { allocations: [fixtures.makeAllocation('runs', 8)] }),
       fixtures.makeWorker('w2', {
-        holdings: [fixtures.makeHolding('goes', 8, { isLeaving: true })],
+        allocations: [fixtures.makeAllocation('goes', 8, { isLeaving: true })],
       }),
     ],
     jobs: [fixtures.makeJob([needing(8)], { priority: 0 })],
@@ -177,7 +179,7 @@
   },
   {
     name: 'work beyond the guarantee preempts nothing',
-    workers: () => [fixtures.makeWorker('w1', { holdings: [fixtures.makeHolding('a', 8)] })],
+    workers: () => [fixtures.makeWorker('w1', { allocations: [fixtures.makeAllocation('a', 8)] })],
     jobs: [fixtures.makeJob([needing(8)], { priority: 0 })],
     guarantees: new Map([['customer', 7]]),
     starts: {},
@@ -187,7 +189,7 @@
     // Two waves of small tasks fill every gap on a busy worker, and a task that needs all of it never
     // starts. After its wait the gap is reserved for it.
     name: 'a wide task that has waited reserves capacity against small ones',
-    workers: () => [fixtures.makeWorker('w1', { holdings: [fixtures.makeHolding('a', 4)] })],
+    workers: () => [fixtures.makeWorker('w1', { allocations: [fixtures.makeAllocation('a', 4)] })],
     jobs: [
       fixtures.makeJob([needing(8)], { jobId: 'wide', priority: 1 }),
       fixtures.makeJob([needing(1)], { jobId: 'small', priority: 2 }),
@@ -197,7 +199,7 @@
   },
   {
     name: 'small tasks use the gap before the wide one has waited long enough',
-    workers: () => [fixtures.makeWorker('w1', { holdings: [fixtures.makeHolding('a', 4)] })],
+    workers: () => [fixtures.makeWorker('w1', { allocations: [fixtures.makeAllocation('a', 4)] })],
     jobs: [
       fixtures.makeJob([needing(8)], { jobId: 'wide', priority: 1 }),
       fixtures.makeJob([needing(1)], { jobId: 'small', priority: 2 }),
@@ -217,7 +219,7 @@
     name: 'a straggler stays where no other worker has capacity',
     workers: () => [
       fixtures.makeWorker('w1'),
-      fixtures.makeWorker('w2', { holdings: [fixtures.makeHolding('a', 4)] }),
+      fixtures.makeWorker('w2', { allocations: [fixtures.makeAllocation('a', 4)] }),
     ],
     jobs: [],
     stragglers: [{ job: fixtures.makeJob([needing(8)], { jobId: 'slow' }), on: ['w1'] }],
@@ -227,7 +229,7 @@
   {
     name: 'a straggler stays where a waiting unit takes the capacity',
     workers: () => [
-      fixtures.makeWorker('w1', { holdings: [fixtures.makeHolding('slow', 8)] }),
+      fixtures.makeWorker('w1', { allocations: [fixtures.makeAllocation('slow', 8)] }),
       fixtures.makeWorker('w2'),
     ],
     jobs: [fixtures.makeJob([needing(8)], { jobId: 'waits' })],
@@ -274,7 +276,7 @@
 test.describe('number of remote tasks', () => {
   for (const [name, step, racks, away] of REMOTE_TASKS) {
     test.it(name, () => {
-      assert.equal(gangPlacement.tasksAway(fixtures.makeStep(step), racks), away);
+      assert.equal(gangPlacement.countRemoteTasks(fixtures.makeStep(step), racks), away);
     });
   }
 });
@@ -286,10 +288,10 @@
         nowMs: it.waitedMs ?? 0,
         workers: it.workers(),
         units: fixtures.makeUnits(it.jobs, it.waitedMs),
-        heldUp: (it.stragglers ?? []).flatMap(({ job, on }) =>
+        stragglerUnits: (it.stragglers ?? []).flatMap(({ job, on }) =>
           fixtures.makeUnits([job]).map((unit) => ({ unit, workerIds: new Set(on) })),
         ),
-        farFactor: 3,
+        remoteFactor: 3,
         guarantees: it.guarantees ?? new Map(),
       });
       const starts = Object.fromEntries(
@@ -299,9 +301,9 @@
         ]),
       );
       assert.deepEqual(starts, it.starts);
-      assert.deepEqual([...plan.evictions.keys()], it.preemptions ?? []);
+      assert.deepEqual([...plan.preemptions.keys()], it.preemptions ?? []);
       assert.deepEqual(
-        plan.moves.map((unit) => unit.groupKey),
+        plan.relocations.map((unit) => unit.groupKey),
         it.relocations ?? [],
       );
     });
--- a/src/coordination/common/pool/test/poolFixtures.ts
+++ b/src/coordination/common/pool/test/poolFixtures.ts
@@ -2,8 +2,8 @@
  * Jobs, workers and units for the tests of pools.
  */
 import type * as poolJob from '../../../../state/common/pool/poolJob.js';
-import * as estimateBook from '../estimateBook.js';
-import * as jobBook from '../jobBook.js';
+import * as runtimeEstimates from '../runtimeEstimates.js';
+import * as jobState from '../jobState.js';
 import type * as planTypes from '../planTypes.js';
 import * as readyQueue from '../readyQueue.js';
 
@@ -72,12 +72,12 @@
     labels: [],
     capacity,
     free: capacity,
-    holdings: [],
+    allocations: [],
     isSuspect: false,
     placedSteps: new Map(),
     ...changes,
   };
-  for (const { room } of worker.holdings) {
+  for (const { room } of worker.allocations) {
     worker.free = {
       cpuMillicores: worker.free.cpuMillicores - room.cpuMillicores,
       memoryMb: worker.free.memoryMb - room.memoryMb,
@@ -88,11 +88,11 @@
 };
 
 /** A run that occupies capacity. */
-export const makeHolding = (
+export const makeAllocation = (
   task: string,
   accelerators: number,
-  changes: Partial<planTypes.Holding> = {},
-): planTypes.Holding => ({
+  changes: Partial<planTypes.Allocation> = {},
+): planTypes.Allocation => ({
   jobId: task,
   task,
   run: 1,
@@ -112,8 +112,8 @@
 
 /** The units of the jobs that are ready, after a wait. */
 export const makeUnits = (jobs: readonly poolJob.PoolJob[], waitedMs = 0): planTypes.PlanUnit[] => {
-  const queue = readyQueue.createReadyQueue(estimateBook.createEstimateBook());
-  const entries = jobs.map((job) => jobBook.createEntry(job, 0));
+  const queue = readyQueue.createReadyQueue(runtimeEstimates.createRuntimeEstimates());
+  const entries = jobs.map((job) => jobState.createJobEntry(job, 0));
   queue.units(entries, 0, 0);
   return queue.units(entries, waitedMs, waitedMs);
 };
--- a/src/coordination/common/pool/test/poolGuards.test.ts
+++ b/src/coordination/common/pool/test/poolGuards.test.ts
@@ -4,9 +4,9 @@
 import * as assert from 'node:assert/strict';
 import * as test from 'node:test';
 
-import * as endLedger from '../endLedger.js';
+import * as endTracker from '../endTracker.js';
 import * as leaseClock from '../leaseClock.js';
-import * as workerBlame from '../workerBlame.js';
+import * as workerSuspicion from '../workerSuspicion.js';
 
 const SAMPLE: leaseClock.ClockSample = { incarnationMs: 1, clockMs: 1000, atMs: 50 };
 
@@ -21,7 +21,7 @@
   }
 
   test.it('a lease has expired even on a worker whose clock is 2% slow', () => {
-    const byMs = leaseClock.lapsedBy(SAMPLE, 11_000);
+    const byMs = leaseClock.expiredByMs(SAMPLE, 11_000);
     const slowestClockMs = SAMPLE.clockMs + (byMs - SAMPLE.atMs) * 0.98;
     assert.ok(slowestClockMs >= 11_000);
   });
@@ -37,7 +37,7 @@
   ];
   for (const [name, stored, upTo] of CASES) {
     test.it(name, () => {
-      const ledger = endLedger.createEndLedger();
+      const ledger = endTracker.createEndTracker();
       [1, 2, 3].forEach(ledger.add);
       assert.equal(stored.map(ledger.note).at(-1), upTo);
     });
@@ -79,22 +79,22 @@
   ];
   for (const [name, ends, isSuspect] of CASES) {
     test.it(name, () => {
-      const suspicion = workerBlame.createWorkerBlame();
+      const suspicion = workerSuspicion.createWorkerSuspicion();
       for (const [jobId, isDone] of ends) {
-        if (isDone) workerBlame.noteSuccess(suspicion);
-        else workerBlame.noteFailure(suspicion, jobId, 0);
+        if (isDone) workerSuspicion.recordSuccess(suspicion);
+        else workerSuspicion.recordFailure(suspicion, jobId, 0);
       }
-      assert.equal(workerBlame.isSuspect(suspicion, 1), isSuspect);
+      assert.equal(workerSuspicion.isSuspect(suspicion, 1), isSuspect);
     });
   }
 
   test.it('a lasting fault makes the worker suspect for longer each time, up to a bound', () => {
-    const suspicion = workerBlame.createWorkerBlame();
+    const suspicion = workerSuspicion.createWorkerSuspicion();
     const periodsMs: number[] = [];
     let nowMs = 0;
     for (let round = 0; round < 6; round += 1) {
-      workerBlame.noteFailure(suspicion, `a${round}`, nowMs);
-      workerBlame.noteFailure(suspicion, `b${round}`, nowMs);
+      workerSuspicion.recordFailure(suspicion, `a${round}`, nowMs);
+      workerSuspicion.recordFailure(suspicion, `b${round}`, nowMs);
       periodsMs.push(suspicion.suspectUntilMs - nowMs);
       nowMs = suspicion.suspectUntilMs + 1;
     }
--- a/src/coordination/common/pool/test/progressBatch.test.ts
+++ b/src/coordination/common/pool/test/progressBatch.test.ts
@@ -93,7 +93,7 @@
   for (const it of CASES) {
     test.it(it.name, () => {
       const refusal = { isCommitted: false, current: it.current, isLeaseGone: false } as const;
-      const refused = progressBatch.judgeRefusal(BATCH, LEADERSHIP, refusal);
+      const refused = progressBatch.interpretRefusal(BATCH, LEADERSHIP, refusal);
       assert.equal(refused.outcome, it.outcome);
       assert.deepEqual(
         refused.cancels.map(({ key }) => key),
--- a/src/coordination/common/pool/test/estimateBook.test.ts
+++ b/src/coordination/common/pool/test/runtimeEstimates.test.ts
@@ -4,15 +4,15 @@
 import * as assert from 'node:assert/strict';
 import * as test from 'node:test';
 
-import * as estimateBook from '../estimateBook.js';
+import * as runtimeEstimates from '../runtimeEstimates.js';
 import * as jobChain from '../jobChain.js';
 import * as fixtures from './poolFixtures.js';
 
 const estimatesOf = (observed: readonly (readonly [declaredMs: number, workMs: number])[]) => {
-  const estimates = estimateBook.createEstimateBook();
+  const estimates = runtimeEstimates.createRuntimeEstimates();
   observed.forEach(([estimatedMs, workMs], index) => {
     const job = fixtures.makeJob([{ estimatedMs }], { jobId: `job-${index}` });
-    estimateBook.noteDone(estimates, job, fixtures.makeStep({ estimatedMs }), workMs);
+    runtimeEstimates.recordTask(estimates, job, fixtures.makeStep({ estimatedMs }), workMs);
   });
   return estimates;
 };
@@ -109,19 +109,19 @@
 test.describe('expected work', () => {
   for (const { name, observed, declaredMs, atLeastMs, atMostMs } of CASES) {
     test.it(name, () => {
-      const workMs = estimateBook.expectedWorkMs(estimatesOf(observed), 'queue', declaredMs);
+      const workMs = runtimeEstimates.expectedWorkMs(estimatesOf(observed), 'queue', declaredMs);
       assert.ok(workMs >= atLeastMs && workMs <= atMostMs, `expected ${workMs} ms`);
     });
   }
 
   test.it('a new leader uses what the previous leader observed of a job', () => {
-    const estimates = estimateBook.createEstimateBook();
+    const estimates = runtimeEstimates.createRuntimeEstimates();
     const job = fixtures.makeJob([{ estimatedMs: 100, count: 2 }]);
-    estimateBook.noteJob(estimates, job, [
+    runtimeEstimates.recordRestoredJob(estimates, job, [
       { step: 0, workMs: 3000 },
       { step: 0, workMs: 0 },
     ]);
-    assert.ok(estimateBook.expectedWorkMs(estimates, 'queue', 100) > 300);
+    assert.ok(runtimeEstimates.expectedWorkMs(estimates, 'queue', 100) > 300);
   });
 });
 
--- a/src/coordination/common/pool/test/heldUpRuns.test.ts
+++ b/src/coordination/common/pool/test/stragglers.test.ts
@@ -5,9 +5,9 @@
 import * as test from 'node:test';
 
 import type * as poolJob from '../../../../state/common/pool/poolJob.js';
-import * as estimateBook from '../estimateBook.js';
-import * as heldUpRuns from '../heldUpRuns.js';
-import * as jobBook from '../jobBook.js';
+import * as runtimeEstimates from '../runtimeEstimates.js';
+import * as stragglers from '../stragglers.js';
+import * as jobState from '../jobState.js';
 import * as runPace from '../runPace.js';
 import * as workerTable from '../workerTable.js';
 import * as fixtures from './poolFixtures.js';
@@ -35,12 +35,12 @@
   speed: number,
   jobId = 'job',
 ): void => {
-  const entry = jobBook.createEntry(fixtures.makeJob([step], { jobId, acceptedAtMs: 0 }), 0);
-  const tasks = jobBook.tasksOf(entry);
+  const entry = jobState.createJobEntry(fixtures.makeJob([step], { jobId, acceptedAtMs: 0 }), 0);
+  const tasks = jobState.tasksOf(entry);
   const assigned = tasks.map(
     (_, index) => workers[index % workers.length] as workerTable.WorkerEntry,
   );
-  jobBook.assign(
+  jobState.assign(
     entry,
     tasks.map((task, index) => ({
       task,
@@ -50,22 +50,22 @@
     })),
   );
   tasks.forEach((task, index) => {
-    const run = workerTable.createRun(entry, task, workerTable.RunPhase.present, 0);
+    const run = workerTable.createActiveRun(entry, task, workerTable.RunPhase.present, 0);
     const percent = (100 * 1000 * speed) / run.step.estimatedMs;
-    runPace.noteProgress(run.pace, 0, 0, run.step.estimatedMs);
-    runPace.noteProgress(run.pace, 1000, percent, run.step.estimatedMs);
+    runPace.recordProgress(run.pace, 0, 0, run.step.estimatedMs);
+    runPace.recordProgress(run.pace, 1000, percent, run.step.estimatedMs);
     run.percent = percent;
     assigned[index]?.runs.set(workerTable.runKey(run.name, run.run), run);
   });
 };
 
 /** Estimates of a queue whose tasks took these multiples of their declared work. */
-const estimatesOf = (factors: readonly number[]): estimateBook.EstimateBook => {
-  const estimates = estimateBook.createEstimateBook();
+const estimatesOf = (factors: readonly number[]): runtimeEstimates.RuntimeEstimates => {
+  const estimates = runtimeEstimates.createRuntimeEstimates();
   const step = fixtures.makeStep({ estimatedMs: 1000 });
   factors.forEach((factor, index) => {
     const job = fixtures.makeJob([step], { jobId: `done-${index}` });
-    estimateBook.noteDone(estimates, job, step, 1000 * factor);
+    runtimeEstimates.recordTask(estimates, job, step, 1000 * factor);
   });
   return estimates;
 };
@@ -154,7 +154,7 @@
     test.it(it.name, () => {
       const workers = (it.racks ?? ['r1']).map((rack, index) => createWorker(index, rack));
       startJob(workers, it.step, it.speed);
-      const relocated = heldUpRuns.findHeldUp(workers, TRUSTED, it.nowMs ?? 0);
+      const relocated = stragglers.findStragglers(workers, TRUSTED, it.nowMs ?? 0);
       assert.equal(relocated.length, it.isRelocated ? 1 : 0);
     });
   }
@@ -174,7 +174,7 @@
       const worker = createWorker(0);
       startJob([worker], FOUR_SECONDS, 0.1);
       const estimates = estimatesOf(factors);
-      assert.equal(heldUpRuns.findHeldUp([worker], estimates, 8000).length, isTrusted ? 1 : 0);
+      assert.equal(stragglers.findStragglers([worker], estimates, 8000).length, isTrusted ? 1 : 0);
     });
   }
 
@@ -190,25 +190,25 @@
       startJob(workers, { ...FOUR_SECONDS, count: 2 }, 0.1);
       const [, second] = workers;
       for (const run of second?.runs.values() ?? []) run.pace.speed = elsewhere;
-      assert.equal(heldUpRuns.findHeldUp(workers, TRUSTED, 8000).length, isTrusted ? 1 : 0);
+      assert.equal(stragglers.findStragglers(workers, TRUSTED, 8000).length, isTrusted ? 1 : 0);
     });
   }
 
   test.it('is relocated at most twice', () => {
     const worker = createWorker(0);
     startJob([worker], FOUR_SECONDS, 0);
-    for (const run of worker.runs.values()) run.task.moves = heldUpRuns.MAX_MOVES;
-    assert.deepEqual(heldUpRuns.findHeldUp([worker], TRUSTED, 8000), []);
+    for (const run of worker.runs.values()) run.task.relocations = stragglers.MAX_RELOCATIONS;
+    assert.deepEqual(stragglers.findStragglers([worker], TRUSTED, 8000), []);
   });
 
   test.it(
     'has a speed only over a conclusive span, not between reports in quick succession',
     () => {
       const pace = runPace.createRunPace();
-      runPace.noteProgress(pace, 0, 0, 10_000);
-      runPace.noteProgress(pace, 100, 0, 10_000);
+      runPace.recordProgress(pace, 0, 0, 10_000);
+      runPace.recordProgress(pace, 100, 0, 10_000);
       assert.equal(pace.speed, undefined);
-      runPace.noteProgress(pace, 1000, 10, 10_000);
+      runPace.recordProgress(pace, 1000, 10, 10_000);
       assert.equal(pace.speed, 1);
     },
   );
--- a/src/coordination/common/pool/test/workerTable.test.ts
+++ b/src/coordination/common/pool/test/workerTable.test.ts
@@ -5,8 +5,8 @@
 import * as test from 'node:test';
 
 import type * as poolJob from '../../../../state/common/pool/poolJob.js';
-import * as estimateBook from '../estimateBook.js';
-import * as jobBook from '../jobBook.js';
+import * as runtimeEstimates from '../runtimeEstimates.js';
+import * as jobState from '../jobState.js';
 import * as workerTable from '../workerTable.js';
 import * as fixtures from './poolFixtures.js';
 
@@ -32,10 +32,10 @@
 };
 
 const addRun = (worker: workerTable.WorkerEntry, step: Partial<poolJob.Step>): void => {
-  const entry = jobBook.createEntry(fixtures.makeJob([step]), 0);
-  const [task] = jobBook.tasksOf(entry);
+  const entry = jobState.createJobEntry(fixtures.makeJob([step]), 0);
+  const [task] = jobState.tasksOf(entry);
   assert.ok(task);
-  const run = workerTable.createRun(entry, task, workerTable.RunPhase.present, 0);
+  const run = workerTable.createActiveRun(entry, task, workerTable.RunPhase.present, 0);
   worker.runs.set(workerTable.runKey(run.name, run.run), run);
 };
 
@@ -49,7 +49,7 @@
     test.it(name, () => {
       const worker = createWorker();
       addRun(worker, step);
-      const [allocation] = workerTable.toPlanWorker(worker, NOW_MS)?.holdings ?? [];
+      const [allocation] = workerTable.toPlanWorker(worker, NOW_MS)?.allocations ?? [];
       assert.equal(allocation?.unsavedMs, unsavedMs);
     });
   }
@@ -57,7 +57,7 @@
   test.it('a filler occupies memory and accelerators, but no processor capacity', () => {
     const worker = createWorker();
     addRun(worker, { isFiller: true });
-    assert.deepEqual(workerTable.freeRoom(worker), {
+    assert.deepEqual(workerTable.freeCapacity(worker), {
       cpuMillicores: 8000,
       memoryMb: 7000,
       accelerators: 7,
@@ -66,21 +66,21 @@
 
   // Guards against a claim that, right after a takeover, preempts runs that are nearly done.
   test.it('a run of a previous leader counts from its start', () => {
-    const entry = jobBook.createEntry(fixtures.makeJob([{}]), 0);
-    const tasks = jobBook.tasksOf(entry);
+    const entry = jobState.createJobEntry(fixtures.makeJob([{}]), 0);
+    const tasks = jobState.tasksOf(entry);
     const assignments = tasks.map((task) => ({
       task,
       workerId: 'w',
       incarnationMs: 1,
       agentId: 'agent',
     }));
-    jobBook.assign(entry, assignments, { wallMs: 500_000, distanceFactor: 3 });
+    jobState.assign(entry, assignments, { wallMs: 500_000, distanceFactor: 3 });
     const [task] = tasks;
     assert.ok(task);
-    const run = workerTable.createRun(entry, task, workerTable.RunPhase.present, NOW_MS);
-    const estimates = estimateBook.createEstimateBook();
-    workerTable.countFromStart(run, estimates, { nowMs: NOW_MS, wallMs: 502_000 });
-    assert.equal(run.sinceMs, NOW_MS - 2000);
+    const run = workerTable.createActiveRun(entry, task, workerTable.RunPhase.present, NOW_MS);
+    const estimates = runtimeEstimates.createRuntimeEstimates();
+    workerTable.restoreStartTime(run, estimates, { nowMs: NOW_MS, wallMs: 502_000 });
+    assert.equal(run.startedAtMs, NOW_MS - 2000);
     assert.equal(run.expectedMs, 3000);
     assert.equal(workerTable.observedWorkMs(run, NOW_MS + 1000), 1000);
   });
@@ -102,13 +102,13 @@
   ];
   for (const [name, { percent, saved = '', first }, remainingMs] of REMAINING) {
     test.it(`remaining time ${name}`, () => {
-      const entry = jobBook.createEntry(fixtures.makeJob([{}]), 0);
-      const [task] = jobBook.tasksOf(entry);
+      const entry = jobState.createJobEntry(fixtures.makeJob([{}]), 0);
+      const [task] = jobState.tasksOf(entry);
       assert.ok(task);
       task.saved = saved;
-      const run = workerTable.createRun(entry, task, workerTable.RunPhase.present, 0);
+      const run = workerTable.createActiveRun(entry, task, workerTable.RunPhase.present, 0);
       run.percent = percent;
-      run.first = first;
+      run.firstProgress = first;
       assert.equal(workerTable.remainingMsOf(run, NOW_MS), remainingMs);
     });
   }
@@ -129,7 +129,7 @@
     test.it(`whether a worker's runs have ended ${name}`, () => {
       const worker = createWorker();
       worker.isReachable = isReachable;
-      assert.equal(workerTable.isLapsed(worker, nowMs), hasEnded);
+      assert.equal(workerTable.haveRunsExpired(worker, nowMs), hasEnded);
     });
   }
 
--- a/src/coordination/common/pool/workerBlame.ts
+++ b/src/coordination/common/pool/workerSuspicion.ts
@@ -8,7 +8,7 @@
  */
 
 /** Suspicion against one incarnation of a worker. */
-export interface WorkerBlame {
+export interface WorkerSuspicion {
   /** Jobs whose tasks failed here since the last success. */
   failedJobs: string[];
   /** Leader's clock until which the worker gets tasks only where no other worker can hold them. */
@@ -32,7 +32,7 @@
 /**
  * @returns the record of a worker without suspicion
  */
-export const createWorkerBlame = (): WorkerBlame => ({
+export const createWorkerSuspicion = (): WorkerSuspicion => ({
   failedJobs: [],
   suspectUntilMs: 0,
   suspicions: 0,
@@ -43,13 +43,13 @@
  * @param nowMs - the leader's clock
  * @returns whether the worker is suspect now
  */
-export const isSuspect = (suspicion: WorkerBlame, nowMs: number): boolean =>
+export const isSuspect = (suspicion: WorkerSuspicion, nowMs: number): boolean =>
   nowMs < suspicion.suspectUntilMs;
 
 /**
  * @param suspicion - a worker's suspicion record
  */
-export const noteSuccess = (suspicion: WorkerBlame): void => {
+export const recordSuccess = (suspicion: WorkerSuspicion): void => {
   suspicion.failedJobs = [];
   suspicion.suspicions = 0;
 };
@@ -60,7 +60,11 @@
  * @param nowMs - the leader's clock
  * @returns whether the worker has become suspect by it
  */
-export const noteFailure = (suspicion: WorkerBlame, jobId: string, nowMs: number): boolean => {
+export const recordFailure = (
+  suspicion: WorkerSuspicion,
+  jobId: string,
+  nowMs: number,
+): boolean => {
   if (!suspicion.failedJobs.includes(jobId)) suspicion.failedJobs.push(jobId);
   // After a suspicion period one failure is enough: the fault has lasted.
   const needed = suspicion.suspicions > 0 ? 1 : JOBS_TO_SUSPECT;
@@ -76,6 +80,6 @@
  * @param suspicion - a worker's suspicion record
  * @param nowMs - the leader's clock
  */
-export const noteStall = (suspicion: WorkerBlame, nowMs: number): void => {
+export const recordStall = (suspicion: WorkerSuspicion, nowMs: number): void => {
   suspicion.suspectUntilMs = Math.max(suspicion.suspectUntilMs, nowMs + STALL_SUSPICION_MS);
 };
--- a/src/coordination/common/pool/workerTable.ts
+++ b/src/coordination/common/pool/workerTable.ts
@@ -4,14 +4,14 @@
 import * as agentContract from '../../../state/common/pool/agentContract.js';
 import * as poolJob from '../../../state/common/pool/poolJob.js';
 import * as poolWorker from '../../../state/common/pool/poolWorker.js';
-import * as endLedger from './endLedger.js';
-import * as estimateBook from './estimateBook.js';
-import type * as jobBook from './jobBook.js';
+import * as endTracker from './endTracker.js';
+import * as runtimeEstimates from './runtimeEstimates.js';
+import type * as jobState from './jobState.js';
 import type * as jobChain from './jobChain.js';
 import type * as leaseClock from './leaseClock.js';
 import type * as planTypes from './planTypes.js';
 import * as runPace from './runPace.js';
-import * as workerBlame from './workerBlame.js';
+import * as workerSuspicion from './workerSuspicion.js';
 
 /** Where a run is between its start order and its reported end. */
 export const RunPhase = {
@@ -32,34 +32,34 @@
 export type RunPhase = (typeof RunPhase)[keyof typeof RunPhase];
 
 /** A run that occupies capacity on a worker. */
-export interface RunHolding {
+export interface ActiveRun {
   readonly name: string;
   readonly run: number;
-  readonly entry: jobBook.JobEntry;
-  readonly task: jobBook.TaskEntry;
+  readonly entry: jobState.JobEntry;
+  readonly task: jobState.TaskEntry;
   readonly step: poolJob.Step;
   readonly room: poolJob.Resources;
   readonly stepKey: string;
   readonly groupKey: string;
   /** Leader's clock when the run was ordered, or first reported. */
-  sinceMs: number;
+  startedAtMs: number;
   /** Expected runtime where it is, from its start; used until its own progress is conclusive. */
   expectedMs: number;
   /** Factor by which it takes longer than with local data; 0 where unknown. */
   readonly distanceFactor: number;
   /** The first progress that its worker reported, and the leader's clock then; undefined before. */
-  first: { readonly percent: number; readonly atMs: number } | undefined;
+  firstProgress: { readonly percent: number; readonly atMs: number } | undefined;
   phase: RunPhase;
   /** Fence under which the worker must have answered before the run counts as gone. */
   closeFence: number;
   /** Leader's clock until which a delayed duplicate of its order may run; 0 where all were acknowledged. */
-  lateUntilMs: number;
+  delayedOrderUntilMs: number;
   percent: number;
   saved: string;
   /** It resumes from a checkpoint of an earlier run. */
   readonly isResumed: boolean;
   /** Leader's clock when {@link percent} last rose. */
-  movedAtMs: number;
+  progressedAtMs: number;
   /** Its speed. */
   readonly pace: runPace.RunPace;
   /** Leader's clock of the last stop order. */
@@ -79,19 +79,19 @@
   /** Ends up to this one are applied to the jobs. */
   appliedUpTo: number;
   /** Ends of the worker's current incarnation, and which of them are stored. */
-  ends: endLedger.EndLedger;
+  endTracker: endTracker.EndTracker;
   /** The worker's clock in the newest report that was applied; older reports are dropped. */
   viewClockMs: number;
   sample: leaseClock.ClockSample | undefined;
   /** Leader's clock by which every lease that it or a previous leader granted here has expired. */
-  leasesLapseAtMs: number;
+  leasesExpireAtMs: number;
   /** Leader's clock at which a draining worker ends; infinite for a worker that is not draining. */
-  leavesAtMs: number;
+  drainEndsAtMs: number;
   isReachable: boolean;
   contactedAtMs: number;
-  readonly runs: Map<string, RunHolding>;
+  readonly runs: Map<string, ActiveRun>;
   /** Suspicion against the worker's current incarnation. */
-  blame: workerBlame.WorkerBlame;
+  suspicion: workerSuspicion.WorkerSuspicion;
 }
 
 /** Fences of one epoch; each time that earlier orders must be refused uses up one step of them. */
@@ -124,7 +124,7 @@
  * @param url - URL of the agent
  * @param fence - first fence of the leader's epoch
  * @param nowMs - the leader's clock
- * @param formerLapseAtMs - time by which every lease that a previous leader granted here has expired
+ * @param previousLeasesExpireAtMs - time by which every lease that a previous leader granted here has expired
  * @returns an agent whose worker is not known yet
  */
 export const createWorkerEntry = (
@@ -132,7 +132,7 @@
   url: string,
   fence: number,
   nowMs: number,
-  formerLapseAtMs: number,
+  previousLeasesExpireAtMs: number,
 ): WorkerEntry => ({
   agentId,
   url,
@@ -141,15 +141,15 @@
   fence,
   seenUpTo: 0,
   appliedUpTo: 0,
-  ends: endLedger.createEndLedger(),
+  endTracker: endTracker.createEndTracker(),
   viewClockMs: 0,
   sample: undefined,
-  leasesLapseAtMs: formerLapseAtMs,
-  leavesAtMs: Infinity,
+  leasesExpireAtMs: previousLeasesExpireAtMs,
+  drainEndsAtMs: Infinity,
   isReachable: false,
   contactedAtMs: nowMs,
   runs: new Map(),
-  blame: workerBlame.createWorkerBlame(),
+  suspicion: workerSuspicion.createWorkerSuspicion(),
 });
 
 /**
@@ -158,8 +158,8 @@
  * @returns keys of the task, its step and the group that it runs and ends with
  */
 export const keysOf = (
-  entry: jobBook.JobEntry,
-  task: jobBook.TaskEntry,
+  entry: jobState.JobEntry,
+  task: jobState.TaskEntry,
 ): { readonly name: string; readonly stepKey: string; readonly groupKey: string } => {
   const { jobId, steps } = entry.job;
   const name = poolWorker.formatTaskName({ jobId, ...task });
@@ -174,12 +174,12 @@
  * @param nowMs - the leader's clock
  * @returns the run as it occupies capacity on its worker
  */
-export const createRun = (
-  entry: jobBook.JobEntry,
-  task: jobBook.TaskEntry,
+export const createActiveRun = (
+  entry: jobState.JobEntry,
+  task: jobState.TaskEntry,
   phase: RunPhase,
   nowMs: number,
-): RunHolding => {
+): ActiveRun => {
   const step = entry.job.steps[task.step] as poolJob.Step;
   return {
     ...keysOf(entry, task),
@@ -187,18 +187,18 @@
     entry,
     task,
     step,
-    room: poolJob.roomOf(step),
-    sinceMs: nowMs,
+    room: poolJob.consumedResources(step),
+    startedAtMs: nowMs,
     expectedMs: step.estimatedMs,
     distanceFactor: task.distanceFactor,
-    first: undefined,
+    firstProgress: undefined,
     phase,
     closeFence: 0,
-    lateUntilMs: 0,
+    delayedOrderUntilMs: 0,
     percent: 0,
     saved: task.saved,
     isResumed: task.saved !== '',
-    movedAtMs: nowMs,
+    progressedAtMs: nowMs,
     pace: runPace.createRunPace(),
     stopSentAtMs: 0,
   };
@@ -220,7 +220,7 @@
  * @param run - a run
  * @param workMs - expected runtime of its task with local data
  */
-export const expectWork = (run: RunHolding, workMs: number): void => {
+export const setExpectedWork = (run: ActiveRun, workMs: number): void => {
   run.expectedMs = workMs * Math.max(1, run.distanceFactor);
 };
 
@@ -232,16 +232,16 @@
  * @param estimates - runtime estimates of tasks
  * @param now - the leader's clock and Unix milliseconds
  */
-export const countFromStart = (
-  run: RunHolding,
-  estimates: estimateBook.EstimateBook,
+export const restoreStartTime = (
+  run: ActiveRun,
+  estimates: runtimeEstimates.RuntimeEstimates,
   now: { readonly nowMs: number; readonly wallMs: number },
 ): void => {
   const { task, entry, step } = run;
   const heldMs = task.startedAtWallMs === 0 ? 0 : Math.max(0, now.wallMs - task.startedAtWallMs);
-  run.sinceMs = now.nowMs - heldMs;
+  run.startedAtMs = now.nowMs - heldMs;
   const { queue } = entry.job.policy;
-  expectWork(run, estimateBook.expectedWorkMs(estimates, queue, step.estimatedMs));
+  setExpectedWork(run, runtimeEstimates.expectedWorkMs(estimates, queue, step.estimatedMs));
 };
 
 /**
@@ -249,9 +249,9 @@
  * @param nowMs - the leader's clock
  * @returns expected time to its end, from its own progress where that is conclusive
  */
-export const remainingMsOf = (run: RunHolding, nowMs: number): number => {
-  const elapsedMs = nowMs - run.sinceMs;
-  const { first, percent } = run;
+export const remainingMsOf = (run: ActiveRun, nowMs: number): number => {
+  const elapsedMs = nowMs - run.startedAtMs;
+  const { firstProgress: first, percent } = run;
   if (run.isResumed) {
     // Its percentage includes earlier runs: only progress since its first report shows its own speed.
     const done = first === undefined ? 0 : percent - first.percent;
@@ -268,10 +268,10 @@
  * @param nowMs - the leader's clock
  * @returns its runtime converted to that with local data; 0 where its start or locality is unknown
  */
-export const observedWorkMs = (run: RunHolding, nowMs: number): number => {
-  const { distanceFactor, first } = run;
+export const observedWorkMs = (run: ActiveRun, nowMs: number): number => {
+  const { distanceFactor, firstProgress: first } = run;
   if (distanceFactor === 0) return 0;
-  if (!run.isResumed) return (nowMs - run.sinceMs) / distanceFactor;
+  if (!run.isResumed) return (nowMs - run.startedAtMs) / distanceFactor;
   if (first === undefined || first.percent > MAX_CONCLUSIVE_PERCENT) return 0;
   return ((nowMs - first.atMs) * 100) / (100 - first.percent) / distanceFactor;
 };
@@ -281,10 +281,10 @@
  * @param heldMs - how long it has run
  * @returns work that a stop loses
  */
-export const lostByStopMs = (step: poolJob.Step, heldMs: number): number =>
+export const workLostByStopMs = (step: poolJob.Step, heldMs: number): number =>
   step.isCheckpointing ? Math.min(RESTORE_MS, heldMs) : heldMs;
 
-const toAllocation = (run: RunHolding, nowMs: number): planTypes.Holding => ({
+const toAllocation = (run: ActiveRun, nowMs: number): planTypes.Allocation => ({
   jobId: run.entry.job.jobId,
   task: run.name,
   run: run.run,
@@ -297,7 +297,7 @@
   isProtected: run.step.maxUnavailable !== undefined,
   preemptions: run.entry.preemptions,
   isCheckpointing: run.step.isCheckpointing,
-  unsavedMs: lostByStopMs(run.step, nowMs - run.sinceMs),
+  unsavedMs: workLostByStopMs(run.step, nowMs - run.startedAtMs),
   remainingMs: remainingMsOf(run, nowMs),
 });
 
@@ -305,7 +305,7 @@
  * @param worker - an agent with its worker
  * @returns capacity that no run occupies
  */
-export const freeRoom = (worker: WorkerEntry): poolJob.Resources => {
+export const freeCapacity = (worker: WorkerEntry): poolJob.Resources => {
   let free = worker.info?.capacity ?? poolJob.NO_RESOURCES;
   for (const run of worker.runs.values()) free = poolJob.addResources(free, run.room, -1);
   return free;
@@ -315,7 +315,7 @@
  * @param worker - an agent with its worker
  * @returns whether the worker may get new tasks
  */
-export const takesTasks = (worker: WorkerEntry): boolean =>
+export const acceptsTasks = (worker: WorkerEntry): boolean =>
   worker.isReachable &&
   worker.info?.state === poolWorker.WorkerState.ready &&
   worker.sample?.incarnationMs === worker.info.incarnationMs;
@@ -324,16 +324,16 @@
  * @param workers - agents with their workers
  * @returns counts how many tasks of a step all of them hold; counted once for each kind of task
  */
-export const createSlotCount = (workers: Iterable<WorkerEntry>): jobChain.SlotsOf => {
+export const createSlotCounter = (workers: Iterable<WorkerEntry>): jobChain.SlotsOf => {
   const infos = [...workers].flatMap(({ info }) => info ?? []);
   const counts = new Map<string, number>();
   return (service, step) => {
-    const room = poolJob.roomOf(step);
+    const room = poolJob.consumedResources(step);
     const key = `${service} ${room.cpuMillicores} ${room.memoryMb} ${room.accelerators}`;
     const known = counts.get(key);
     if (known !== undefined) return known;
     const its = infos.filter((it) => it.service === service);
-    const count = its.reduce((sum, it) => sum + poolJob.timesThatFit(it.capacity, room), 0);
+    const count = its.reduce((sum, it) => sum + poolJob.countFittingTasks(it.capacity, room), 0);
     counts.set(key, count);
     return count;
   };
@@ -347,8 +347,8 @@
  * @param nowMs - the leader's clock
  * @returns whether every run that may have been there has ended
  */
-export const isLapsed = (worker: WorkerEntry, nowMs: number): boolean =>
-  !worker.isReachable && nowMs > worker.leasesLapseAtMs;
+export const haveRunsExpired = (worker: WorkerEntry, nowMs: number): boolean =>
+  !worker.isReachable && nowMs > worker.leasesExpireAtMs;
 
 /**
  * @param worker - an agent with its worker
@@ -360,7 +360,7 @@
   nowMs: number,
 ): planTypes.PlanWorker | undefined => {
   const { info } = worker;
-  if (info === undefined || !takesTasks(worker)) return undefined;
+  if (info === undefined || !acceptsTasks(worker)) return undefined;
   return {
     workerId: info.workerId,
     agentId: worker.agentId,
@@ -369,9 +369,9 @@
     rack: info.rack ?? '',
     labels: info.labels,
     capacity: info.capacity,
-    free: freeRoom(worker),
-    holdings: [...worker.runs.values()].map((run) => toAllocation(run, nowMs)),
-    isSuspect: workerBlame.isSuspect(worker.blame, nowMs),
+    free: freeCapacity(worker),
+    allocations: [...worker.runs.values()].map((run) => toAllocation(run, nowMs)),
+    isSuspect: workerSuspicion.isSuspect(worker.suspicion, nowMs),
     placedSteps: new Map(),
   };
 };
--- a/src/coordination/common/reclaim.ts
+++ b/src/coordination/common/reclaim.ts
@@ -7,12 +7,12 @@
  */
 import type * as job from '../../state/common/job.js';
 
-import * as cellSpace from './cellSpace.js';
+import * as cellCapacity from './cellCapacity.js';
 
 /** Placement of a gang, and the jobs to be preempted for it. */
 export interface ReclaimChoice {
-  readonly plan: cellSpace.GangPlan;
-  readonly victims: readonly cellSpace.Borrower[];
+  readonly plan: cellCapacity.GangPlan;
+  readonly victims: readonly cellCapacity.Borrower[];
   readonly lossMs: number;
 }
 
@@ -21,21 +21,21 @@
   /** Maximum accelerators that the gang may use on a worker. */
   readonly limit: (worker: number) => number;
   /** Whether a borrower may be stopped; those already stopping always count as free. */
-  readonly canStop: (borrower: cellSpace.Borrower) => boolean;
+  readonly canStop: (borrower: cellCapacity.Borrower) => boolean;
 }
 
 interface Selection {
-  readonly chosen: Set<cellSpace.Borrower>;
+  readonly chosen: Set<cellCapacity.Borrower>;
   lossMs: number;
 }
 
 const availableWith = (
-  capacity: cellSpace.CellSpace,
+  capacity: cellCapacity.CellCapacity,
   worker: number,
-  chosen: ReadonlySet<cellSpace.Borrower>,
+  chosen: ReadonlySet<cellCapacity.Borrower>,
 ): number => {
   if (capacity.workers[worker]?.health !== 'ready') return 0;
-  let open = cellSpace.openOn(capacity, worker);
+  let open = cellCapacity.availableOn(capacity, worker);
   for (const it of capacity.borrowers[worker] ?? []) {
     if (it.isLeaving || chosen.has(it)) open += it.held.get(worker) ?? 0;
   }
@@ -48,7 +48,7 @@
 };
 
 interface VictimSet {
-  readonly victims: readonly cellSpace.Borrower[];
+  readonly victims: readonly cellCapacity.Borrower[];
   readonly lossMs: number;
 }
 
@@ -56,16 +56,16 @@
 
 /** Lowest-loss further victims that free the needed accelerators on a worker. */
 const victimsOn = (
-  capacity: cellSpace.CellSpace,
+  capacity: cellCapacity.CellCapacity,
   rules: ReclaimRules,
   worker: number,
   need: number,
-  chosen: ReadonlySet<cellSpace.Borrower>,
+  chosen: ReadonlySet<cellCapacity.Borrower>,
 ): VictimSet | undefined => {
   if (capacity.workers[worker]?.health !== 'ready') return undefined;
   let open = availableWith(capacity, worker, chosen);
   if (open >= need) return NO_VICTIMS;
-  const victims: cellSpace.Borrower[] = [];
+  const victims: cellCapacity.Borrower[] = [];
   let lossMs = 0;
   for (const it of capacity.borrowers[worker] ?? []) {
     if (it.isLeaving || chosen.has(it) || !rules.canStop(it)) continue;
@@ -78,7 +78,7 @@
 };
 
 const chooseOnWorker = (
-  capacity: cellSpace.CellSpace,
+  capacity: cellCapacity.CellCapacity,
   worker: number,
   spec: job.JobSpec,
   rules: ReclaimRules,
@@ -95,7 +95,7 @@
 };
 
 const chooseInGroup = (
-  capacity: cellSpace.CellSpace,
+  capacity: cellCapacity.CellCapacity,
   group: readonly number[],
   spec: job.JobSpec,
   rules: ReclaimRules,
@@ -138,11 +138,11 @@
 
 /** Removes each victim without which the gang still fits, highest loss first. */
 const pruneVictims = (
-  capacity: cellSpace.CellSpace,
-  plan: cellSpace.GangPlan,
+  capacity: cellCapacity.CellCapacity,
+  plan: cellCapacity.GangPlan,
   per: number,
-  chosen: ReadonlySet<cellSpace.Borrower>,
-): { readonly victims: cellSpace.Borrower[]; readonly lossMs: number } => {
+  chosen: ReadonlySet<cellCapacity.Borrower>,
+): { readonly victims: cellCapacity.Borrower[]; readonly lossMs: number } => {
   const remaining = new Set(chosen);
   const byDescendingLoss = [...chosen].sort((a, b) => b.lossMs - a.lossMs);
   for (const victim of byDescendingLoss) {
@@ -163,12 +163,12 @@
  * @returns the choice with the least loss, or undefined where none makes the gang fit
  */
 export const chooseVictims = (
-  capacity: cellSpace.CellSpace,
+  capacity: cellCapacity.CellCapacity,
   spec: job.JobSpec,
   rules: ReclaimRules,
 ): ReclaimChoice | undefined => {
   let best: ReclaimChoice | undefined;
-  for (const group of cellSpace.groupsFor(capacity, spec)) {
+  for (const group of cellCapacity.groupsFor(capacity, spec)) {
     const maxLossMs = best?.lossMs ?? Number.POSITIVE_INFINITY;
     const [only] = group;
     const choice =
--- a/src/coordination/common/reservations.ts
+++ b/src/coordination/common/reservations.ts
@@ -10,7 +10,7 @@
  */
 import * as job from '../../state/common/job.js';
 
-import * as cellSpace from './cellSpace.js';
+import * as cellCapacity from './cellCapacity.js';
 import * as gangFit from './gangFit.js';
 import * as guaranteeCheck from './guaranteeCheck.js';
 import * as planningRound from './planningRound.js';
@@ -22,7 +22,7 @@
 export const MAX_RESERVATIONS = 2;
 
 /** A job started this often is preempted only by a guaranteed claim. */
-export const SQUEEZE_LIMIT = 3;
+export const PREEMPTION_ATTEMPT_LIMIT = 3;
 
 /** Compaction must save this many times the accelerator time it loses, or jobs only get moved. */
 export const COMPACTION_GAIN = 3;
@@ -50,7 +50,7 @@
  * @returns whether it may be stopped for a reservation and resumed later
  */
 export const canYield = (record: job.JobRecord): boolean =>
-  record.spec.isCheckpointable && record.attempt < SQUEEZE_LIMIT;
+  record.spec.isCheckpointable && record.attempt < PREEMPTION_ATTEMPT_LIMIT;
 
 /**
  * @param round - the round
@@ -72,7 +72,7 @@
  * @param round - the round; changed
  */
 export const keepClearable = (round: planningRound.PlanningRound): void => {
-  const { space: capacity, view } = round;
+  const { capacity, view } = round;
   const left = [...capacity.claimable];
   for (const record of round.placed) {
     if (record.spec.claim !== job.Claim.spare || !isPinning(round, record)) continue;
@@ -114,7 +114,7 @@
   const startedAtMs = borrower.startedAtMs ?? round.view.nowMs;
   if (isLarge(round, borrower)) return false;
   // Without the limit a job that always exceeds its estimate would be stopped forever.
-  if (borrower.attempt >= SQUEEZE_LIMIT) return false;
+  if (borrower.attempt >= PREEMPTION_ATTEMPT_LIMIT) return false;
   if (borrower.spec.isCheckpointable) return true;
   return startedAtMs >= waiting.submittedAtMs && exceedsEstimate(round, borrower);
 };
@@ -142,7 +142,7 @@
 /** Time and placement at which a large job is expected to fit. */
 export interface Reservation {
   readonly atMs: number;
-  readonly plan: cellSpace.GangPlan;
+  readonly plan: cellCapacity.GangPlan;
 }
 
 /**
@@ -154,12 +154,12 @@
   round: planningRound.PlanningRound,
   record: job.JobRecord,
 ): Reservation | undefined => {
-  const { space: capacity } = round;
-  const failed = planningRound.failedOn(round, record);
-  const expectedFree = capacity.all.map((worker) => cellSpace.openOn(capacity, worker));
+  const { capacity } = round;
+  const failed = planningRound.excludedWorkers(round, record);
+  const expectedFree = capacity.all.map((worker) => cellCapacity.availableOn(capacity, worker));
   const isReady = capacity.workers.map((it) => it.health === 'ready');
   const open = (worker: number): number => (failed.has(worker) ? 0 : (expectedFree[worker] ?? 0));
-  const groups = cellSpace.groupsFor(capacity, record.spec);
+  const groups = cellCapacity.groupsFor(capacity, record.spec);
   const { members, acceleratorsPerMember: per } = record.spec;
   const membersThatFit = (worker: number): number => Math.floor(open(worker) / per);
   const groupOf = capacity.all.map(() => 0);
@@ -180,7 +180,7 @@
     }
     if (!fitsNow) continue;
     const rules = { open, setAside: NOTHING_SET_ASIDE, isAhead: true };
-    const plan = gangFit.findGang(capacity, record.spec, rules);
+    const plan = gangFit.findGangPlan(capacity, record.spec, rules);
     if (plan !== undefined) return { atMs: ending.atMs, plan };
   }
   return undefined;
@@ -194,13 +194,13 @@
   choice: reclaim.ReclaimChoice,
   perMember: number,
 ): boolean => {
-  const { space: capacity } = round;
-  const open = capacity.all.map((worker) => cellSpace.openOn(capacity, worker));
+  const { capacity } = round;
+  const open = capacity.all.map((worker) => cellCapacity.availableOn(capacity, worker));
   for (const { worker, members } of choice.plan) {
     open[worker] = Math.max(0, (open[worker] ?? 0) - members * perMember);
   }
   return choice.victims.every(({ record }) => {
-    const plan = gangFit.findGang(capacity, record.spec, {
+    const plan = gangFit.findGangPlan(capacity, record.spec, {
       open: (worker) => open[worker] ?? 0,
       setAside: NOTHING_SET_ASIDE,
     });
@@ -213,18 +213,18 @@
 };
 
 const tryPreemption = (round: planningRound.PlanningRound, record: job.JobRecord): boolean => {
-  const failed = planningRound.failedOn(round, record);
+  const failed = planningRound.excludedWorkers(round, record);
   const per = record.spec.acceleratorsPerMember;
-  const choice = reclaim.chooseVictims(round.space, record.spec, {
+  const choice = reclaim.chooseVictims(round.capacity, record.spec, {
     limit: (worker) => (failed.has(worker) ? 0 : Number.POSITIVE_INFINITY),
     canStop: (it) => yieldsTo(round, record, it.record),
   });
   if (choice === undefined) return false;
-  planningRound.makeRoom(round, choice.plan, per, choice.victims, {
+  planningRound.preemptFor(round, choice.plan, per, choice.victims, {
     cause: 'reclaimed',
     why: `yields to the reservation of large job ${record.spec.jobId}`,
   });
-  planningRound.wait(round, record, 'reserved: waits for preempted jobs to stop');
+  planningRound.recordWait(round, record, 'reserved: waits for preempted jobs to stop');
   return true;
 };
 
@@ -233,9 +233,9 @@
   record: job.JobRecord,
   savedMs: number,
 ): boolean => {
-  const failed = planningRound.failedOn(round, record);
+  const failed = planningRound.excludedWorkers(round, record);
   const per = record.spec.acceleratorsPerMember;
-  const choice = reclaim.chooseVictims(round.space, record.spec, {
+  const choice = reclaim.chooseVictims(round.capacity, record.spec, {
     limit: (worker) => (failed.has(worker) ? 0 : Number.POSITIVE_INFINITY),
     canStop: (it) => canYield(it.record) && !isLarge(round, it.record),
   });
@@ -246,11 +246,11 @@
   );
   const gainMs = savedMs * job.acceleratorsOf(record);
   if (gainMs < COMPACTION_GAIN * lossMs || !canRelocateVictims(round, choice, per)) return false;
-  planningRound.makeRoom(round, choice.plan, per, choice.victims, {
+  planningRound.preemptFor(round, choice.plan, per, choice.victims, {
     cause: 'compacted',
     why: `moved to free adjacent accelerators for large job ${record.spec.jobId}`,
   });
-  planningRound.wait(round, record, 'reserved: waits for smaller jobs to move');
+  planningRound.recordWait(round, record, 'reserved: waits for smaller jobs to move');
   return true;
 };
 
@@ -264,18 +264,18 @@
  * @param missing - accelerators that must be returned before a rule allows it
  * @returns whether enough are returned
  */
-export const yieldAllowance = (
+export const reclaimAllowance = (
   round: planningRound.PlanningRound,
   record: job.JobRecord,
   missing: number,
 ): boolean => {
-  const own = new Set<cellSpace.Borrower>();
-  for (const borrowers of round.space.borrowers) {
+  const own = new Set<cellCapacity.Borrower>();
+  for (const borrowers of round.capacity.borrowers) {
     for (const it of borrowers) {
       if (it.record.spec.customerId === record.spec.customerId) own.add(it);
     }
   }
-  const victims: cellSpace.Borrower[] = [];
+  const victims: cellCapacity.Borrower[] = [];
   let freed = 0;
   for (const it of [...own].sort((a, b) => a.lossMs - b.lossMs)) {
     if (freed >= missing) break;
@@ -283,9 +283,13 @@
     freed += job.acceleratorsOf(it.record);
     if (!it.isLeaving) victims.push(it);
   }
-  planningRound.wait(round, record, 'waits until its spare rule allows it enough accelerators');
+  planningRound.recordWait(
+    round,
+    record,
+    'waits until its spare rule allows it enough accelerators',
+  );
   if (freed < missing) return false;
-  planningRound.makeRoom(round, [], 0, victims, {
+  planningRound.preemptFor(round, [], 0, victims, {
     cause: 'reclaimed',
     why: `uses the allowance that large job ${record.spec.jobId} of its customer needs`,
   });
@@ -304,18 +308,18 @@
   const savedMs = (reservation?.atMs ?? Number.POSITIVE_INFINITY) - round.view.nowMs;
   if (tryCompaction(round, record, savedMs)) return;
   if (reservation === undefined) {
-    planningRound.wait(
+    planningRound.recordWait(
       round,
       record,
       'it would not fit on the ready workers even if they were empty',
     );
     return;
   }
-  round.reservedAtMs.push(reservation.atMs);
+  round.reservationStartsMs.push(reservation.atMs);
   for (const { worker } of reservation.plan) {
     const untilMs = round.backfillUntilMs[worker] ?? Number.POSITIVE_INFINITY;
     round.backfillUntilMs[worker] = Math.min(untilMs, reservation.atMs);
   }
   const inMs = Math.round(reservation.atMs - round.view.nowMs);
-  planningRound.wait(round, record, `reserved: expected to start within ${inMs} ms`);
+  planningRound.recordWait(round, record, `reserved: expected to start within ${inMs} ms`);
 };
--- a/src/coordination/common/runEstimates.ts
+++ b/src/coordination/common/runEstimates.ts
@@ -42,7 +42,7 @@
  * @param record - a job that has ended
  * @returns the updated estimates; only a job that finished counts
  */
-export const learn = (estimates: RunEstimates, record: job.JobRecord): RunEstimates => {
+export const addFinishedRun = (estimates: RunEstimates, record: job.JobRecord): RunEstimates => {
   const { state, startedAtMs, endedAtMs, checkpointMs, spec } = record;
   if (state !== job.JobState.done || startedAtMs === undefined || endedAtMs === undefined) {
     return estimates;
