--- a/src/coordination/common/serviceLevelCounters.ts
+++ b/src/coordination/common/serviceLevelCounters.ts
@@ -7,7 +7,7 @@
 import * as serviceLevel from '../../state/common/serviceLevel.js';
 
 /** Result of one event for one objective. */
-export interface Verdict {
+export interface ObjectiveResult {
   readonly objectiveId: string;
   readonly isGood: boolean;
 }
@@ -44,16 +44,16 @@
  * @param end - a completed request
  * @returns the result for each objective that applies to the request
  */
-export const judgeRequest = (
+export const evaluateRequest = (
   objectives: readonly configuration.Objective[],
   end: RequestEnd,
-): readonly Verdict[] => {
+): readonly ObjectiveResult[] => {
   const { error } = end;
   if (error !== undefined && CALLER_ERRORS.has(error)) return [];
   const isRefused = error !== undefined && errorKinds.ERROR_TABLE[error].ran === errorKinds.Ran.no;
   return objectives
     .filter((it) => it.customerId === end.customerId)
-    .flatMap(({ objectiveId, kind, thresholdMs }): readonly Verdict[] => {
+    .flatMap(({ objectiveId, kind, thresholdMs }): readonly ObjectiveResult[] => {
       if (kind === configuration.ObjectiveKind.notRefused) {
         return [{ objectiveId, isGood: !isRefused }];
       }
@@ -72,12 +72,12 @@
  * @param nowMs - wall time of the change
  * @returns the result for each objective that applies to the change
  */
-export const judgeStart = (
+export const evaluateStart = (
   objectives: readonly configuration.Objective[],
   before: job.JobRecord,
   after: job.JobRecord,
   nowMs: number,
-): readonly Verdict[] => {
+): readonly ObjectiveResult[] => {
   const { spec, submittedAtMs } = after;
   if (spec.claim !== job.Claim.guaranteed || before.state === after.state) return [];
   const hasRunBefore = after.decisions.filter((it) => it.what === 'started').length > 1;
@@ -114,7 +114,7 @@
  * @param atMs - wall time of the event
  * @returns the counts including the event
  */
-export const add = (counts: Counts, verdicts: readonly Verdict[], atMs: number): Counts => {
+export const add = (counts: Counts, verdicts: readonly ObjectiveResult[], atMs: number): Counts => {
   const hour = hourOf(atMs);
   const bucket = Math.floor((atMs % HOUR_MS) / serviceLevel.BUCKET_MS);
   const ofHour = new Map(counts.get(hour));
--- a/src/coordination/common/serviceLevelReport.ts
+++ b/src/coordination/common/serviceLevelReport.ts
@@ -27,7 +27,7 @@
 }
 
 const HOUR_MS = serviceLevel.BUCKET_MS * serviceLevel.BUCKETS_PER_HOUR;
-const RETAINED_MS = (serviceLevel.KEPT_HOURS - 1) * HOUR_MS;
+const RETAINED_MS = (serviceLevel.RETAINED_HOURS - 1) * HOUR_MS;
 
 const bucketsOf = (
   hours: readonly serviceLevel.ServiceLevelHour[],
--- a/src/coordination/common/sparePlanning.ts
+++ b/src/coordination/common/sparePlanning.ts
@@ -8,7 +8,7 @@
  */
 import * as job from '../../state/common/job.js';
 
-import * as cellSpace from './cellSpace.js';
+import * as cellCapacity from './cellCapacity.js';
 import * as gangFit from './gangFit.js';
 import * as planningRound from './planningRound.js';
 import * as reservations from './reservations.js';
@@ -70,8 +70,8 @@
   round: planningRound.PlanningRound,
   record: job.JobRecord,
 ): ((worker: number) => number) => {
-  const { space: capacity } = round;
-  const failed = planningRound.failedOn(round, record);
+  const { capacity } = round;
+  const failed = planningRound.excludedWorkers(round, record);
   const avoidsSetAside = mustAvoidSetAside(round, record);
   const yields = reservations.canYield(record);
   const endMs = endOf(round, record);
@@ -80,7 +80,7 @@
     if (failed.has(worker)) return 0;
     if (avoidsClearable && (round.clearable[worker] ?? 0) > 0) return 0;
     if (!yields && endMs > (round.backfillUntilMs[worker] ?? 0)) return 0;
-    const open = cellSpace.openOn(capacity, worker);
+    const open = cellCapacity.availableOn(capacity, worker);
     return avoidsSetAside ? Math.max(0, open - (round.setAside[worker] ?? 0)) : open;
   };
 };
@@ -90,9 +90,9 @@
   round: planningRound.PlanningRound,
   record: job.JobRecord,
 ): number => {
-  if (round.reservedAtMs.length === 0 || reservations.canYield(record)) return 0;
+  if (round.reservationStartsMs.length === 0 || reservations.canYield(record)) return 0;
   const endMs = endOf(round, record);
-  return round.reservedAtMs.filter((it) => endMs > it).length;
+  return round.reservationStartsMs.filter((it) => endMs > it).length;
 };
 
 const ADJACENCY_INDEX = { worker: 0, rack: 1, zone: 2 } as const;
@@ -112,7 +112,7 @@
 const refusalOf = (step: SpareStep, record: job.JobRecord): string | undefined => {
   const { round } = step;
   const { customerId, isCheckpointable } = record.spec;
-  const held = round.heldBy.get(customerId) ?? 0;
+  const held = round.allocatedByCustomer.get(customerId) ?? 0;
   if (held + job.acceleratorsOf(record) > (step.quotas.get(customerId) ?? 0)) {
     return "the customer's quota is used up";
   }
@@ -146,14 +146,17 @@
   if (step.failedSizes.has(key)) return NO_CAPACITY;
   if (step.failedSearches >= BACKFILL_DEPTH) return 'search limit of the round reached';
   const open = openFor(round, record);
-  const plan = gangFit.findGang(round.space, record.spec, { open, setAside: round.setAside });
+  const plan = gangFit.findGangPlan(round.capacity, record.spec, {
+    open,
+    setAside: round.setAside,
+  });
   if (plan === undefined) {
     step.failedSearches += 1;
     // A job with failures may use fewer workers than others of its size.
     if (record.failures.length === 0) step.failedSizes.add(key);
     return NO_CAPACITY;
   }
-  planningRound.accept(round, record, plan, rule.ruleId, `borrows by rule ${rule.ruleId}`);
+  planningRound.recordPlacement(round, record, plan, rule.ruleId, `borrows by rule ${rule.ruleId}`);
   spareShares.note(step.borrowing, record, rule.ruleId);
   return undefined;
 };
@@ -166,7 +169,7 @@
     if (record === undefined) return;
     const why = tryBorrow(step, lane, record);
     if (why === undefined) return;
-    planningRound.wait(step.round, record, why);
+    planningRound.recordWait(step.round, record, why);
   }
 };
 
@@ -195,9 +198,9 @@
   if (why === NO_CAPACITY) reservations.reserve(step.round, record);
   else if (why === NO_ALLOWANCE && couldBorrow(lane, record)) {
     const missing = missingAllowance(step, lane, record);
-    const isReturned = reservations.yieldAllowance(step.round, record, missing);
+    const isReturned = reservations.reclaimAllowance(step.round, record, missing);
     step.waitingForAllowance.set(lane.customerId, isReturned);
-  } else if (why !== undefined) planningRound.wait(step.round, record, why);
+  } else if (why !== undefined) planningRound.recordWait(step.round, record, why);
 };
 
 /** Places one small job on each worker that is due for a probe. */
@@ -209,8 +212,8 @@
   const { round } = step;
   const probing = new Set<string>();
   for (const workerId of probeWorkerIds) {
-    const worker = round.space.indexOf.get(workerId) ?? -1;
-    const used = round.space.isUsed[worker] ?? [];
+    const worker = round.capacity.indexOf.get(workerId) ?? -1;
+    const used = round.capacity.isUsed[worker] ?? [];
     const size = used.length;
     if (size === 0 || used.some((it) => it)) continue;
     const record = queued.find(
@@ -227,7 +230,7 @@
     const rule = lane && spareShares.ruleFor(lane, step.borrowing, job.acceleratorsOf(record));
     if (rule === undefined) continue;
     const why = `probes quarantined worker ${workerId}`;
-    planningRound.accept(round, record, [{ worker, members: 1 }], rule.ruleId, why);
+    planningRound.recordPlacement(round, record, [{ worker, members: 1 }], rule.ruleId, why);
     spareShares.note(step.borrowing, record, rule.ruleId);
     probing.add(record.spec.jobId);
   }
--- a/src/coordination/common/reportIntake.ts
+++ b/src/coordination/common/taskReports.ts
@@ -6,10 +6,10 @@
 import * as task from '../../state/common/task.js';
 
 import * as agentTasks from './agentTasks.js';
-import * as jobMachine from './jobMachine.js';
+import * as jobStateMachine from './jobStateMachine.js';
 
 /** Action of the leader on one reported task. */
-export type TaskReading =
+export type TaskReportAction =
   | { readonly type: 'nothing' }
   /** No job expects the task: it belongs to an earlier attempt or to a job that has ended. */
   | { readonly type: 'stopStray' }
@@ -17,7 +17,7 @@
   | { readonly type: 'stopOwed'; readonly member: number }
   /** The placement is committed but the member is only reserved. */
   | { readonly type: 'startOwed'; readonly member: number }
-  | { readonly type: 'event'; readonly event: jobMachine.JobEvent };
+  | { readonly type: 'event'; readonly event: jobStateMachine.JobEvent };
 
 /** A member that is expected on a worker but missing there. */
 export interface MissingMember {
@@ -25,9 +25,9 @@
   readonly member: number;
 }
 
-const NOTHING: TaskReading = { type: 'nothing' };
+const NOTHING: TaskReportAction = { type: 'nothing' };
 
-const eventOf = (report: task.TaskReport): TaskReading => {
+const eventOf = (report: task.TaskReport): TaskReportAction => {
   const { member } = report.token;
   const reason = report.reason ?? 'no reason given';
   switch (report.phase) {
@@ -53,11 +53,11 @@
  * @param isTakeOver - whether the report answers a leader that has just fenced the agent
  * @returns the leader's action
  */
-export const readTask = (
-  runtime: jobMachine.JobRuntime | undefined,
+export const interpretTaskReport = (
+  runtime: jobStateMachine.JobRuntime | undefined,
   report: task.TaskReport,
   isTakeOver: boolean,
-): TaskReading => {
+): TaskReportAction => {
   const { attempt, member } = report.token;
   const isWanted = runtime?.record.attempt === attempt && runtime.members[member] !== undefined;
   if (!isWanted) return agentTasks.isEnded(report.phase) ? NOTHING : { type: 'stopStray' };
@@ -89,7 +89,7 @@
  * @returns the members that no longer hold accelerators there
  */
 export const missingMembers = (
-  runtimes: Iterable<jobMachine.JobRuntime>,
+  runtimes: Iterable<jobStateMachine.JobRuntime>,
   workerId: string,
   tasks: readonly task.TaskReport[],
 ): readonly MissingMember[] => {
@@ -119,7 +119,7 @@
  * @returns whether the agent may forget the task
  */
 export const isAcknowledgeable = (
-  runtime: jobMachine.JobRuntime | undefined,
+  runtime: jobStateMachine.JobRuntime | undefined,
   report: task.TaskReport,
   isDurable: boolean,
 ): boolean => {
--- a/src/coordination/common/test/blame.test.ts
+++ b/src/coordination/common/test/failureAttribution.test.ts
@@ -5,7 +5,7 @@
 import * as test from 'node:test';
 
 import type * as job from '../../../state/common/job.js';
-import * as blame from '../blame.js';
+import * as failureAttribution from '../failureAttribution.js';
 import * as placement from '../placement.js';
 import * as runEstimates from '../runEstimates.js';
 
@@ -42,7 +42,7 @@
 for (const it of CASES) {
   test.test(`failure attribution: ${it.name}`, () => {
     const jobs = it.failed.map((workers, index) => failedOn(`j${index}`, ...workers));
-    const verdict = blame.judge(viewOf(documentOf(8), workersOf(8), jobs));
+    const verdict = failureAttribution.attributeFailures(viewOf(documentOf(8), workersOf(8), jobs));
     assert.deepEqual(
       verdict.quarantines.map((found) => found.workerId),
       it.quarantined,
@@ -66,9 +66,9 @@
       .filter((it) => it.placement.some((at) => at.workerId === 'w0'))
       .map((it) => it.jobId);
   assert.deepEqual(placedOnSuspect(placement.planRound(early)), []);
-  const due = { ...early, nowMs: NOW_MS + blame.PROBE_AFTER_MS };
+  const due = { ...early, nowMs: NOW_MS + failureAttribution.PROBE_AFTER_MS };
   assert.deepEqual(placedOnSuspect(placement.planRound(due)), ['fresh']);
-  const good = jobOf('fresh', {}, running([[0, 0, 1]], blame.PROBE_GOOD_MS));
+  const good = jobOf('fresh', {}, running([[0, 0, 1]], failureAttribution.PROBE_SUCCESS_MS));
   const after = viewOf(documentOf(4), held(NOW_MS - 1000), [...jobs, good]);
   assert.deepEqual(
     placement.planRound(after).releases.map((it) => it.workerId),
@@ -82,7 +82,7 @@
   for (const [index, runMs] of [40_000, 60_000, 50_000].entries()) {
     assert.equal(runEstimates.runMsOf(estimates, spec, 0.5), 600_000);
     const record = jobOf(`done-${index}`, {}, { state: 'done', startedAtMs: 0, endedAtMs: runMs });
-    estimates = runEstimates.learn(estimates, record);
+    estimates = runEstimates.addFinishedRun(estimates, record);
   }
   assert.equal(runEstimates.runMsOf(estimates, spec, 0.5), 50_000);
   assert.equal(runEstimates.runMsOf(estimates, spec, 0.9), 60_000);
--- a/src/coordination/common/test/jobMachine.test.ts
+++ b/src/coordination/common/test/jobStateMachine.test.ts
@@ -6,14 +6,14 @@
 import * as nodeTest from 'node:test';
 
 import type * as job from '../../../state/common/job.js';
-import * as jobMachine from '../jobMachine.js';
+import * as jobStateMachine from '../jobStateMachine.js';
 
-const CONTEXT: jobMachine.JobContext = {
+const CONTEXT: jobStateMachine.JobContext = {
   nowMs: 5,
   configVersion: 1,
   epoch: 1,
   unrunnableFailures: 3,
-  badWorkerIds: new Set<string>(),
+  quarantinedWorkerIds: new Set<string>(),
   reclaimGraceMs: 700,
 };
 
@@ -23,7 +23,7 @@
   accelerators: [0],
 }));
 
-const queued = jobMachine.accept(
+const queued = jobStateMachine.accept(
   {
     jobId: 'j',
     customerId: 'c',
@@ -54,17 +54,17 @@
   memberLost: { type: 'memberLost', member: 0, reason: 'r' },
   cancel: { type: 'cancel' },
   stop: { type: 'stop', cause: 'reclaimed', why: 'w' },
-} as const satisfies Record<string, jobMachine.JobEvent>;
+} as const satisfies Record<string, jobStateMachine.JobEvent>;
 
 type EventName = keyof typeof EVENTS;
-type Phases = readonly jobMachine.MemberPhase[];
+type Phases = readonly jobStateMachine.MemberPhase[];
 
-const placed = (state: job.JobState, members: Phases): jobMachine.JobRuntime => ({
+const placed = (state: job.JobState, members: Phases): jobStateMachine.JobRuntime => ({
   record: { ...queued.record, state, attempt: 1, placement: [...PLACEMENT] },
   members,
 });
 
-const ended = (state: job.JobState): jobMachine.JobRuntime => ({
+const ended = (state: job.JobState): jobStateMachine.JobRuntime => ({
   record: { ...queued.record, state },
   members: [],
 });
@@ -72,7 +72,7 @@
 const NONE = 'same';
 
 /** Next state, its members' phases, and the effects; `same` where the event has no effect. */
-const TABLE: readonly [string, jobMachine.JobRuntime, Partial<Record<EventName, string>>][] = [
+const TABLE: readonly [string, jobStateMachine.JobRuntime, Partial<Record<EventName, string>>][] = [
   [
     'queued',
     queued,
@@ -164,13 +164,13 @@
   ['unrunnable', ended('unrunnable'), {}],
 ];
 
-const effectText = (effect: jobMachine.JobEffect): string => {
+const effectText = (effect: jobStateMachine.JobEffect): string => {
   if (effect.type === 'persist' || effect.type === 'commit') return effect.type;
   const grace = effect.type === 'stop' ? ` ${effect.graceMs}` : '';
   return `${effect.type} ${effect.member}${grace}`;
 };
 
-const textOf = (before: jobMachine.JobRuntime, step: jobMachine.JobStep): string => {
+const textOf = (before: jobStateMachine.JobRuntime, step: jobStateMachine.JobStep): string => {
   if (step.next === before && step.effects.length === 0) return NONE;
   const members = step.next.members.length === 0 ? '' : `${step.next.members.join()} `;
   const effects = step.effects.map(effectText).join();
@@ -182,7 +182,7 @@
     for (const eventName of Object.keys(EVENTS) as EventName[]) {
       const wanted = changes[eventName] ?? NONE;
       nodeTest.test(`${eventName}: ${wanted}`, () => {
-        const step = jobMachine.step(before, EVENTS[eventName], CONTEXT);
+        const step = jobStateMachine.step(before, EVENTS[eventName], CONTEXT);
         assert.equal(textOf(before, step), wanted);
       });
     }
@@ -201,7 +201,7 @@
     { ...EVENTS.memberStopped, member: 1 },
   ];
   const last = events.reduce(
-    (runtime, event) => jobMachine.step(runtime, event, CONTEXT).next,
+    (runtime, event) => jobStateMachine.step(runtime, event, CONTEXT).next,
     running,
   );
   assert.equal(last.record.state, 'cancelled');
@@ -212,7 +212,7 @@
   // It must keep waiting for a healthy worker; only failures on healthy workers may end it.
   const failedOn = (workerIds: readonly string[], bad: readonly string[]): job.JobState => {
     const failures = workerIds.map((workerId) => ({ atMs: 1, workerId, reason: 'r' }));
-    const runtime: jobMachine.JobRuntime = {
+    const runtime: jobStateMachine.JobRuntime = {
       record: {
         ...queued.record,
         state: 'stopping',
@@ -225,7 +225,7 @@
     };
     const context = { ...CONTEXT, badWorkerIds: new Set(bad) };
     const event = { type: 'memberStopped', member: 1, checkpointMs: 0 } as const;
-    return jobMachine.step(runtime, event, context).next.record.state;
+    return jobStateMachine.step(runtime, event, context).next.record.state;
   };
   assert.equal(failedOn(['a', 'b', 'c'], ['a', 'b', 'c']), 'queued');
   assert.equal(failedOn(['a', 'b', 'c'], ['a']), 'queued');
--- a/src/coordination/common/test/takeOverExploration.test.ts
+++ b/src/coordination/common/test/leadershipExploration.test.ts
@@ -5,10 +5,10 @@
 import * as assert from 'node:assert/strict';
 import * as nodeTest from 'node:test';
 
-import * as checks from './takeOverChecks.js';
-import type * as model from './takeOverModel.js';
-import type * as scenarios from './takeOverScenario.js';
-import * as steps from './takeOverSteps.js';
+import * as invariants from './leadershipInvariants.js';
+import type * as model from './leadershipModel.js';
+import type * as scenarios from './leadershipScenario.js';
+import * as transitions from './leadershipTransitions.js';
 
 interface Node {
   readonly state: model.ModelState;
@@ -29,20 +29,20 @@
   node.parent === undefined ? '' : `${traceOf(node.parent)} > ${node.name}`;
 
 const explore = (scenario: scenarios.Scenario): Found => {
-  const state = steps.initialStateOf(scenario);
-  const seen = new Set([checks.keyOf(state)]);
+  const state = transitions.initialStateOf(scenario);
+  const seen = new Set([invariants.keyOf(state)]);
   let frontier: Node[] = [{ state, name: '', parent: undefined }];
   while (frontier.length > 0) {
     const next: Node[] = [];
     for (const parent of frontier) {
-      for (const { name, after } of steps.transitionsOf(parent.state, scenario)) {
-        const key = checks.keyOf(after);
+      for (const { name, after } of transitions.transitionsOf(parent.state, scenario)) {
+        const key = invariants.keyOf(after);
         if (seen.has(key)) continue;
         seen.add(key);
         const node = { state: after, name, parent };
-        const violation = checks.violationOf(after);
+        const violation = invariants.violationOf(after);
         if (violation !== '') return { states: seen.size, violation, trace: traceOf(node) };
-        if (!checks.isSettled(after, scenario)) next.push(node);
+        if (!invariants.isSettled(after, scenario)) next.push(node);
       }
     }
     assert.ok(seen.size <= MAX_STATES, `more than ${MAX_STATES} states`);
--- a/src/coordination/common/test/takeOverChecks.ts
+++ b/src/coordination/common/test/leadershipInvariants.ts
@@ -3,22 +3,25 @@
  */
 import * as job from '../../../state/common/job.js';
 import * as task from '../../../state/common/task.js';
-import * as roster from '../workerRoster.js';
+import * as workerRegistry from '../workerRegistry.js';
 
-import * as model from './takeOverModel.js';
-import type * as scenarios from './takeOverScenario.js';
+import * as model from './leadershipModel.js';
+import type * as scenarios from './leadershipScenario.js';
 
 const forgetBefore = (atMs: number, limitMs: number): number =>
   atMs > limitMs ? atMs : Number.NEGATIVE_INFINITY;
 
 /** Times too far in the past to affect a decision are equivalent to never. */
-const settledEntry = (it: roster.RosterEntry, nowMs: number): roster.RosterEntry => ({
+const settledEntry = (
+  it: workerRegistry.RegisteredWorker,
+  nowMs: number,
+): workerRegistry.RegisteredWorker => ({
   ...it,
   leaseUntilMs: forgetBefore(it.leaseUntilMs, nowMs),
   confirmedAtMs: forgetBefore(it.confirmedAtMs, nowMs - model.LEASE_MS),
 });
 
-const keyOfEntry = (it: roster.RosterEntry, index: number, leader: number): string => {
+const keyOfEntry = (it: workerRegistry.RegisteredWorker, index: number, leader: number): string => {
   const isWorker = index < 2;
   // The second leader always holds the store's lease, so confirmations do not affect it.
   const confirmedAtMs = leader === 0 ? it.confirmedAtMs : 0;
@@ -43,7 +46,7 @@
 const keyOfAgent = (it: model.Agent, nowMs: number, index: number): string =>
   [
     it.boot,
-    forgetBefore(it.bootedAtMs, nowMs - roster.votingDelayMs(model.LEASE_MS)),
+    forgetBefore(it.bootedAtMs, nowMs - workerRegistry.votingDelayMs(model.LEASE_MS)),
     it.tasks.acceptedEpoch,
     it.highestEpoch,
     index < 2 ? forgetBefore(it.leaseUntilMs, nowMs) : 0,
--- a/src/coordination/common/test/takeOverModel.ts
+++ b/src/coordination/common/test/leadershipModel.ts
@@ -9,12 +9,12 @@
 import * as job from '../../../state/common/job.js';
 import * as task from '../../../state/common/task.js';
 import * as agentTasks from '../agentTasks.js';
-import * as jobMachine from '../jobMachine.js';
+import * as jobStateMachine from '../jobStateMachine.js';
 import * as memberOutcome from '../memberOutcome.js';
-import * as reportIntake from '../reportIntake.js';
-import * as roster from '../workerRoster.js';
+import * as taskReports from '../taskReports.js';
+import * as workerRegistry from '../workerRegistry.js';
 
-import type * as scenarios from './takeOverScenario.js';
+import type * as scenarios from './leadershipScenario.js';
 
 /** Duration of one tick. */
 export const LEASE_MS = 10_000;
@@ -57,9 +57,9 @@
 /** One leader; the epochs are 1 and 2. */
 export interface Leader {
   readonly isActive: boolean;
-  readonly runtime: jobMachine.JobRuntime;
+  readonly runtime: jobStateMachine.JobRuntime;
   readonly isCommitting: boolean;
-  readonly entries: readonly roster.RosterEntry[];
+  readonly entries: readonly workerRegistry.RegisteredWorker[];
   readonly majorityFencedAtMs: number | undefined;
 }
 
@@ -82,17 +82,17 @@
 const VOTERS: ReadonlySet<string> = new Set(['w0', 'w1', 'w2']);
 const INITIAL_UPTIME_MS = 1_000_000;
 
-const contextOf = (leader: number): jobMachine.JobContext => ({
+const contextOf = (leader: number): jobStateMachine.JobContext => ({
   nowMs: 0,
   configVersion: 1,
   epoch: leader + 1,
   unrunnableFailures: 3,
-  badWorkerIds: new Set<string>(),
+  quarantinedWorkerIds: new Set<string>(),
   reclaimGraceMs: 0,
 });
 
 /** Drops decision texts and failures, which affect nothing here and would multiply states. */
-const withoutHistory = (runtime: jobMachine.JobRuntime): jobMachine.JobRuntime => ({
+const withoutHistory = (runtime: jobStateMachine.JobRuntime): jobStateMachine.JobRuntime => ({
   ...runtime,
   record: { ...runtime.record, decisions: [], failures: [] },
 });
@@ -116,7 +116,7 @@
   state: ModelState,
   leader: number,
   agent: number,
-  change: Partial<roster.RosterEntry>,
+  change: Partial<workerRegistry.RegisteredWorker>,
 ): ModelState => {
   const entries = state.leaders[leader]?.entries ?? [];
   const before = entries[agent];
@@ -124,7 +124,7 @@
   return withLeader(state, leader, { entries: replace(entries, agent, { ...before, ...change }) });
 };
 
-const entryOf = (agent: number, isFenced: boolean): roster.RosterEntry => ({
+const entryOf = (agent: number, isFenced: boolean): workerRegistry.RegisteredWorker => ({
   info: {
     workerId: `w${agent}`,
     zone: 'z',
@@ -137,7 +137,7 @@
   },
   bootId: isFenced ? '1' : '',
   lastReportMs: 0,
-  leaseUntilMs: isFenced ? roster.certainLapseMs(LEASE_MS) : Number.NEGATIVE_INFINITY,
+  leaseUntilMs: isFenced ? workerRegistry.certainExpiryMs(LEASE_MS) : Number.NEGATIVE_INFINITY,
   isQuarantined: false,
   isLeaving: false,
   healthReason: '',
@@ -152,7 +152,7 @@
  */
 export const initialState = (scenario: scenarios.Scenario): ModelState => {
   const runtime = withoutHistory(
-    jobMachine.accept(
+    jobStateMachine.accept(
       {
         jobId: JOB_ID,
         customerId: 'c',
@@ -184,7 +184,7 @@
     agents: AGENTS.map(() => ({
       boot: 1,
       bootedAtMs: -INITIAL_UPTIME_MS,
-      tasks: { ...agentTasks.empty(1), acceptedEpoch: 1 },
+      tasks: { ...agentTasks.createAgentTasks(1), acceptedEpoch: 1 },
       leaseUntilMs: LEASE_MS,
       stampMs: 0,
       commandCount: 0,
@@ -229,11 +229,11 @@
 export const dispatch = (
   state: ModelState,
   leader: number,
-  event: jobMachine.JobEvent,
+  event: jobStateMachine.JobEvent,
 ): ModelState => {
   const before = state.leaders[leader]?.runtime;
   if (before === undefined) return state;
-  const { next, effects } = jobMachine.step(before, event, contextOf(leader));
+  const { next, effects } = jobStateMachine.step(before, event, contextOf(leader));
   const placed = next.record.placement.length > 0 ? next.record : before.record;
   let after = withLeader(state, leader, { runtime: withoutHistory(next) });
   for (const effect of effects) {
@@ -251,7 +251,7 @@
 ): ModelState => {
   const runtime = state.leaders[leader]?.runtime;
   if (runtime === undefined) return state;
-  return reportIntake
+  return taskReports
     .missingMembers([runtime], `w${agent}`, tasks)
     .reduce(
       (after, { member }) => dispatch(after, leader, { type: 'memberLost', member, reason: '' }),
@@ -269,7 +269,7 @@
   for (const it of report.tasks) {
     const runtime = after.leaders[leader]?.runtime;
     if (runtime === undefined) break;
-    const reading = reportIntake.readTask(runtime, it, isTakeOver);
+    const reading = taskReports.interpretTaskReport(runtime, it, isTakeOver);
     const { member } = it.token;
     if (reading.type === 'event') after = dispatch(after, leader, reading.event);
     if (reading.type === 'startOwed') {
@@ -292,14 +292,14 @@
   return isOutdated ? after : loseMissing(after, leader, report.agent, report.tasks);
 };
 
-const registryOf = (leader: Leader): roster.Roster =>
+const registryOf = (leader: Leader): workerRegistry.WorkerRegistry =>
   new Map(leader.entries.map((it) => [it.info.workerId, it]));
 
 const recordMajority = (state: ModelState, leader: number): ModelState => {
   const current = state.leaders[leader];
   if (current === undefined || current.majorityFencedAtMs !== undefined) return state;
   const authority = { isStoreLeaseHeld: true, voterSets: [VOTERS] };
-  const isFenced = roster.hasFencedMajority(registryOf(current), authority);
+  const isFenced = workerRegistry.hasFencedMajority(registryOf(current), authority);
   return isFenced ? withLeader(state, leader, { majorityFencedAtMs: state.nowMs }) : state;
 };
 
@@ -331,7 +331,9 @@
     bootId: String(target.boot),
     isFenced: true,
     commandCount: isSameBoot ? known.commandCount : 0,
-    leaseUntilMs: isSameBoot ? known.leaseUntilMs : state.nowMs + roster.certainLapseMs(LEASE_MS),
+    leaseUntilMs: isSameBoot
+      ? known.leaseUntilMs
+      : state.nowMs + workerRegistry.certainExpiryMs(LEASE_MS),
     confirmedAtMs: isSameBoot ? known.confirmedAtMs : Number.NEGATIVE_INFINITY,
   });
   const held = [...tasks.held.values()].map(agentTasks.toReport);
@@ -346,7 +348,7 @@
   // The first leader never reaches the store again; its lease expires within the first tick.
   const isStoreLeaseHeld = leader === 1 || state.nowMs < LEASE_MS;
   const authority = { isStoreLeaseHeld, voterSets: [VOTERS] };
-  return roster.mayGrant(registryOf(current), authority, state.nowMs, LEASE_MS);
+  return workerRegistry.mayGrant(registryOf(current), authority, state.nowMs, LEASE_MS);
 };
 
 /** Answer of a leader to a report. */
@@ -369,13 +371,13 @@
   const known = state.leaders[leader]?.entries[report.agent];
   const isKnown = known?.isFenced === true && known.bootId === String(report.boot);
   if (report.epoch !== leader + 1 || !isKnown) return undefined;
-  const isVote = report.uptimeMs >= roster.votingDelayMs(LEASE_MS);
+  const isVote = report.uptimeMs >= workerRegistry.votingDelayMs(LEASE_MS);
   const confirmed = withEntry(state, leader, report.agent, {
     confirmedAtMs: Math.max(known.confirmedAtMs, isVote ? (report.stampMs ?? -1) : -1),
   });
   const taken = processTasks(confirmed, leader, report, false);
   const isGranted = mayGrant(taken, leader, guards);
-  const leaseUntilMs = state.nowMs + roster.certainLapseMs(LEASE_MS);
+  const leaseUntilMs = state.nowMs + workerRegistry.certainExpiryMs(LEASE_MS);
   const after = isGranted ? withEntry(taken, leader, report.agent, { leaseUntilMs }) : taken;
   // Only the first worker runs tasks for the first leader; the others confirm its epoch.
   const isLeaseWanted = leader === 1 || report.agent === 0 || report.tasks.length > 0;
@@ -393,11 +395,12 @@
   const current = state.leaders[leader];
   if (current === undefined) return state;
   const previousEndMs = guards.isPreviousLeaseAwaited
-    ? roster.formerLeasesEndMs(current.majorityFencedAtMs, LEASE_MS)
+    ? workerRegistry.previousLeasesEndMs(current.majorityFencedAtMs, LEASE_MS)
     : Number.NEGATIVE_INFINITY;
   return AGENTS.reduce((after, agent) => {
     const entry = after.leaders[leader]?.entries[agent];
-    const isExpired = entry !== undefined && roster.isLapsed(entry, previousEndMs, state.nowMs);
+    const isExpired =
+      entry !== undefined && workerRegistry.areLeasesExpired(entry, previousEndMs, state.nowMs);
     return isExpired ? loseMissing(after, leader, agent, []) : after;
   }, state);
 };
--- a/src/coordination/common/test/takeOverSteps.ts
+++ b/src/coordination/common/test/leadershipTransitions.ts
@@ -4,12 +4,12 @@
 import * as job from '../../../state/common/job.js';
 import * as task from '../../../state/common/task.js';
 import * as agentTasks from '../agentTasks.js';
-import * as jobMachine from '../jobMachine.js';
+import * as jobStateMachine from '../jobStateMachine.js';
 import * as memberOutcome from '../memberOutcome.js';
-import * as roster from '../workerRoster.js';
+import * as workerRegistry from '../workerRegistry.js';
 
-import * as model from './takeOverModel.js';
-import type * as scenarios from './takeOverScenario.js';
+import * as model from './leadershipModel.js';
+import type * as scenarios from './leadershipScenario.js';
 
 /** One possible transition, with the state after it. */
 export interface Transition {
@@ -119,7 +119,7 @@
   const entries = replace(leader.entries, it.agent, { ...entry, commandCount });
   const recorded = withLeader(state, it.leader, { entries });
   if (leader.runtime.record.attempt !== it.attempt) return recorded;
-  const reading = memberOutcome.readOutcome(it.effect, outcome);
+  const reading = memberOutcome.interpretOutcome(it.effect, outcome);
   return reading.type === 'event' ? model.dispatch(recorded, it.leader, reading.event) : recorded;
 };
 
@@ -180,7 +180,7 @@
       entry.isFenced &&
       entry.bootId === String(agent.boot) &&
       agent.tasks.acceptedEpoch === 1 &&
-      state.nowMs - agent.bootedAtMs >= roster.votingDelayMs(model.LEASE_MS);
+      state.nowMs - agent.bootedAtMs >= workerRegistry.votingDelayMs(model.LEASE_MS);
     return isVoter ? { ...entry, confirmedAtMs: state.nowMs } : entry;
   });
   return withLeader(state, 0, { entries });
@@ -198,7 +198,7 @@
 };
 
 const takeOver = (state: model.ModelState): model.ModelState => ({
-  ...withLeader(state, 1, { isActive: true, runtime: jobMachine.takeOver(state.stored) }),
+  ...withLeader(state, 1, { isActive: true, runtime: jobStateMachine.takeOver(state.stored) }),
   writerEpoch: 2,
 });
 
@@ -215,7 +215,7 @@
     reason: '',
   }));
   const tasks = {
-    ...agentTasks.empty(1),
+    ...agentTasks.createAgentTasks(1),
     held: new Map(held.map((it) => [task.tokenKey(it.token), it])),
   };
   const fresh = { boot: agent.boot + 1, bootedAtMs: state.nowMs, leaseUntilMs: state.nowMs };
--- a/src/coordination/common/test/ledgerFixtures.ts
+++ b/src/coordination/common/test/ledgerFixtures.ts
@@ -3,13 +3,13 @@
  */
 import type * as job from '../../../state/common/job.js';
 import type * as worker from '../../../state/common/worker.js';
-import type * as ledgerHoldings from '../ledgerHoldings.js';
+import type * as ledgerAllocations from '../ledgerAllocations.js';
 
 /** Cell and leader epoch of most cases. */
 export const OWNER = { cell: 'zone-a', epoch: 1 };
 
 /** Heading of unallocated accelerators. */
-export const IDLE: ledgerHoldings.Heading = {
+export const IDLE: ledgerAllocations.Heading = {
   customerId: '',
   jobId: '',
   attempt: 0,
@@ -28,7 +28,7 @@
   workerId: string,
   accelerators: number,
   health: worker.WorkerHealth = 'ready',
-): ledgerHoldings.BookWorker => ({ workerId, accelerators, health });
+): ledgerAllocations.LedgerWorker => ({ workerId, accelerators, health });
 
 /** Changes to a running guaranteed job of customer `acme`. */
 export interface JobChanges {
--- a/src/coordination/common/test/ledgerBook.test.ts
+++ b/src/coordination/common/test/ledgerHours.test.ts
@@ -7,9 +7,9 @@
 import type * as job from '../../../state/common/job.js';
 import * as ledgerEntry from '../../../state/common/ledgerEntry.js';
 import * as store from '../../../state/common/store.js';
-import * as ledgerBook from '../ledgerBook.js';
+import * as ledgerHours from '../ledgerHours.js';
 import * as ledgerCheck from '../ledgerCheck.js';
-import * as ledgerHoldings from '../ledgerHoldings.js';
+import * as ledgerAllocations from '../ledgerAllocations.js';
 import * as ledgerTime from '../ledgerTime.js';
 
 import * as ledgerFixtures from './ledgerFixtures.js';
@@ -19,7 +19,7 @@
 
 interface CountCase {
   readonly name: string;
-  readonly workers: readonly ledgerHoldings.BookWorker[];
+  readonly workers: readonly ledgerAllocations.LedgerWorker[];
   readonly jobs: readonly job.JobRecord[];
   readonly configuredAccelerators?: number;
   readonly expected: Readonly<Record<string, number>>;
@@ -106,9 +106,14 @@
   test.test(`allocations: ${it.name}`, () => {
     const { workers, jobs, configuredAccelerators } = it;
     const configured = configuredAccelerators === undefined ? {} : { configuredAccelerators };
-    const count = ledgerHoldings.countHoldings({ workers, jobs, configVersion: 3, ...configured });
+    const count = ledgerAllocations.countAllocations({
+      workers,
+      jobs,
+      configVersion: 3,
+      ...configured,
+    });
     const byReason: Record<string, number> = {};
-    for (const { heading, accelerators } of count.held.values()) {
+    for (const { heading, accelerators } of count.byHeading.values()) {
       byReason[heading.reason] = (byReason[heading.reason] ?? 0) + accelerators;
       assert.equal(heading.configVersion, 3);
     }
@@ -120,7 +125,7 @@
 
 test.test('a span over the hour is split there and both hours balance', () => {
   const fromMs = 10 * HOUR_MS - 1000;
-  const book = ledgerBook.bookSpan(new Map(), {
+  const book = ledgerHours.recordSpan(new Map(), {
     ...ledgerFixtures.OWNER,
     fromMs,
     toMs: fromMs + 3000,
@@ -128,7 +133,7 @@
     jobs: [jobOf('a', [['w1', [0]]])],
     configVersion: 1,
   });
-  const hours = [...book.values()].map(ledgerBook.toRecord);
+  const hours = [...book.values()].map(ledgerHours.toRecord);
   assert.deepEqual(
     hours.map((it) => [it.hour, it.capacityAcceleratorMs]),
     [
@@ -148,12 +153,12 @@
     jobs: [],
     configVersion: 1,
   };
-  const once = ledgerBook.bookSpan(new Map(), span);
-  assert.deepEqual(ledgerBook.bookSpan(once, span), once);
+  const once = ledgerHours.recordSpan(new Map(), span);
+  assert.deepEqual(ledgerHours.recordSpan(once, span), once);
 });
 
 test.test('a time without a leader is attributed to the stored jobs from their start', () => {
-  const book = ledgerBook.bookUnwitnessed(new Map(), {
+  const book = ledgerHours.recordUnobserved(new Map(), {
     ...ledgerFixtures.OWNER,
     fromMs: 0,
     toMs: 1000,
@@ -161,7 +166,7 @@
     jobs: [jobOf('a', [['w1', [0]]], { startedAtMs: 400 })],
     configVersion: 1,
   });
-  const [hour] = [...book.values()].map(ledgerBook.toRecord);
+  const [hour] = [...book.values()].map(ledgerHours.toRecord);
   const times = hour?.entries.map((it) => [it.reason, it.acceleratorMs]);
   assert.deepEqual(times, [
     ['unreachable', 1400],
@@ -172,11 +177,11 @@
 test.test('an hour with a burst of jobs stays below the store limit and still balances', () => {
   // A customer submits and cancels thousands of short jobs within an hour. Each has its own
   // heading; unbounded, the record would exceed the store's megabyte and no write would succeed.
-  let book: ledgerBook.Book = new Map();
-  for (let index = 0; index < 2 * ledgerBook.MAX_ENTRIES; index += 1) {
+  let book: ledgerHours.OpenHours = new Map();
+  for (let index = 0; index < 2 * ledgerHours.MAX_ENTRIES; index += 1) {
     const id = `${'j'.repeat(122)}${String(index).padStart(6, '0')}`;
     const spec = { customerId: 'c'.repeat(63), ruleId: 'r'.repeat(63), claim: 'spare' } as const;
-    book = ledgerBook.bookSpan(book, {
+    book = ledgerHours.recordSpan(book, {
       ...ledgerFixtures.OWNER,
       fromMs: index * 10,
       toMs: (index + 1) * 10,
@@ -185,7 +190,7 @@
       configVersion: 1,
     });
   }
-  const [hour] = [...book.values()].map(ledgerBook.toRecord);
+  const [hour] = [...book.values()].map(ledgerHours.toRecord);
   assert.ok(hour);
   assert.deepEqual(ledgerCheck.checkHour(hour), []);
   assert.ok(JSON.stringify(hour).length < store.MAX_VALUE_BYTES);
--- a/src/coordination/common/test/routing.test.ts
+++ b/src/coordination/common/test/routing.test.ts
@@ -109,7 +109,7 @@
     directory.register(registrationOf('u0', overloaded), nowMs);
     directory.register(registrationOf('u1', remote), nowMs);
     if ((chooseMany(directory, nowMs).get('u1') ?? 0) > 0) {
-      directory.noteSilence('http://u1:1', nowMs);
+      directory.recordNoResponse('http://u1:1', nowMs);
       lost += 1;
     }
   }
@@ -124,7 +124,7 @@
     return `http://${name}:1`;
   });
   for (let round = 0; round < 6; round += 1) {
-    urls.forEach((url) => directory.noteFailure(url, 60_000, CAP));
+    urls.forEach((url) => directory.recordFailure(url, 60_000, CAP));
   }
   const avoided = directory.candidates(60_000).filter((it) => it.isAvoided);
   assert.equal(avoided.length, 2);
@@ -136,7 +136,7 @@
   // until its next registration; it must be retried by itself after a growing delay.
   const directory = agentDirectory.createAgentDirectory();
   ['u0', 'u1'].forEach((name) => directory.register(registrationOf(name), 0));
-  directory.noteSilence('http://u0:1', 60_000);
+  directory.recordNoResponse('http://u0:1', 60_000);
   assert.equal(chooseMany(directory, 60_000).get('u0'), undefined);
   assert.ok((chooseMany(directory, 90_000).get('u0') ?? 0) > 0);
 });
@@ -153,8 +153,8 @@
   const directory = agentDirectory.createAgentDirectory();
   ['u0', 'u1'].forEach((name) => directory.register(registrationOf(name), 0));
   const note = { running: 0, queued: 0, isLeaving: false, bootId: 'boot-1', clockMs: 0 };
-  directory.noteAnswer('http://u1:1', { ...note, serviceMs: 40 }, 60_000);
-  directory.noteAnswer('http://u0:1', { ...note, serviceMs: 400 }, 60_000);
+  directory.recordAnswer('http://u1:1', { ...note, serviceMs: 40 }, 60_000);
+  directory.recordAnswer('http://u0:1', { ...note, serviceMs: 400 }, 60_000);
   const decayed = [60_000, 65_000, 120_000].map((nowMs) =>
     Math.round(directory.candidates(nowMs)[0]?.serviceMs ?? 0),
   );
@@ -166,7 +166,7 @@
   directory.register(registrationOf('u0', { clockMs: 500 }), 100);
   assert.deepEqual(directory.bootOf('http://u0:1', 200), { bootId: 'boot-1', clockMs: 600 });
   const note = { running: 0, queued: 0, serviceMs: 1, isLeaving: false };
-  directory.noteAnswer('http://u0:1', { ...note, bootId: 'boot-2', clockMs: 10 }, 300);
+  directory.recordAnswer('http://u0:1', { ...note, bootId: 'boot-2', clockMs: 10 }, 300);
   assert.deepEqual(directory.bootOf('http://u0:1', 300), { bootId: 'boot-2', clockMs: 10 });
 });
 
--- a/src/coordination/common/test/serviceLevels.test.ts
+++ b/src/coordination/common/test/serviceLevels.test.ts
@@ -57,7 +57,7 @@
 
 for (const [error, tookMs, isAnsweredGood, isRefusedGood] of REQUEST_CASES) {
   test.test(`request: ${error ?? 'answered'} after ${tookMs} ms`, () => {
-    const verdicts = serviceLevelCounters.judgeRequest(OBJECTIVES, {
+    const verdicts = serviceLevelCounters.evaluateRequest(OBJECTIVES, {
       customerId: 'acme',
       tookMs,
       error,
@@ -151,7 +151,7 @@
       decisions: it.decisions.map(decision),
     });
     const before = { ...after, state: it.from };
-    const verdicts = serviceLevelCounters.judgeStart(OBJECTIVES, before, after, it.waitedMs);
+    const verdicts = serviceLevelCounters.evaluateStart(OBJECTIVES, before, after, it.waitedMs);
     assert.deepEqual(
       verdicts.map((verdict) => verdict.isGood),
       it.expected,
--- a/src/coordination/common/workerRoster.ts
+++ b/src/coordination/common/workerRegistry.ts
@@ -12,7 +12,7 @@
 import type * as worker from '../../state/common/worker.js';
 
 /** A worker with its state as known to the leader. */
-export interface RosterEntry {
+export interface RegisteredWorker {
   readonly info: worker.WorkerInfo;
   readonly bootId: string;
   readonly lastReportMs: number;
@@ -30,7 +30,7 @@
 }
 
 /** All workers of the cell by id. */
-export type Roster = ReadonlyMap<string, RosterEntry>;
+export type WorkerRegistry = ReadonlyMap<string, RegisteredWorker>;
 
 /** Input, besides the workers, to the decision whether the leader may grant. */
 export interface Authority {
@@ -86,7 +86,7 @@
  * @param leaseMs - a granted lease
  * @returns how long the grantor waits before it counts the lease as expired
  */
-export const certainLapseMs = (leaseMs: number): number =>
+export const certainExpiryMs = (leaseMs: number): number =>
   leaseMs * (1 + CLOCK_DRIFT_SHARE) + WORKER_CALL_MS;
 
 /**
@@ -104,7 +104,7 @@
  * @returns minimum uptime of an agent before its confirmation counts
  */
 export const votingDelayMs = (leaseMs: number): number =>
-  leaseMs * (1 + CLOCK_DRIFT_SHARE) + certainLapseMs(leaseMs);
+  leaseMs * (1 + CLOCK_DRIFT_SHARE) + certainExpiryMs(leaseMs);
 
 const isMajority = (voters: ReadonlySet<string>, isCounted: (id: string) => boolean): boolean =>
   [...voters].filter(isCounted).length > voters.size / 2;
@@ -117,7 +117,7 @@
  * @returns whether the leader may grant leases now
  */
 export const mayGrant = (
-  roster: Roster,
+  roster: WorkerRegistry,
   authority: Authority,
   nowMs: number,
   leaseMs: number,
@@ -134,7 +134,7 @@
  * @param authority - further input to the decision
  * @returns whether a majority of the agents has accepted this leader's epoch
  */
-export const hasFencedMajority = (roster: Roster, authority: Authority): boolean =>
+export const hasFencedMajority = (roster: WorkerRegistry, authority: Authority): boolean =>
   authority.voterSets.every((voters) =>
     isMajority(voters, (workerId) => roster.get(workerId)?.isFenced === true),
   );
@@ -144,13 +144,13 @@
  * @param leaseMs - the task lease
  * @returns the monotonic time after which no lease of a previous leader can be valid
  */
-export const formerLeasesEndMs = (
+export const previousLeasesEndMs = (
   majorityFencedAtMs: number | undefined,
   leaseMs: number,
 ): number =>
   majorityFencedAtMs === undefined
     ? Number.POSITIVE_INFINITY
-    : majorityFencedAtMs + leaseMs * (1 + CLOCK_DRIFT_SHARE) + certainLapseMs(leaseMs);
+    : majorityFencedAtMs + leaseMs * (1 + CLOCK_DRIFT_SHARE) + certainExpiryMs(leaseMs);
 
 /**
  * @param entry - a worker
@@ -159,7 +159,7 @@
  * @returns its health, which decides whether it may get work
  */
 export const healthOf = (
-  entry: RosterEntry,
+  entry: RegisteredWorker,
   nowMs: number,
   reportMs: number,
 ): worker.WorkerHealth => {
@@ -174,9 +174,12 @@
  * previous leaders' leases applies to every worker.
  *
  * @param entry - a worker
- * @param formerEndMs - see {@link formerLeasesEndMs}
+ * @param previousEndMs - see {@link previousLeasesEndMs}
  * @param nowMs - monotonic time
  * @returns whether none of its tasks can still be running
  */
-export const isLapsed = (entry: RosterEntry, formerEndMs: number, nowMs: number): boolean =>
-  nowMs > entry.leaseUntilMs && nowMs > formerEndMs;
+export const areLeasesExpired = (
+  entry: RegisteredWorker,
+  previousEndMs: number,
+  nowMs: number,
+): boolean => nowMs > entry.leaseUntilMs && nowMs > previousEndMs;
--- a/src/coordination/node/statementIntake.ts
+++ b/src/coordination/node/agentReportHandler.ts
@@ -7,49 +7,55 @@
 import type * as logging from '../../base/common/logging.js';
 import type * as task from '../../state/common/task.js';
 import type * as worker from '../../state/common/worker.js';
-import * as jobMachine from '../common/jobMachine.js';
+import * as jobStateMachine from '../common/jobStateMachine.js';
 import * as jobSteps from '../common/jobSteps.js';
-import * as reportIntake from '../common/reportIntake.js';
+import * as taskReports from '../common/taskReports.js';
 
-import type * as agentStatements from './agentStatements.js';
+import type * as agentReports from './agentReports.js';
 import type * as commitQueue from './commitQueue.js';
-import type * as leaderRoster from './leaderRoster.js';
+import type * as cellWorkerRegistry from './cellWorkerRegistry.js';
 import type * as memberCommands from './memberCommands.js';
 
-/** Options of {@link createStatementIntake}. */
-export interface StatementIntakeOptions {
+/** Options of {@link createAgentReportHandler}. */
+export interface AgentReportHandlerOptions {
   readonly epoch: number;
   readonly clock: clock.Clock;
   readonly log: logging.Log;
   /** Announces the epoch to an agent and returns the agent's tasks. */
-  readonly fence: (agentUrl: string) => Promise<agentStatements.AgentState>;
+  readonly fence: (agentUrl: string) => Promise<agentReports.AgentState>;
   /** Called when an agent has accepted a later epoch. */
-  readonly onDeposed: () => void;
+  readonly onLeadershipLost: () => void;
   readonly isDisposed: () => boolean;
-  readonly runtimes: ReadonlyMap<string, jobMachine.JobRuntime>;
-  readonly workers: leaderRoster.LeaderRoster;
+  readonly runtimes: ReadonlyMap<string, jobStateMachine.JobRuntime>;
+  readonly workers: cellWorkerRegistry.CellWorkerRegistry;
   readonly members: memberCommands.MemberCommands;
   readonly commits: Pick<commitQueue.CommitQueue, 'isDirty'>;
-  readonly context: () => jobMachine.JobContext;
-  readonly dispatch: (jobId: string, event: jobMachine.JobEvent) => void;
+  readonly context: () => jobStateMachine.JobContext;
+  readonly dispatch: (jobId: string, event: jobStateMachine.JobEvent) => void;
   readonly schedulePlanning: () => void;
 }
 
 /** Handles agents' reports and fences agents. */
-export interface StatementIntake {
-  readonly report: (agentReport: agentStatements.AgentReport) => agentStatements.ReportAnswer;
+export interface AgentReportHandler {
+  readonly report: (agentReport: agentReports.AgentReport) => agentReports.ReportAnswer;
   readonly fenceAgent: (agentUrl: string) => Promise<void>;
   /** Declares members on the worker lost that are missing from its full list of tasks. */
-  readonly missTasks: (workerId: string, tasks: readonly task.TaskReport[], why: string) => void;
+  readonly markMissingTasksLost: (
+    workerId: string,
+    tasks: readonly task.TaskReport[],
+    why: string,
+  ) => void;
 }
 
-type FullState = agentStatements.AgentState & { readonly worker: worker.WorkerInfo };
+type FullState = agentReports.AgentState & { readonly worker: worker.WorkerInfo };
 
 /**
  * @param options - options
  * @returns the handler
  */
-export const createStatementIntake = (options: StatementIntakeOptions): StatementIntake => {
+export const createAgentReportHandler = (
+  options: AgentReportHandlerOptions,
+): AgentReportHandler => {
   const { runtimes, workers, members, commits, context, dispatch, schedulePlanning, log } = options;
   const fencing = new Set<string>();
   const nowMs = (): number => options.clock.monotonicMs();
@@ -57,7 +63,7 @@
   const handleTask = (agentUrl: string, report: task.TaskReport, isTakeOver: boolean): void => {
     const { jobId } = report.token;
     const runtime = runtimes.get(jobId);
-    const reading = reportIntake.readTask(runtime, report, isTakeOver);
+    const reading = taskReports.interpretTaskReport(runtime, report, isTakeOver);
     if (reading.type === 'event') dispatch(jobId, reading.event);
     if (reading.type === 'stopStray') members.stopStray(agentUrl, report.token);
     if (runtime === undefined) return;
@@ -71,7 +77,7 @@
     }
   };
   /** Whether the state was built before the agent handled commands that it has since answered. */
-  const isOutdated = (workerId: string, state: agentStatements.AgentState): boolean => {
+  const isOutdated = (workerId: string, state: agentReports.AgentState): boolean => {
     const known = workers.get(workerId);
     return known?.bootId === state.bootId && state.commandCount < known.commandCount;
   };
@@ -81,7 +87,7 @@
     tasks: readonly task.TaskReport[],
     why: string,
   ): void => {
-    for (const { jobId, member } of reportIntake.missingMembers(
+    for (const { jobId, member } of taskReports.missingMembers(
       [...runtimes.values()],
       workerId,
       tasks,
@@ -107,10 +113,10 @@
     try {
       const state = await options.fence(agentUrl);
       if (options.isDisposed()) return;
-      if (state.acceptedEpoch > options.epoch) options.onDeposed();
+      if (state.acceptedEpoch > options.epoch) options.onLeadershipLost();
       if (state.worker === undefined || state.acceptedEpoch !== options.epoch) return;
       const { bootId, uptimeMs } = state;
-      workers.enroll(state.worker, {
+      workers.recordWorker(state.worker, {
         bootId,
         uptimeMs,
         stampMs: undefined,
@@ -126,7 +132,7 @@
       fencing.delete(agentUrl);
     }
   };
-  const report = (agentReport: agentStatements.AgentReport): agentStatements.ReportAnswer => {
+  const report = (agentReport: agentReports.AgentReport): agentReports.ReportAnswer => {
     const { workerId, agentUrl } = agentReport.worker;
     const known = workers.get(workerId);
     const answer = {
@@ -134,26 +140,26 @@
       stampMs: Math.floor(nowMs()),
       reportMs: workers.reportMs(),
     };
-    if (agentReport.acceptedEpoch > options.epoch) options.onDeposed();
+    if (agentReport.acceptedEpoch > options.epoch) options.onLeadershipLost();
     const isFenced = agentReport.acceptedEpoch === options.epoch;
     const isKnownBoot = known?.isFenced === true && known.bootId === agentReport.bootId;
     if (!isFenced || !isKnownBoot) {
-      if (known !== undefined) workers.noteUnfenced(workerId);
+      if (known !== undefined) workers.markUnfenced(workerId);
       void fenceAgent(agentUrl);
       return { ...answer, leaseMs: 0, wantsFull: true, acknowledged: [] };
     }
     const isFirst = known.lastReportMs === Number.NEGATIVE_INFINITY;
-    workers.enroll(agentReport.worker, { ...agentReport, isReport: true });
+    workers.recordWorker(agentReport.worker, { ...agentReport, isReport: true });
     handleTasks(agentReport, false);
     if (agentReport.isFull) handleFullList(agentReport);
     if (isFirst) schedulePlanning();
     const acknowledged = agentReport.tasks
       .filter((it) => {
         const { jobId } = it.token;
-        return reportIntake.isAcknowledgeable(runtimes.get(jobId), it, !commits.isDirty(jobId));
+        return taskReports.isAcknowledgeable(runtimes.get(jobId), it, !commits.isDirty(jobId));
       })
       .map((it) => it.token);
-    return { ...answer, leaseMs: workers.grantMs(workerId), wantsFull: false, acknowledged };
+    return { ...answer, leaseMs: workers.grantLease(workerId), wantsFull: false, acknowledged };
   };
-  return { report, fenceAgent, missTasks: markMissingTasksLost };
+  return { report, fenceAgent, markMissingTasksLost };
 };
--- a/src/coordination/node/agentRuntime.ts
+++ b/src/coordination/node/agentRuntime.ts
@@ -98,7 +98,7 @@
  */
 export const startAgentRuntime = (options: AgentRuntimeOptions): AgentRuntime => {
   const { clock: timeSource, worker, log } = options;
-  let state = agentTasks.empty(options.accelerators);
+  let state = agentTasks.createAgentTasks(options.accelerators);
   let hasAdopted = false;
   let wantsFull = true;
   const bootedAtMs = timeSource.monotonicMs();
@@ -260,7 +260,7 @@
     wantsFull ||= answer.wantsFull;
     reportedPhases = phases;
     const forgotten = answer.acknowledged.map(task.tokenKey);
-    state = agentTasks.forget(state, answer.acknowledged);
+    state = agentTasks.removeEnded(state, answer.acknowledged);
     if (forgotten.length > 0) await worker.forget(forgotten);
   };
   const pollAndReport = async (): Promise<void> => {
--- a/src/coordination/node/cellLeader.ts
+++ b/src/coordination/node/cellLeader.ts
@@ -15,22 +15,22 @@
 import type * as store from '../../state/common/store.js';
 import type * as task from '../../state/common/task.js';
 import type * as configurationHolder from '../common/configurationHolder.js';
-import * as jobMachine from '../common/jobMachine.js';
+import * as jobStateMachine from '../common/jobStateMachine.js';
 import * as jobSegments from '../common/jobSegments.js';
-import * as ledgerHoldings from '../common/ledgerHoldings.js';
+import * as ledgerAllocations from '../common/ledgerAllocations.js';
 import * as placement from '../common/placement.js';
 
-import type * as agentStatements from './agentStatements.js';
+import type * as agentReports from './agentReports.js';
 import * as commandOutbox from './commandOutbox.js';
 import * as commitQueue from './commitQueue.js';
 import * as jobArchive from './jobArchive.js';
-import * as jobIntake from './jobIntake.js';
+import * as jobRequestHandler from './jobRequestHandler.js';
 import type * as jobStore from './jobStore.js';
-import * as leaderRoster from './leaderRoster.js';
-import * as ledgerKeeper from './ledgerKeeper.js';
+import * as cellWorkerRegistry from './cellWorkerRegistry.js';
+import * as ledgerRecorder from './ledgerRecorder.js';
 import * as memberCommands from './memberCommands.js';
 import * as planInputs from './planInputs.js';
-import * as statementIntake from './statementIntake.js';
+import * as agentReportHandler from './agentReportHandler.js';
 import * as transitionLog from './transitionLog.js';
 
 /** Options of {@link createCellLeader}. */
@@ -44,7 +44,7 @@
   readonly metrics: metrics.Metrics;
   readonly configuration: configurationHolder.ConfigurationHolder;
   /** Announces the epoch to an agent and returns the agent's tasks. */
-  readonly fence: (agentUrl: string) => Promise<agentStatements.AgentState>;
+  readonly fence: (agentUrl: string) => Promise<agentReports.AgentState>;
   readonly sendCommands: (
     agentUrl: string,
     bootId: string,
@@ -55,7 +55,7 @@
   /** URLs of the zone's agents known to entries; a missing agent reports by itself later. */
   readonly discoverAgents: () => Promise<readonly string[]>;
   /** Called when another leader has taken over the cell. */
-  readonly onDeposed: () => void;
+  readonly onLeadershipLost: () => void;
   /** Called after a job's state has changed. */
   readonly onDidChangeJob?: (before: job.JobRecord, after: job.JobRecord) => void;
 }
@@ -70,9 +70,9 @@
   readonly cancel: (jobIds: readonly string[]) => Promise<readonly job.JobRecord[]>;
   readonly show: (jobId: string) => job.JobRecord;
   readonly jobs: () => readonly job.JobRecord[];
-  readonly workers: () => readonly leaderRoster.WorkerView[];
+  readonly workers: () => readonly cellWorkerRegistry.WorkerStatus[];
   readonly warnings: () => readonly string[];
-  readonly report: (report: agentStatements.AgentReport) => agentStatements.ReportAnswer;
+  readonly report: (report: agentReports.AgentReport) => agentReports.ReportAnswer;
   readonly quarantine: (workerId: string, isQuarantined: boolean, reason: string) => void;
   /** Writes all pending changes to the store. */
   readonly flush: () => Promise<void>;
@@ -103,7 +103,7 @@
 export const createCellLeader = (options: CellLeaderOptions): CellLeader => {
   const { clock: timeSource, log } = options;
   const owned = disposable.createDisposableStore();
-  const runtimes = new Map<string, jobMachine.JobRuntime>();
+  const runtimes = new Map<string, jobStateMachine.JobRuntime>();
   let warnings: readonly string[] = [];
   let planTimer: disposable.Disposable | undefined;
   let tickTimer: disposable.Disposable | undefined;
@@ -113,16 +113,16 @@
   const policy = (): configuration.PlacementPolicy | undefined =>
     options.configuration.current()?.document.placement;
   const leaseMs = (): number => policy()?.taskLeaseMs ?? 30_000;
-  const context = (): jobMachine.JobContext => ({
+  const context = (): jobStateMachine.JobContext => ({
     nowMs: timeSource.wallMs(),
     configVersion: options.configuration.version(),
     epoch: options.epoch,
     unrunnableFailures: policy()?.unrunnableFailures ?? 3,
-    badWorkerIds: workers.quarantinedIds(),
+    quarantinedWorkerIds: workers.quarantinedIds(),
     reclaimGraceMs: policy()?.reclaimGraceMs ?? 0,
   });
   const records = (): job.JobRecord[] => [...runtimes.values()].map((it) => it.record);
-  const workers = leaderRoster.createLeaderRoster({
+  const workers = cellWorkerRegistry.createCellWorkerRegistry({
     cell: options.cell,
     store: options.store,
     clock: timeSource,
@@ -135,8 +135,8 @@
   const outbox = commandOutbox.createCommandOutbox(
     (agentUrl, commands) => options.sendCommands(agentUrl, workers.bootIdOf(agentUrl), commands),
     log,
-    workers.noteAnswered,
-    workers.noteSilent,
+    workers.recordCommandCount,
+    workers.markUnreachable,
   );
   const commits = owned.add(
     commitQueue.createCommitQueue({
@@ -146,21 +146,21 @@
       recordsOf: (segment) =>
         records().filter((it) => jobSegments.segmentOf(it.spec.jobId) === segment),
       retryMs: COMMIT_RETRY_MS,
-      onDeposed: options.onDeposed,
+      onLeadershipLost: options.onLeadershipLost,
     }),
   );
   const ledger = owned.add(
-    ledgerKeeper.createLedgerKeeper({
+    ledgerRecorder.createLedgerRecorder({
       cell: options.cell,
       epoch: options.epoch,
       store: options.store,
       clock: timeSource,
       log,
       metrics: options.metrics,
-      onDeposed: options.onDeposed,
-      holdings: () => ({
-        ...ledgerHoldings.configuredCapacity(options.configuration.current(), options.cell),
-        workers: workers.views().map((it) => ({
+      onLeadershipLost: options.onLeadershipLost,
+      allocations: () => ({
+        ...ledgerAllocations.configuredCapacity(options.configuration.current(), options.cell),
+        workers: workers.statuses().map((it) => ({
           workerId: it.worker.workerId,
           accelerators: it.worker.accelerators,
           health: it.health,
@@ -197,22 +197,22 @@
     if (job.isTerminal(after.state)) archive.add(after);
     options.onDidChangeJob?.(before, after);
   };
-  const dispatch = (jobId: string, event: jobMachine.JobEvent): void => {
+  const dispatch = (jobId: string, event: jobStateMachine.JobEvent): void => {
     const before = runtimes.get(jobId);
     if (before === undefined) return;
-    const { next, effects } = jobMachine.step(before, event, context());
+    const { next, effects } = jobStateMachine.step(before, event, context());
     // Most reports change nothing; only a change is worth the cost of updating the ledger.
     if (next === before && effects.length === 0) return;
     ledger.settle();
     runtimes.set(jobId, next);
-    if (before.record.state !== next.record.state) planningInputs.learn(next.record);
+    if (before.record.state !== next.record.state) planningInputs.updateEstimates(next.record);
     recordTransition(before.record, next.record);
     // If the event cleared the placement, its effects refer to the one before.
     const placed = next.record.placement.length > 0 ? next.record : before.record;
     effects.forEach((effect) => perform(placed, effect));
     if (next.record.state !== before.record.state) schedulePlanning();
   };
-  const perform = (record: job.JobRecord, effect: jobMachine.JobEffect): void => {
+  const perform = (record: job.JobRecord, effect: jobStateMachine.JobEffect): void => {
     switch (effect.type) {
       case 'persist':
         commits.markDirty(record.spec.jobId);
@@ -252,7 +252,7 @@
       cell: options.cell,
       configVersion: current.version,
       document: current.document,
-      workers: planningInputs.workersOf(workers.views()),
+      workers: planningInputs.toPlanWorkers(workers.statuses()),
       endedFailedJobs: records().filter((it) => job.isTerminal(it.state) && it.failures.length > 0),
       estimates: planningInputs.estimates(),
       jobs: records()
@@ -268,7 +268,7 @@
     round.placements.forEach((it) => dispatch(it.jobId, { type: 'planned', ...it }));
   };
 
-  const jobRequests = jobIntake.createJobIntake({
+  const jobRequests = jobRequestHandler.createJobRequestHandler({
     cell: options.cell,
     runtimes,
     commits,
@@ -276,12 +276,12 @@
     dispatch,
     onDidAccept: schedulePlanning,
   });
-  const reportHandler = statementIntake.createStatementIntake({
+  const reportHandler = agentReportHandler.createAgentReportHandler({
     epoch: options.epoch,
     clock: timeSource,
     log,
     fence: options.fence,
-    onDeposed: options.onDeposed,
+    onLeadershipLost: options.onLeadershipLost,
     isDisposed: owned.isDisposed,
     runtimes,
     workers,
@@ -295,7 +295,9 @@
     ticks += 1;
     workers
       .lapsed()
-      .forEach((it) => reportHandler.missTasks(it, [], 'is silent and its leases have lapsed'));
+      .forEach((it) =>
+        reportHandler.markMissingTasksLost(it, [], 'is silent and its leases have lapsed'),
+      );
     if (ticks % FENCE_EVERY_TICKS === 0) {
       for (const agentUrl of workers.unfencedUrls()) void reportHandler.fenceAgent(agentUrl);
       workers.retrySave();
@@ -310,11 +312,11 @@
     takeOver: async () => {
       const storedJobs = await options.jobStore.takeOver();
       storedJobs.forEach((it) => {
-        runtimes.set(it.spec.jobId, jobMachine.takeOver(it));
-        planningInputs.learn(it);
+        runtimes.set(it.spec.jobId, jobStateMachine.takeOver(it));
+        planningInputs.updateEstimates(it);
       });
       // The previous leader may have died before it archived the jobs that ended last.
-      archive.addLately(storedJobs);
+      archive.addRecent(storedJobs);
       await workers.load();
       await ledger.load();
       const discovered = await options.discoverAgents();
@@ -332,14 +334,14 @@
     cancel: jobRequests.cancel,
     show: jobRequests.show,
     jobs: records,
-    workers: workers.views,
+    workers: workers.statuses,
     warnings: () => [...warnings, ...workers.warnings()],
     report: reportHandler.report,
     quarantine: (workerId, isQuarantined, reason) => {
       if (!workers.noteQuarantine(workerId, isQuarantined, reason)) {
         throw errors.fail('notFound', `no worker ${workerId}`, { field: 'workerId' });
       }
-      planningInputs.noteOperator(workerId, isQuarantined);
+      planningInputs.recordOperatorDecision(workerId, isQuarantined);
       schedulePlanning();
     },
     flush: async () => {
--- a/src/coordination/node/leaderRoster.ts
+++ b/src/coordination/node/cellWorkerRegistry.ts
@@ -7,12 +7,12 @@
 import type * as logging from '../../base/common/logging.js';
 import type * as store from '../../state/common/store.js';
 import type * as worker from '../../state/common/worker.js';
-import * as roster from '../common/workerRoster.js';
+import * as roster from '../common/workerRegistry.js';
 
 import * as workerInventory from './workerInventory.js';
 
-/** Options of {@link createLeaderRoster}. */
-export interface LeaderRosterOptions {
+/** Options of {@link createCellWorkerRegistry}. */
+export interface CellWorkerRegistryOptions {
   readonly cell: string;
   readonly store: store.Store;
   readonly clock: clock.Clock;
@@ -25,7 +25,7 @@
 }
 
 /** State of a worker's agent, from a report or a fence reply. */
-export interface Sighting {
+export interface WorkerObservation {
   readonly bootId: string;
   readonly isLeaving: boolean;
   /** Uptime of the agent. */
@@ -37,36 +37,36 @@
 }
 
 /** Status of a worker, for operators. */
-export interface WorkerView {
+export interface WorkerStatus {
   readonly worker: worker.WorkerInfo;
   readonly health: worker.WorkerHealth;
   readonly healthReason: string;
 }
 
 /** Registry of the workers of one leader's cell. */
-export interface LeaderRoster {
+export interface CellWorkerRegistry {
   readonly load: () => Promise<void>;
-  readonly get: (workerId: string) => roster.RosterEntry | undefined;
+  readonly get: (workerId: string) => roster.RegisteredWorker | undefined;
   readonly agentUrlOf: (workerId: string) => string | undefined;
   /** URLs of agents that have not accepted this leader's epoch. */
   readonly unfencedUrls: () => readonly string[];
-  readonly views: () => WorkerView[];
+  readonly statuses: () => WorkerStatus[];
   /** Records the state of an agent that has accepted this leader's epoch. */
-  readonly enroll: (info: worker.WorkerInfo, seen: Sighting) => void;
+  readonly recordWorker: (info: worker.WorkerInfo, seen: WorkerObservation) => void;
   /** Records that the agent's boot or epoch differs from the one that this leader fenced. */
-  readonly noteUnfenced: (workerId: string) => void;
+  readonly markUnfenced: (workerId: string) => void;
   /** Records a missing reply: the worker gets no new work until its agent reports again. */
-  readonly noteSilent: (agentUrl: string) => void;
+  readonly markUnreachable: (agentUrl: string) => void;
   readonly bootIdOf: (agentUrl: string) => string;
   /** Period at which agents must report. */
   readonly reportMs: () => number;
   /** Retries a failed save. */
   readonly retrySave: () => void;
-  readonly noteAnswered: (agentUrl: string, bootId: string, commandCount: number) => void;
+  readonly recordCommandCount: (agentUrl: string, bootId: string, commandCount: number) => void;
   readonly quarantinedIds: () => ReadonlySet<string>;
   readonly noteQuarantine: (workerId: string, isQuarantined: boolean, reason: string) => boolean;
   /** @returns the lease granted with the reply to a report; 0 if the leader may not grant now */
-  readonly grantMs: (workerId: string) => number;
+  readonly grantLease: (workerId: string) => number;
   /** Ids of workers whose tasks' leases have all expired, so none of them can still run. */
   readonly lapsed: () => readonly string[];
   /** Warnings on workers without a response whose tasks still count as running, for operators. */
@@ -77,19 +77,21 @@
  * @param options - options
  * @returns an empty registry
  */
-export const createLeaderRoster = (options: LeaderRosterOptions): LeaderRoster => {
+export const createCellWorkerRegistry = (
+  options: CellWorkerRegistryOptions,
+): CellWorkerRegistry => {
   const { clock: timeSource, leaseMs } = options;
-  const entries = new Map<string, roster.RosterEntry>();
+  const entries = new Map<string, roster.RegisteredWorker>();
   const inventory = workerInventory.createWorkerInventory(options.store, options.cell);
   let majorityFencedAtMs: number | undefined;
 
   const nowMs = (): number => timeSource.monotonicMs();
   const authority = (): roster.Authority => ({
     isStoreLeaseHeld: options.isLeaseHeld(),
-    voterSets: inventory.possibleSets(),
+    voterSets: inventory.possibleWorkerSets(),
   });
   const recordInInventory = (info: worker.WorkerInfo): void => {
-    if (inventory.remember(info)) save();
+    if (inventory.record(info)) save();
   };
   const save = (): void => {
     void inventory.save().catch((thrown: unknown) => {
@@ -99,21 +101,21 @@
   /** Cached, since each job event reads it and it seldom changes. */
   let quarantined: ReadonlySet<string> = new Set();
   const reportMs = (): number => roster.reportPeriodMs(entries.size, leaseMs());
-  const update = (agentUrl: string, change: Partial<roster.RosterEntry>): void => {
+  const update = (agentUrl: string, change: Partial<roster.RegisteredWorker>): void => {
     for (const [workerId, entry] of entries) {
       if (entry.info.agentUrl === agentUrl) entries.set(workerId, { ...entry, ...change });
     }
   };
-  const confirmedAtMs = (seen: Sighting, before: number): number => {
+  const confirmedAtMs = (seen: WorkerObservation, before: number): number => {
     const isConfirmation =
       seen.stampMs !== undefined && seen.uptimeMs >= roster.votingDelayMs(leaseMs());
     return isConfirmation ? Math.max(before, seen.stampMs ?? before) : before;
   };
-  const recordWorker = (info: worker.WorkerInfo, seen: Sighting): void => {
+  const recordWorker = (info: worker.WorkerInfo, seen: WorkerObservation): void => {
     const known = entries.get(info.workerId);
     const isSameBoot = known?.bootId === seen.bootId;
     const neverMs = Number.NEGATIVE_INFINITY;
-    const assumedLeaseUntilMs = nowMs() + roster.certainLapseMs(leaseMs());
+    const assumedLeaseUntilMs = nowMs() + roster.certainExpiryMs(leaseMs());
     options.onWillChange();
     entries.set(info.workerId, {
       isQuarantined: known?.isQuarantined ?? false,
@@ -135,9 +137,13 @@
       majorityFencedAtMs = nowMs();
     }
   };
-  const isLapsed = (entry: roster.RosterEntry): boolean =>
-    roster.isLapsed(entry, roster.formerLeasesEndMs(majorityFencedAtMs, leaseMs()), nowMs());
-  const statuses = (): WorkerView[] =>
+  const isLapsed = (entry: roster.RegisteredWorker): boolean =>
+    roster.areLeasesExpired(
+      entry,
+      roster.previousLeasesEndMs(majorityFencedAtMs, leaseMs()),
+      nowMs(),
+    );
+  const statuses = (): WorkerStatus[] =>
     [...entries.values()].map((it) => ({
       worker: it.info,
       health: roster.healthOf(it, nowMs(), reportMs()),
@@ -164,13 +170,13 @@
     agentUrlOf: (workerId) => entries.get(workerId)?.info.agentUrl,
     unfencedUrls: () =>
       [...entries.values()].filter((it) => !it.isFenced).map((it) => it.info.agentUrl),
-    views: statuses,
-    enroll: recordWorker,
-    noteUnfenced: (workerId) => {
+    statuses,
+    recordWorker,
+    markUnfenced: (workerId) => {
       const entry = entries.get(workerId);
       if (entry !== undefined) entries.set(workerId, { ...entry, isFenced: false });
     },
-    noteSilent: (agentUrl) => {
+    markUnreachable: (agentUrl) => {
       options.onWillChange();
       update(agentUrl, { lastReportMs: Number.NEGATIVE_INFINITY });
     },
@@ -178,9 +184,9 @@
       [...entries.values()].find((it) => it.info.agentUrl === agentUrl)?.bootId ?? '',
     reportMs,
     retrySave: () => {
-      if (inventory.isSaveOwed()) save();
+      if (inventory.hasUnsavedWorkers()) save();
     },
-    noteAnswered: (agentUrl, bootId, commandCount) => {
+    recordCommandCount: (agentUrl, bootId, commandCount) => {
       // A reply of an earlier boot does not count the messages handled by the current one.
       for (const it of entries.values()) {
         const isCurrent = it.info.agentUrl === agentUrl && it.bootId === bootId;
@@ -199,11 +205,11 @@
       );
       return true;
     },
-    grantMs: (workerId) => {
+    grantLease: (workerId) => {
       const entry = entries.get(workerId);
       const mayGrant = roster.mayGrant(entries, authority(), nowMs(), leaseMs());
       if (entry === undefined || !mayGrant) return 0;
-      const leaseUntilMs = nowMs() + roster.certainLapseMs(leaseMs());
+      const leaseUntilMs = nowMs() + roster.certainExpiryMs(leaseMs());
       entries.set(workerId, { ...entry, leaseUntilMs });
       return leaseMs();
     },
--- a/src/coordination/node/commitQueue.ts
+++ b/src/coordination/node/commitQueue.ts
@@ -24,7 +24,7 @@
   /** Delay before a failed write is retried. */
   readonly retryMs: number;
   /** Called when another leader has written, so this one must stop. */
-  readonly onDeposed: () => void;
+  readonly onLeadershipLost: () => void;
 }
 
 /** Group commit of one cell. */
@@ -84,7 +84,7 @@
       const isUnknown = thrown instanceof store.StoreOutcomeUnknown;
       const { kind, message } = errors.normalize(thrown);
       options.log('warn', 'commitFailed', { segment, kind, isUnknown, reason: message });
-      if (kind === 'notLeader') options.onDeposed();
+      if (kind === 'notLeader') options.onLeadershipLost();
     } finally {
       writing.delete(segment);
     }
--- a/src/coordination/node/configurationSync.ts
+++ b/src/coordination/node/configurationSync.ts
@@ -17,7 +17,7 @@
 import * as storeKeys from '../../state/common/storeKeys.js';
 import * as configurationHolder from '../common/configurationHolder.js';
 import * as configurationOrder from '../common/configurationOrder.js';
-import * as liveView from '../common/liveView.js';
+import * as liveEntries from '../common/liveEntries.js';
 
 import type * as liveWatch from './liveWatch.js';
 
@@ -62,7 +62,7 @@
 const decodeEntry = (
   entry: store.StoreEntry | undefined,
 ): configuration.ConfigurationRecord | undefined =>
-  entry === undefined ? undefined : liveView.configurationOf(new Map([[entry.key, entry]]));
+  entry === undefined ? undefined : liveEntries.configurationOf(new Map([[entry.key, entry]]));
 
 /**
  * @param options - options
@@ -118,7 +118,7 @@
     }
   };
   const adoptFromWatch = (): void => {
-    const record = liveView.configurationOf(live.entries());
+    const record = liveEntries.configurationOf(live.entries());
     const adoption =
       record === undefined ? configurationHolder.Adoption.refused : holder.offer(record);
     if (adoption === configurationHolder.Adoption.refused) {
@@ -127,7 +127,7 @@
   };
   const peerUrls = (): readonly string[] => {
     const known = (['entry', 'scheduler'] as const).flatMap((role) =>
-      liveView.processesOf(live.entries(), role).map((it) => it.url),
+      liveEntries.processesOf(live.entries(), role).map((it) => it.url),
     );
     return [...new Set([...known, ...options.settingsPeerUrls])].slice(0, MAX_PEERS);
   };
--- a/src/coordination/node/jobArchive.ts
+++ b/src/coordination/node/jobArchive.ts
@@ -1,5 +1,5 @@
 /**
- * Archives ended jobs with their decisions for {@link ARCHIVED_DAYS} days, after the cell's
+ * Archives ended jobs with their decisions for {@link RETENTION_DAYS} days, after the cell's
  * segments have dropped them, so that `explain` still finds them.
  *
  * A day consists of a few parts of limited size, written at most once a minute. Guards against a
@@ -19,7 +19,7 @@
 import * as storeKeys from '../../state/common/storeKeys.js';
 
 /** Retention of ended jobs, in days. */
-export const ARCHIVED_DAYS = 30;
+export const RETENTION_DAYS = 30;
 
 /** Maximum parts of a day. With 132 jobs a day and cell and 4 kB a job, one or two are used. */
 export const MAX_PARTS = 8;
@@ -49,7 +49,7 @@
   /** Adds an ended job; it is written within a minute. */
   readonly add: (record: job.JobRecord) => void;
   /** Adds jobs that ended within the last day, as the previous leader may not have written them. */
-  readonly addLately: (records: readonly job.JobRecord[]) => void;
+  readonly addRecent: (records: readonly job.JobRecord[]) => void;
   readonly flush: () => Promise<void>;
 }
 
@@ -94,14 +94,14 @@
  * @param nowMs - wall time
  * @returns the job's last record, searched from the latest day backwards
  */
-export const findArchived = async (
+export const findArchivedJob = async (
   target: store.Store,
   cell: string,
   jobId: string,
   nowMs: number,
 ): Promise<job.JobRecord | undefined> => {
   const today = dayOf(nowMs);
-  for (let day = today; day >= today - ARCHIVED_DAYS; day -= 1) {
+  for (let day = today; day >= today - RETENTION_DAYS; day -= 1) {
     const parts = await readDay(target, cell, day);
     const found = parts.flatMap((it) => it.jobs).find((it) => it.spec.jobId === jobId);
     if (found !== undefined) return found;
@@ -172,7 +172,7 @@
   const deleteOld = async (): Promise<void> => {
     const today = dayOf(options.clock.wallMs());
     if (today === cleanedDay) return;
-    const first = today - ARCHIVED_DAYS - 1;
+    const first = today - RETENTION_DAYS - 1;
     for (let day = first; day > first - CLEANUP_SPAN_DAYS; day -= 1) {
       const parts = await readDay(target, cell, day);
       // Deletes the last part first, since readers stop at the first missing part.
@@ -220,7 +220,7 @@
   };
   return {
     add,
-    addLately: (records) => {
+    addRecent: (records) => {
       const sinceMs = options.clock.wallMs() - DAY_MS;
       records
         .filter((it) => job.isTerminal(it.state) && (it.endedAtMs ?? 0) > sinceMs)
--- a/src/coordination/node/jobIntake.ts
+++ b/src/coordination/node/jobRequestHandler.ts
@@ -4,24 +4,24 @@
 import * as errors from '../../base/common/errors.js';
 import type * as job from '../../state/common/job.js';
 import * as store from '../../state/common/store.js';
-import * as jobMachine from '../common/jobMachine.js';
+import * as jobStateMachine from '../common/jobStateMachine.js';
 import * as jobSegments from '../common/jobSegments.js';
 
 import type * as commitQueue from './commitQueue.js';
 
-/** Options of {@link createJobIntake}. */
-export interface JobIntakeOptions {
+/** Options of {@link createJobRequestHandler}. */
+export interface JobRequestHandlerOptions {
   readonly cell: string;
   /** The jobs of the cell; accepted jobs are added. */
-  readonly runtimes: Map<string, jobMachine.JobRuntime>;
+  readonly runtimes: Map<string, jobStateMachine.JobRuntime>;
   readonly commits: commitQueue.CommitQueue;
-  readonly context: () => jobMachine.JobContext;
-  readonly dispatch: (jobId: string, event: jobMachine.JobEvent) => void;
+  readonly context: () => jobStateMachine.JobContext;
+  readonly dispatch: (jobId: string, event: jobStateMachine.JobEvent) => void;
   readonly onDidAccept: () => void;
 }
 
 /** Handles requests for the jobs of one cell. */
-export interface JobIntake {
+export interface JobRequestHandler {
   readonly submit: (spec: job.JobSpec) => Promise<job.JobRecord>;
   readonly cancel: (jobIds: readonly string[]) => Promise<readonly job.JobRecord[]>;
   readonly show: (jobId: string) => job.JobRecord;
@@ -31,7 +31,7 @@
  * @param options - options
  * @returns the handler
  */
-export const createJobIntake = (options: JobIntakeOptions): JobIntake => {
+export const createJobRequestHandler = (options: JobRequestHandlerOptions): JobRequestHandler => {
   const { cell, runtimes, commits, context } = options;
   const show = (jobId: string): job.JobRecord => {
     const record = runtimes.get(jobId)?.record;
@@ -45,7 +45,7 @@
     const segmentJobs = [...runtimes.values()]
       .map((it) => it.record)
       .filter((it) => jobSegments.segmentOf(it.spec.jobId) === segment);
-    if (jobSegments.hasRoom(segmentJobs, accepted)) return;
+    if (jobSegments.hasCapacity(segmentJobs, accepted)) return;
     throw errors.fail('overloaded', `cell ${cell} stores too many jobs; nothing ran`, {
       retryAfterMs: 60_000,
     });
@@ -62,7 +62,7 @@
       const known = runtimes.get(spec.jobId);
       if (known !== undefined && !commits.isDirty(spec.jobId)) return checkSpec(known.record, spec);
       if (known === undefined) {
-        const accepted = jobMachine.accept(spec, context());
+        const accepted = jobStateMachine.accept(spec, context());
         assertCapacity(accepted.record);
         runtimes.set(spec.jobId, accepted);
       } else checkSpec(known.record, spec);
--- a/src/coordination/node/leadership.ts
+++ b/src/coordination/node/leadership.ts
@@ -13,7 +13,7 @@
 
 import * as leaseHolder from './leaseHolder.js';
 
-/** Options of {@link tryLead}. */
+/** Options of {@link tryAcquireLeadership}. */
 export interface LeadershipOptions {
   readonly store: store.Store;
   readonly clock: clock.Clock;
@@ -78,7 +78,9 @@
  * @returns the leadership, or undefined if another process has it
  * @throws AuburnliftError `storeUnavailable`
  */
-export const tryLead = async (options: LeadershipOptions): Promise<Leadership | undefined> => {
+export const tryAcquireLeadership = async (
+  options: LeadershipOptions,
+): Promise<Leadership | undefined> => {
   const lease = await leaseHolder.acquireLease(options);
   try {
     const hasLeaseKey = await swapOrReadBack(
--- a/src/coordination/node/ledgerKeeper.ts
+++ b/src/coordination/node/ledgerRecorder.ts
@@ -19,15 +19,15 @@
 import * as ledgerEntry from '../../state/common/ledgerEntry.js';
 import * as store from '../../state/common/store.js';
 import * as storeKeys from '../../state/common/storeKeys.js';
-import * as ledgerBook from '../common/ledgerBook.js';
+import * as ledgerHours from '../common/ledgerHours.js';
 import * as ledgerCheck from '../common/ledgerCheck.js';
-import * as ledgerHoldings from '../common/ledgerHoldings.js';
+import * as ledgerAllocations from '../common/ledgerAllocations.js';
 import * as ledgerTime from '../common/ledgerTime.js';
 
 import * as ledgerRollup from './ledgerRollup.js';
 
-/** Options of {@link createLedgerKeeper}. */
-export interface LedgerKeeperOptions {
+/** Options of {@link createLedgerRecorder}. */
+export interface LedgerRecorderOptions {
   readonly cell: string;
   /** Epoch of the leader that writes the ledger. */
   readonly epoch: number;
@@ -35,13 +35,13 @@
   readonly clock: clock.Clock;
   readonly log: logging.Log;
   readonly metrics: metrics.Metrics;
-  readonly holdings: () => ledgerHoldings.Holdings;
+  readonly allocations: () => ledgerAllocations.CellAllocations;
   /** Called when a later leader writes the ledger. */
-  readonly onDeposed: () => void;
+  readonly onLeadershipLost: () => void;
 }
 
 /** Ledger of one cell, written by its leader. */
-export interface LedgerKeeper extends disposable.Disposable {
+export interface LedgerRecorder extends disposable.Disposable {
   /** Fences previous writers and books the time since their last record. */
   readonly load: () => Promise<void>;
   /** Books the allocations up to now; must be called before each change. */
@@ -85,9 +85,9 @@
  * @param options - options
  * @returns a ledger without bookings
  */
-export const createLedgerKeeper = (options: LedgerKeeperOptions): LedgerKeeper => {
+export const createLedgerRecorder = (options: LedgerRecorderOptions): LedgerRecorder => {
   const { cell, epoch, clock: timeSource, log } = options;
-  let book: ledgerBook.Book = new Map();
+  let book: ledgerHours.OpenHours = new Map();
   const written = new Map<number, { revision: number; bookedUntilMs: number }>();
   const reportedFaults = new Set<string>();
   let bookingTime: ledgerTime.LedgerTime | undefined;
@@ -99,12 +99,12 @@
   let isSuperseded = false;
   let anomaly: ledgerTime.LedgerStep['anomaly'] = 'none';
 
-  const spanOf = (fromMs: number, toMs: number): ledgerBook.Span => ({
+  const spanOf = (fromMs: number, toMs: number): ledgerHours.Span => ({
     cell,
     epoch,
     fromMs,
     toMs,
-    ...options.holdings(),
+    ...options.allocations(),
   });
   const reportAnomaly = (next: ledgerTime.LedgerStep['anomaly']): void => {
     if (next !== 'none' && next !== anomaly) {
@@ -120,14 +120,14 @@
     reportAnomaly(step.anomaly);
     bookingTime = step.next;
     if (bookingTime.bookedUntilMs === fromMs) return;
-    const { unwitnessedUntilMs } = step;
+    const { unobservedUntilMs: unwitnessedUntilMs } = step;
     if (unwitnessedUntilMs > fromMs) {
-      book = ledgerBook.bookUnwitnessed(book, spanOf(fromMs, unwitnessedUntilMs));
+      book = ledgerHours.recordUnobserved(book, spanOf(fromMs, unwitnessedUntilMs));
     }
-    book = ledgerBook.bookSpan(book, spanOf(unwitnessedUntilMs, bookingTime.bookedUntilMs));
+    book = ledgerHours.recordSpan(book, spanOf(unwitnessedUntilMs, bookingTime.bookedUntilMs));
   };
   const failAsSuperseded = (): never => {
-    if (!isSuperseded) options.onDeposed();
+    if (!isSuperseded) options.onLeadershipLost();
     isSuperseded = true;
     throw errors.fail('notLeader', `the ledger of cell ${cell} has a later keeper`);
   };
@@ -184,7 +184,7 @@
     for (const [, hour] of [...book].sort(([a], [b]) => a - b)) {
       const isDirty = written.get(hour.hour)?.bookedUntilMs !== hour.bookedUntilMs;
       if (!isDirty) continue;
-      const record = ledgerBook.toRecord(hour);
+      const record = ledgerHours.toRecord(hour);
       check(record);
       await write(record);
     }
@@ -235,13 +235,13 @@
       // Written even if there is nothing to book, so that a previous leader's write conflicts.
       const first =
         last === undefined
-          ? ledgerBook.openHour({ cell, epoch }, nowMs)
-          : ledgerBook.fromRecord(last);
+          ? ledgerHours.openHour({ cell, epoch }, nowMs)
+          : ledgerHours.fromRecord(last);
       book = new Map([[first.hour, { ...first, epoch }]]);
       if (entry !== undefined) {
         written.set(first.hour, { revision: entry.revision, bookedUntilMs: Number.NaN });
       }
-      if (fromMs < nowMs) book = ledgerBook.bookUnwitnessed(book, spanOf(fromMs, nowMs));
+      if (fromMs < nowMs) book = ledgerHours.recordUnobserved(book, spanOf(fromMs, nowMs));
       bookingTime = {
         bookedUntilMs: Math.max(fromMs, nowMs),
         monotonicMs: timeSource.monotonicMs(),
--- a/src/coordination/node/ledgerRollup.ts
+++ b/src/coordination/node/ledgerRollup.ts
@@ -1,6 +1,6 @@
 /**
  * Limits the ledger's size in the store: hours older than three days are merged into one record a
- * day, and days are retained for {@link KEPT_DAYS}. Both rules are documented for operators.
+ * day, and days are retained for {@link RETENTION_DAYS}. Both rules are documented for operators.
  *
  * Guards against a process that dies between writing the day and deleting its hours: the day lists
  * the hours merged into it, so a repeat adds only missing hours, and readers skip hours that the
@@ -10,13 +10,13 @@
 import * as ledgerEntry from '../../state/common/ledgerEntry.js';
 import * as store from '../../state/common/store.js';
 import * as storeKeys from '../../state/common/storeKeys.js';
-import * as ledgerBook from '../common/ledgerBook.js';
+import * as ledgerHours from '../common/ledgerHours.js';
 
 /** Days for which hours are stored separately. */
-export const HOURLY_DAYS = 3;
+export const HOURLY_RETENTION_DAYS = 3;
 
 /** Retention of days: a year and a month, for the yearly audit. */
-export const KEPT_DAYS = 400;
+export const RETENTION_DAYS = 400;
 
 /** Options of {@link rollUp}. */
 export interface RollupOptions {
@@ -59,7 +59,7 @@
   return {
     ...owner,
     hours: [...(day?.hours ?? []), ...summaries].sort((a, b) => a.hour - b.hour),
-    entries: ledgerBook.mergeEntries([day?.entries ?? [], ...missing.map((it) => it.entries)]),
+    entries: ledgerHours.mergeEntries([day?.entries ?? [], ...missing.map((it) => it.entries)]),
   };
 };
 
@@ -92,7 +92,7 @@
 
 const dropOldDays = async (options: RollupOptions, today: number): Promise<void> => {
   const { entries } = await options.store.list(storeKeys.ledgerDaysPrefix(options.cell));
-  const oldest = storeKeys.ledgerDayKey(options.cell, Math.max(0, today - KEPT_DAYS));
+  const oldest = storeKeys.ledgerDayKey(options.cell, Math.max(0, today - RETENTION_DAYS));
   for (const { key, revision } of entries.filter((it) => it.key < oldest)) {
     await options.store.compareAndSwap({ key, expectedRevision: revision, value: null });
   }
@@ -109,13 +109,13 @@
     entry,
     hour: schemaIssues.decodeOrFail(ledgerEntry.LedgerHour, JSON.parse(entry.value), 'ledger hour'),
   }));
-  const today = dayOf(ledgerBook.hourOf(options.nowMs));
+  const today = dayOf(ledgerHours.hourOf(options.nowMs));
   // The next leader continues from the newest record, so it is retained whatever its age.
   const newestDay = dayOf(kept.at(-1)?.hour.hour ?? 0);
   const byDay = new Map<number, StoredHour[]>();
   for (const it of kept) {
     const day = dayOf(it.hour.hour);
-    if (day < today - HOURLY_DAYS && day !== newestDay) {
+    if (day < today - HOURLY_RETENTION_DAYS && day !== newestDay) {
       byDay.set(day, [...(byDay.get(day) ?? []), it]);
     }
   }
--- a/src/coordination/node/memberCommands.ts
+++ b/src/coordination/node/memberCommands.ts
@@ -5,7 +5,7 @@
 import * as disposable from '../../base/common/disposable.js';
 import type * as job from '../../state/common/job.js';
 import type * as task from '../../state/common/task.js';
-import type * as jobMachine from '../common/jobMachine.js';
+import type * as jobStateMachine from '../common/jobStateMachine.js';
 import * as memberOutcome from '../common/memberOutcome.js';
 
 import type * as commandOutbox from './commandOutbox.js';
@@ -15,8 +15,8 @@
   readonly clock: clock.Clock;
   readonly outbox: commandOutbox.CommandOutbox;
   readonly agentUrlOf: (workerId: string) => string | undefined;
-  readonly runtimeOf: (jobId: string) => jobMachine.JobRuntime | undefined;
-  readonly dispatch: (jobId: string, event: jobMachine.JobEvent) => void;
+  readonly runtimeOf: (jobId: string) => jobStateMachine.JobRuntime | undefined;
+  readonly dispatch: (jobId: string, event: jobStateMachine.JobEvent) => void;
 }
 
 /** Commands to the members of a cell's jobs. */
@@ -74,7 +74,7 @@
   ): void => {
     const { jobId } = record.spec;
     if (isDisposed || options.runtimeOf(jobId)?.record.attempt !== record.attempt) return;
-    const reading = memberOutcome.readOutcome(effect, outcome);
+    const reading = memberOutcome.interpretOutcome(effect, outcome);
     if (reading.type === 'event') options.dispatch(jobId, reading.event);
     if (reading.type === 'resend') scheduleResend(record, effect);
   };
@@ -82,7 +82,7 @@
     const timer = options.clock.after(RESEND_MS, () => {
       resendTimers.delete(timer);
       const runtime = options.runtimeOf(record.spec.jobId);
-      if (memberOutcome.isStillWanted(runtime, record.attempt, effect)) send(record, effect);
+      if (memberOutcome.stillApplies(runtime, record.attempt, effect)) send(record, effect);
     });
     resendTimers.add(timer);
   };
--- a/src/coordination/node/planInputs.ts
+++ b/src/coordination/node/planInputs.ts
@@ -8,26 +8,28 @@
 import type * as planTypes from '../common/planTypes.js';
 import * as runEstimates from '../common/runEstimates.js';
 
-import type * as leaderRoster from './leaderRoster.js';
+import type * as cellWorkerRegistry from './cellWorkerRegistry.js';
 
 /** Options of {@link createPlanInputs}. */
 export interface PlanInputsOptions {
   readonly clock: clock.Clock;
   readonly log: logging.Log;
-  readonly workers: Pick<leaderRoster.LeaderRoster, 'noteQuarantine'>;
+  readonly workers: Pick<cellWorkerRegistry.CellWorkerRegistry, 'noteQuarantine'>;
 }
 
 /** Inputs of planning rounds, held in the leader's memory. */
 export interface PlanInputs {
   readonly estimates: () => runEstimates.RunEstimates;
   /** Updates the estimates from a job whose state has changed. */
-  readonly learn: (record: job.JobRecord) => void;
+  readonly updateEstimates: (record: job.JobRecord) => void;
   /** The cell's workers in the form that planning uses. */
-  readonly workersOf: (statuses: readonly leaderRoster.WorkerView[]) => planTypes.PlanWorker[];
+  readonly toPlanWorkers: (
+    statuses: readonly cellWorkerRegistry.WorkerStatus[],
+  ) => planTypes.PlanWorker[];
   /** Applies the decision of a planning round: quarantines with a reason, releases without one. */
   readonly setQuarantine: (workerId: string, why: string | undefined) => void;
   /** Records an operator's decision, which overrides planning's own. */
-  readonly noteOperator: (workerId: string, isQuarantined: boolean) => void;
+  readonly recordOperatorDecision: (workerId: string, isQuarantined: boolean) => void;
 }
 
 /**
@@ -44,15 +46,15 @@
     const sinceMs = quarantinedAtMs.get(workerId);
     const blameFromMs = releasedAtMs.get(workerId) ?? 0;
     return sinceMs === undefined
-      ? { blameFromMs }
-      : { blameFromMs, autoQuarantinedSinceMs: sinceMs };
+      ? { ignoreFailuresUntilMs: blameFromMs }
+      : { ignoreFailuresUntilMs: blameFromMs, autoQuarantinedSinceMs: sinceMs };
   };
   return {
     estimates: () => estimates,
-    learn: (record) => {
-      estimates = runEstimates.learn(estimates, record);
+    updateEstimates: (record) => {
+      estimates = runEstimates.addFinishedRun(estimates, record);
     },
-    workersOf: (statuses) =>
+    toPlanWorkers: (statuses) =>
       statuses.map((it) => ({
         workerId: it.worker.workerId,
         rack: it.worker.rack,
@@ -70,7 +72,7 @@
       }
       options.log('warn', 'quarantine', { workerId, isQuarantined, reason: why ?? 'released' });
     },
-    noteOperator: (workerId, isQuarantined) => {
+    recordOperatorDecision: (workerId, isQuarantined) => {
       quarantinedAtMs.delete(workerId);
       if (!isQuarantined) releasedAtMs.set(workerId, options.clock.wallMs());
     },
--- a/src/coordination/node/pool/agentSession.ts
+++ b/src/coordination/node/pool/agentSession.ts
@@ -12,14 +12,14 @@
 
 /** Dependencies of a session. */
 export interface AgentSessionOptions {
-  readonly link: agentContract.AgentLink;
+  readonly link: agentContract.AgentApi;
   readonly clock: clock.Clock;
   readonly log: logging.Log;
   readonly worker: workerTable.WorkerEntry;
   /** Duration of the leases granted; 0 while the leadership is not certain. */
   readonly grantMs: () => number;
   /** @returns settled once the run ends in the update may be acknowledged */
-  readonly onUpdate: (news: agentContract.WorkerNews, receivedAtMs: number) => Promise<unknown>;
+  readonly onUpdate: (news: agentContract.WorkerUpdate, receivedAtMs: number) => Promise<unknown>;
   readonly onDidLoseAgent: () => void;
 }
 
@@ -55,7 +55,10 @@
   if (sample === undefined || grantMs === 0) return 0;
   if (nowMs - sample.atMs > MAX_SAMPLE_AGE_MS) return 0;
   const untilMs = leaseClock.leaseUntil(sample, nowMs, grantMs);
-  worker.leasesLapseAtMs = Math.max(worker.leasesLapseAtMs, leaseClock.lapsedBy(sample, untilMs));
+  worker.leasesExpireAtMs = Math.max(
+    worker.leasesExpireAtMs,
+    leaseClock.expiredByMs(sample, untilMs),
+  );
   return untilMs;
 };
 
@@ -77,7 +80,7 @@
     knownVersion,
     waitMs: SYNC_WAIT_MS,
   });
-  const apply = (news: agentContract.WorkerNews): Promise<unknown> => {
+  const apply = (news: agentContract.WorkerUpdate): Promise<unknown> => {
     knownVersion = news.version;
     if (news.bootId !== bootId) {
       options.log('info', 'agentFound', { agent: worker.agentId, boot: news.bootId });
--- a/src/coordination/node/pool/configurationFeed.ts
+++ b/src/coordination/node/pool/configurationFeed.ts
@@ -12,7 +12,7 @@
 import type * as store from '../../../state/common/store.js';
 
 import * as prefixWatch from './prefixWatch.js';
-import * as viewAge from './viewAge.js';
+import * as snapshotAge from './snapshotAge.js';
 
 /** Dependencies of the feed. */
 export interface ConfigurationFeedOptions {
@@ -27,7 +27,7 @@
 
 /** The configuration as this process knows it. */
 export interface ConfigurationFeed extends disposable.Disposable {
-  readonly current: () => poolConfiguration.HeldConfiguration | undefined;
+  readonly current: () => poolConfiguration.StoredConfiguration | undefined;
   /** The record that {@link current} was read from. */
   readonly record: () => store.StoreEntry | undefined;
   /** Revision of the store up to which all changes were seen. */
@@ -37,14 +37,14 @@
    * then may still be accepted by this process.
    */
   readonly ageMs: () => number;
-  readonly onDidChange: event.Event<poolConfiguration.HeldConfiguration>;
+  readonly onDidChange: event.Event<poolConfiguration.StoredConfiguration>;
 }
 
 /** Wait of a watch: bounds the age of the last confirmation while nothing changes. */
 const WATCH_MS = 1200;
 
 /** Short wait of a watch that confirms the copy as current immediately: after a change and after a failure. */
-const PROOF_MS = 50;
+const CONFIRM_WATCH_MS = 50;
 
 /** Delay after a failed call. */
 const RETRY_MS = 200;
@@ -64,12 +64,12 @@
  */
 export const startConfigurationFeed = (options: ConfigurationFeedOptions): ConfigurationFeed => {
   const { clock: time, log } = options;
-  const changes = event.createEmitter<poolConfiguration.HeldConfiguration>();
+  const changes = event.createEmitter<poolConfiguration.StoredConfiguration>();
   const aborter = new AbortController();
   let isDisposed = false;
-  let held: poolConfiguration.HeldConfiguration | undefined;
+  let active: poolConfiguration.StoredConfiguration | undefined;
   let heldRecord: store.StoreEntry | undefined;
-  const age = viewAge.createViewAge(time);
+  const age = snapshotAge.createSnapshotAge(time);
   let isConnected = false;
   /** Successive failed store calls. */
   let failures = 0;
@@ -89,9 +89,9 @@
       log('error', 'configurationUnreadable', { revision: record.revision, reason: message });
       return;
     }
-    if (held !== undefined && configuration.version < held.configuration.version) return;
-    const isNewer = configuration.version !== held?.configuration.version;
-    held = { configuration, revision: Math.max(record.revision, held?.revision ?? 0) };
+    if (active !== undefined && configuration.version < active.configuration.version) return;
+    const isNewer = configuration.version !== active?.configuration.version;
+    active = { configuration, revision: Math.max(record.revision, active?.revision ?? 0) };
     heldRecord = record;
     if (!isNewer) return;
     const { version, queues, customers } = configuration;
@@ -102,7 +102,7 @@
       queues: queues.length,
       customers: customers.length,
     });
-    changes.fire(held);
+    changes.fire(active);
   };
 
   const recordAnswer = (): void => {
@@ -136,7 +136,7 @@
       tookMs: Math.round(time.monotonicMs() - sentAt.monotonicMs),
     });
     entries.forEach(applyRecord);
-    age.prove(sentAt);
+    age.confirm(sentAt);
     recordAnswer();
   };
 
@@ -147,7 +147,7 @@
         store: options.store,
         prefix: options.key,
         waitMs: WATCH_MS,
-        proofWaitMs: PROOF_MS,
+        confirmWaitMs: CONFIRM_WATCH_MS,
         signal: aborter.signal,
         age,
         onDidSee: (seen) => {
@@ -176,7 +176,7 @@
   };
   void run();
   return {
-    current: () => held,
+    current: () => active,
     record: () => heldRecord,
     seenRevision: () => seenRevision ?? 0,
     ageMs: age.ageMs,
--- a/src/coordination/node/pool/configurationShare.ts
+++ b/src/coordination/node/pool/configurationShare.ts
@@ -21,7 +21,7 @@
 }
 
 /** Requests a configuration later than a revision from an entry; throws if it does not answer. */
-export type AskConfiguration = (
+export type RequestConfiguration = (
   afterRevision: number,
   waitMs: number,
 ) => Promise<SharedConfiguration>;
@@ -45,7 +45,7 @@
  * @param options - its dependencies
  * @returns answers the scheduler's requests; throws `storeUnavailable` while the entry gets nothing from the store
  */
-export const shareConfiguration = (options: ShareOptions): AskConfiguration => {
+export const shareConfiguration = (options: ShareOptions): RequestConfiguration => {
   const { feed, clock: time } = options;
   const checkStoreAnswers = (): void => {
     if (options.storeAgeMs() <= MAX_SILENCE_MS) return;
@@ -70,8 +70,8 @@
 };
 
 /** Dependencies of a scheduler that reads the configuration from its machine's entry. */
-export interface SharedStoreOptions {
-  readonly ask: AskConfiguration;
+export interface SharedConfigurationStoreOptions {
+  readonly ask: RequestConfiguration;
   /** Used if the entry does not answer. */
   readonly store: Pick<recordStore.RecordStore, 'list' | 'watch'>;
   /** Key of the record that holds the configuration. */
@@ -86,8 +86,8 @@
  * @param options - its dependencies
  * @returns reads the configuration's record from the entry on this machine, or else from the store
  */
-export const createSharedStore = (
-  options: SharedStoreOptions,
+export const createSharedConfigurationStore = (
+  options: SharedConfigurationStoreOptions,
 ): Pick<recordStore.RecordStore, 'list' | 'watch'> => {
   const { ask, key, log } = options;
   let isShared: boolean | undefined;
--- a/src/coordination/node/pool/endRecorder.ts
+++ b/src/coordination/node/pool/endRecorder.ts
@@ -7,12 +7,12 @@
 import type * as metrics from '../../../base/common/metrics.js';
 import type * as poolJob from '../../../state/common/pool/poolJob.js';
 import * as poolWorker from '../../../state/common/pool/poolWorker.js';
-import * as estimateBook from '../../common/pool/estimateBook.js';
-import * as jobBook from '../../common/pool/jobBook.js';
-import type * as jobEnds from '../../common/pool/jobEnds.js';
+import * as runtimeEstimates from '../../common/pool/runtimeEstimates.js';
+import * as jobState from '../../common/pool/jobState.js';
+import type * as jobTransitions from '../../common/pool/jobTransitions.js';
 import * as jobOutcome from '../../common/pool/jobOutcome.js';
 import * as planRound from '../../common/pool/planRound.js';
-import * as workerBlame from '../../common/pool/workerBlame.js';
+import * as workerSuspicion from '../../common/pool/workerSuspicion.js';
 import * as workerTable from '../../common/pool/workerTable.js';
 
 /** Dependencies of the recorder. */
@@ -23,17 +23,17 @@
   /** The pool's workers by agent. */
   readonly workers: ReadonlyMap<string, workerTable.WorkerEntry>;
   /** Runtime estimates, updated from completed runs. */
-  readonly estimates: estimateBook.EstimateBook;
+  readonly estimates: runtimeEstimates.RuntimeEstimates;
 }
 
 /** Records ends. */
 export interface EndRecorder {
-  readonly recordJobEnd: (entry: jobBook.JobEntry) => void;
+  readonly recordJobEnd: (entry: jobState.JobEntry) => void;
   /** Called if the end of a run, or of the gang it belongs to, has changed the job's state. */
   readonly recordRunEnd: (
-    entry: jobBook.JobEntry,
-    task: jobBook.TaskEntry,
-    outcome: jobEnds.RunOutcome,
+    entry: jobState.JobEntry,
+    task: jobState.TaskEntry,
+    outcome: jobTransitions.RunOutcome,
   ) => void;
   readonly updateSuspicion: (
     worker: workerTable.WorkerEntry,
@@ -43,7 +43,7 @@
   /** @param done - runs that the worker reported as done */
   readonly recordRuntimes: (
     worker: workerTable.WorkerEntry,
-    done: readonly workerTable.RunHolding[],
+    done: readonly workerTable.ActiveRun[],
   ) => void;
 }
 
@@ -58,7 +58,7 @@
     recordJobEnd: (entry) => {
       const outcome = jobOutcome.outcomeOf(
         entry,
-        workerTable.createSlotCount(options.workers.values()),
+        workerTable.createSlotCounter(options.workers.values()),
       );
       const { queue } = entry.job.policy;
       metrics.count('auburnlift_jobs_ended_total', {
@@ -87,7 +87,7 @@
         run,
         how,
         heldMs: startedAtWallMs === 0 ? undefined : time.wallMs() - startedAtWallMs,
-        cores: planRound.weightInCores(resources) * jobBook.groupOf(entry, task).length,
+        cores: planRound.weightInCores(resources) * jobState.groupOf(entry, task).length,
         checkpointing: isCheckpointing,
         worker: task.workerId,
         failures: task.failures,
@@ -95,23 +95,23 @@
       });
     },
     updateSuspicion: (worker, end, jobId) => {
-      if (end.how === poolWorker.EndKind.done) workerBlame.noteSuccess(worker.blame);
+      if (end.how === poolWorker.EndKind.done) workerSuspicion.recordSuccess(worker.suspicion);
       if (end.how !== poolWorker.EndKind.failed) return;
-      if (!workerBlame.noteFailure(worker.blame, jobId, nowMs())) return;
+      if (!workerSuspicion.recordFailure(worker.suspicion, jobId, nowMs())) return;
       metrics.count('auburnlift_workers_suspected_total');
       log('warn', 'workerSuspected', {
         agent: worker.agentId,
         worker: worker.info?.workerId,
-        forMs: Math.round(worker.blame.suspectUntilMs - nowMs()),
-        suspicions: worker.blame.suspicions,
+        forMs: Math.round(worker.suspicion.suspectUntilMs - nowMs()),
+        suspicions: worker.suspicion.suspicions,
       });
     },
     recordRuntimes: (worker, done) => {
       for (const run of done) run.task.workMs = workerTable.observedWorkMs(run, nowMs());
       // The runtime on a suspected worker says more about the worker than about the declared work.
-      if (workerBlame.isSuspect(worker.blame, nowMs())) return;
+      if (workerSuspicion.isSuspect(worker.suspicion, nowMs())) return;
       for (const { entry, step, task } of done) {
-        estimateBook.noteDone(options.estimates, entry.job, step, task.workMs);
+        runtimeEstimates.recordTask(options.estimates, entry.job, step, task.workMs);
       }
     },
   };
--- a/src/coordination/node/pool/endedJobsRemoval.ts
+++ b/src/coordination/node/pool/endedJobsRemoval.ts
@@ -6,7 +6,7 @@
 import type * as logging from '../../../base/common/logging.js';
 import * as poolKeys from '../../../state/common/pool/poolKeys.js';
 import type * as recordStore from '../../../state/common/pool/recordStore.js';
-import * as jobBook from '../../common/pool/jobBook.js';
+import * as jobState from '../../common/pool/jobState.js';
 import type * as jobRegistry from '../../common/pool/jobRegistry.js';
 
 /** Dependencies of the removal. */
@@ -57,7 +57,7 @@
     scannedAtMs = time.monotonicMs();
     const beforeMs = time.wallMs() - options.statusMs - SLACK_MS;
     const due = [...registry.all()]
-      .filter((it) => jobBook.isEnded(it) && it.endedAtMs < beforeMs)
+      .filter((it) => jobState.isEnded(it) && it.endedAtMs < beforeMs)
       .slice(0, JOBS_PER_TRANSACTION)
       .map((it) => it.job.jobId);
     if (due.length === 0) return;
--- a/src/coordination/node/pool/jobDesk.ts
+++ b/src/coordination/node/pool/jobRequestHandler.ts
@@ -23,7 +23,7 @@
 import type * as configurationFeed from './configurationFeed.js';
 
 /** Dependencies of the request handler. */
-export interface JobDeskOptions {
+export interface JobRequestHandlerOptions {
   readonly store: recordStore.RecordStore;
   readonly clock: clock.Clock;
   readonly log: logging.Log;
@@ -66,7 +66,7 @@
 }
 
 /** Handles requests about jobs. Each method throws the error that is sent to the caller. */
-export interface JobDesk {
+export interface JobRequestHandler {
   /** Whether the configuration was confirmed as current recently enough to check credentials by it. */
   readonly canCheckCredentials: () => boolean;
   /** @throws AuburnliftError `notFound`, `unauthenticated` or `staleConfiguration` */
@@ -86,7 +86,7 @@
  * If the configuration was confirmed longer ago, no caller is told that a queue or a credential does not exist: a
  * later configuration, which has to be active soon after it is stored, may contain it.
  */
-const DENY_MS = 2000;
+const MAX_DENIAL_AGE_MS = 2000;
 
 /** Part of the caller's deadline reserved for returning the answer. */
 const ANSWER_RESERVE_MS = 250;
@@ -115,7 +115,7 @@
 const unavailable = (message: string): errors.AuburnliftError =>
   errors.fail('storeUnavailable', `${message}; nothing ran`, { retryAfterMs: RETRY_AFTER_MS });
 
-const stillOpen = (): errors.AuburnliftError =>
+const unresolved = (): errors.AuburnliftError =>
   errors.fail('outcomeUnknown', 'the store did not answer; the outcome is unknown');
 
 const gone = (): errors.AuburnliftError => errors.fail('gone', 'no such job', { field: 'jobId' });
@@ -124,7 +124,7 @@
  * @param options - its dependencies
  * @returns the request handler
  */
-export const createJobDesk = (options: JobDeskOptions): JobDesk => {
+export const createJobRequestHandler = (options: JobRequestHandlerOptions): JobRequestHandler => {
   const { clock: time, feed, log, metrics } = options;
 
   const canCheckCredentials = (): boolean => feed.ageMs() <= options.revokeMs * FRESH_SHARE;
@@ -135,7 +135,7 @@
         `the store last answered ${agoText(options.storeAgeMs())}`,
     );
   const checkRecentlyConfirmed = (what: string): void => {
-    if (feed.ageMs() > DENY_MS) throw unconfirmed(what);
+    if (feed.ageMs() > MAX_DENIAL_AGE_MS) throw unconfirmed(what);
   };
 
   const admit = (call: Call): AdmittedCall => {
@@ -208,7 +208,7 @@
       } catch (thrown) {
         isOpen ||= thrown instanceof store.StoreOutcomeUnknown;
         logFailure(call, thrown, isOpen);
-        if (isDeadlineNear(endMs)) throw isOpen ? stillOpen() : unavailable('the write failed');
+        if (isDeadlineNear(endMs)) throw isOpen ? unresolved() : unavailable('the write failed');
       }
       await clock.sleep(time, RETRY_MS);
     }
@@ -249,32 +249,32 @@
     key: string,
     valueOf: (admitted: AdmittedCall) => string,
   ): Promise<'written' | 'exists'> => {
-    let judged = admitted;
+    let current = admitted;
     for (let tries = 0; tries < MAX_READMISSIONS; tries += 1) {
       const result = await transact(call, endMs, {
         conditions: [
           { key, revision: store.ABSENT_REVISION },
-          { key: options.configurationKey, revision: judged.configurationRevision },
+          { key: options.configurationKey, revision: current.configurationRevision },
         ],
-        puts: [{ key, value: valueOf(judged) }],
+        puts: [{ key, value: valueOf(current) }],
         removes: [],
         omitsCurrent: true,
       });
       if (result.isCommitted) return 'written';
       // The record may exist because an earlier attempt of this call took effect and its answer was lost.
-      const existing = await read(call, endMs, () => options.store.get(key), stillOpen);
+      const existing = await read(call, endMs, () => options.store.get(key), unresolved);
       if (existing !== undefined) return 'exists';
-      await waitForLaterConfiguration(judged.configurationRevision, endMs);
-      judged = admit(call);
+      await waitForLaterConfiguration(current.configurationRevision, endMs);
+      current = admit(call);
       log('info', 'judgedAnew', {
         request: call.requestId,
-        configRevision: judged.configurationRevision,
+        configRevision: current.configurationRevision,
       });
     }
     throw unavailable('the configuration changes too often');
   };
 
-  const submit: JobDesk['submit'] = async (call, admitted, draft) => {
+  const submit: JobRequestHandler['submit'] = async (call, admitted, draft) => {
     jobChecks.checkSteps(draft.steps);
     const startedAtMs = time.monotonicMs();
     const { jobId } = admitted;
@@ -315,7 +315,7 @@
     });
   };
 
-  const cancel: JobDesk['cancel'] = async (call, admitted) => {
+  const cancel: JobRequestHandler['cancel'] = async (call, admitted) => {
     const endMs = endOf(call);
     const records = await findRecords(call, endMs, admitted);
     if (!records.has(poolKeys.JobPart.spec)) throw gone();
@@ -328,7 +328,7 @@
     log('info', 'jobCancelled', { request: call.requestId, job: admitted.jobId, outcome });
   };
 
-  const state: JobDesk['state'] = async (call, admitted) => {
+  const state: JobRequestHandler['state'] = async (call, admitted) => {
     const endMs = endOf(call);
     const progress = await read(call, endMs, () =>
       options.store.get(poolKeys.progressKey(admitted.jobId)),
--- a/src/coordination/node/pool/leasedRecord.ts
+++ b/src/coordination/node/pool/leasedRecord.ts
@@ -38,7 +38,7 @@
  * @param options - its dependencies and content
  * @returns stops the renewals when disposed, and removes the record
  */
-export const keepLeasedRecord = (options: LeasedRecordOptions): disposable.Disposable => {
+export const maintainLeasedRecord = (options: LeasedRecordOptions): disposable.Disposable => {
   const { clock: time, log, key } = options;
   let isDisposed = false;
   let leaseId: string | undefined;
--- a/src/coordination/node/pool/lostRuns.ts
+++ b/src/coordination/node/pool/lostRunDetector.ts
@@ -7,25 +7,25 @@
  */
 import type * as clock from '../../../base/common/clock.js';
 import type * as logging from '../../../base/common/logging.js';
-import * as jobBook from '../../common/pool/jobBook.js';
+import * as jobState from '../../common/pool/jobState.js';
 import type * as jobRegistry from '../../common/pool/jobRegistry.js';
-import * as lateOrders from '../../common/pool/lateOrders.js';
+import * as delayedOrders from '../../common/pool/delayedOrders.js';
 import * as workerTable from '../../common/pool/workerTable.js';
 
 /** Dependencies of the detection of lost runs. */
-export interface LostRunsOptions {
+export interface LostRunDetectorOptions {
   readonly clock: clock.Clock;
   readonly log: logging.Log;
   readonly registry: jobRegistry.JobRegistry;
   readonly workers: ReadonlyMap<string, workerTable.WorkerEntry>;
   /** Leader's clock by which every lease granted by a previous leader has expired. */
-  readonly formerLapseAtMs: number;
+  readonly previousLeasesExpireAtMs: number;
   /** Ends a run that has certainly ended or can no longer start. */
-  readonly markLost: (run: workerTable.RunHolding, cause: string) => void;
+  readonly markLost: (run: workerTable.ActiveRun, cause: string) => void;
 }
 
 /** Declares runs lost. */
-export interface LostRuns {
+export interface LostRunDetector {
   /** Declares all runs of a worker lost that has announced its shutdown. */
   readonly markWorkerLost: (worker: workerTable.WorkerEntry) => void;
   /** Checks workers that are unreachable, and those not seen since this leader took over. */
@@ -36,14 +36,14 @@
  * @param options - its dependencies
  * @returns declares runs lost when called
  */
-export const createLostRuns = (options: LostRunsOptions): LostRuns => {
+export const createLostRunDetector = (options: LostRunDetectorOptions): LostRunDetector => {
   const { clock: time, log } = options;
-  const loggedWaits = new WeakSet<workerTable.RunHolding>();
+  const loggedWaits = new WeakSet<workerTable.ActiveRun>();
   const nowMs = (): number => time.monotonicMs();
 
   const markRunsLost = (
     worker: workerTable.WorkerEntry,
-    runs: readonly workerTable.RunHolding[],
+    runs: readonly workerTable.ActiveRun[],
     cause: string,
   ): void => {
     if (runs.length === 0) return;
@@ -53,8 +53,8 @@
   };
 
   /** @returns whether a delayed duplicate of its start order may still take effect */
-  const mayStillStart = (worker: workerTable.WorkerEntry, run: workerTable.RunHolding): boolean => {
-    const leftMs = run.lateUntilMs - nowMs();
+  const mayStillStart = (worker: workerTable.WorkerEntry, run: workerTable.ActiveRun): boolean => {
+    const leftMs = run.delayedOrderUntilMs - nowMs();
     if (leftMs > 0 && !loggedWaits.has(run)) {
       loggedWaits.add(run);
       log('warn', 'runAwaited', {
@@ -69,34 +69,37 @@
 
   const declareUnreachableLost = (): void => {
     for (const worker of options.workers.values()) {
-      if (workerTable.isLapsed(worker, nowMs())) {
+      if (workerTable.haveRunsExpired(worker, nowMs())) {
         const lostRuns = [...worker.runs.values()].filter((run) => !mayStillStart(worker, run));
         markRunsLost(worker, lostRuns, 'leasesLapsed');
       }
     }
   };
 
-  const declareUnseenLostOf = (entry: jobBook.JobEntry, seenAgents: ReadonlySet<string>): void => {
+  const declareUnseenLostOf = (entry: jobState.JobEntry, seenAgents: ReadonlySet<string>): void => {
     const now = { monotonicMs: nowMs(), wallMs: time.wallMs() };
-    for (const task of jobBook.tasksOf(entry)) {
+    for (const task of jobState.tasksOf(entry)) {
       const isLost =
         task.phase === 'assigned' &&
         !seenAgents.has(task.agentId) &&
-        lateOrders.toOwnClock(task.lateUntilWallMs, now) <= now.monotonicMs;
+        delayedOrders.toMonotonicMs(task.lateUntilWallMs, now) <= now.monotonicMs;
       if (isLost) {
         const { closing } = workerTable.RunPhase;
-        options.markLost(workerTable.createRun(entry, task, closing, nowMs()), 'workerNeverSeen');
+        options.markLost(
+          workerTable.createActiveRun(entry, task, closing, nowMs()),
+          'workerNeverSeen',
+        );
       }
     }
   };
 
   const declareUnseenLost = (): void => {
-    if (nowMs() < options.formerLapseAtMs) return;
+    if (nowMs() < options.previousLeasesExpireAtMs) return;
     const seenAgents = new Set(
       [...options.workers.values()].filter((it) => it.info !== undefined).map((it) => it.agentId),
     );
     for (const entry of options.registry.all()) {
-      if (!jobBook.isEnded(entry)) declareUnseenLostOf(entry, seenAgents);
+      if (!jobState.isEnded(entry)) declareUnseenLostOf(entry, seenAgents);
     }
   };
 
--- a/src/coordination/node/pool/orderIntake.ts
+++ b/src/coordination/node/pool/orderResultHandler.ts
@@ -5,14 +5,14 @@
 import type * as logging from '../../../base/common/logging.js';
 import type * as metrics from '../../../base/common/metrics.js';
 import * as agentContract from '../../../state/common/pool/agentContract.js';
-import * as jobBook from '../../common/pool/jobBook.js';
-import * as lateOrders from '../../common/pool/lateOrders.js';
-import * as runNeed from '../../common/pool/runNeed.js';
+import * as jobState from '../../common/pool/jobState.js';
+import * as delayedOrders from '../../common/pool/delayedOrders.js';
+import * as runState from '../../common/pool/runState.js';
 import * as workerTable from '../../common/pool/workerTable.js';
-import type * as orderDesk from './orderDesk.js';
+import type * as orderSender from './orderSender.js';
 
 /** Dependencies of the handler. */
-export interface OrderIntakeOptions {
+export interface OrderResultHandlerOptions {
   readonly clock: clock.Clock;
   readonly log: logging.Log;
   readonly metrics: metrics.Metrics;
@@ -20,38 +20,43 @@
   readonly save: (jobId: string) => Promise<void>;
   readonly stopRun: (
     worker: workerTable.WorkerEntry,
-    run: workerTable.RunHolding,
+    run: workerTable.ActiveRun,
     cause: string,
   ) => void;
   /** Marks the run as closing: it counts as gone once the worker has answered under a higher fence. */
-  readonly close: (worker: workerTable.WorkerEntry, run: workerTable.RunHolding) => void;
+  readonly close: (worker: workerTable.WorkerEntry, run: workerTable.ActiveRun) => void;
   /** Ends a run that has certainly ended or can no longer start. */
-  readonly markLost: (run: workerTable.RunHolding, cause: string) => void;
+  readonly markLost: (run: workerTable.ActiveRun, cause: string) => void;
 }
 
 /** Handles the results of start and stop orders. */
-export interface OrderIntake {
-  readonly handleStart: (worker: workerTable.WorkerEntry, order: orderDesk.SettledOrder) => void;
-  readonly handleStop: (settled: orderDesk.SettledOrders, order: orderDesk.SettledOrder) => void;
+export interface OrderResultHandler {
+  readonly handleStart: (worker: workerTable.WorkerEntry, order: orderSender.SettledOrder) => void;
+  readonly handleStop: (
+    settled: orderSender.SettledOrders,
+    order: orderSender.SettledOrder,
+  ) => void;
 }
 
 /**
  * @param options - its dependencies
  * @returns the handler
  */
-export const createOrderIntake = (options: OrderIntakeOptions): OrderIntake => {
+export const createOrderResultHandler = (
+  options: OrderResultHandlerOptions,
+): OrderResultHandler => {
   const { clock: time, log, metrics, stopRun, close, markLost } = options;
   const nowMs = (): number => time.monotonicMs();
 
   /** Stores with the job how long a duplicate may arrive, since the next leader has to wait for it as well. */
-  const recordDuplicateWindow = (run: workerTable.RunHolding): void => {
-    run.lateUntilMs = nowMs() + lateOrders.MAX_LATE_MS;
+  const recordDuplicateWindow = (run: workerTable.ActiveRun): void => {
+    run.delayedOrderUntilMs = nowMs() + delayedOrders.MAX_ORDER_DELAY_MS;
     if (run.task.run !== run.run) return;
-    run.task.lateUntilWallMs = time.wallMs() + lateOrders.MAX_LATE_MS;
+    run.task.lateUntilWallMs = time.wallMs() + delayedOrders.MAX_ORDER_DELAY_MS;
     void options.save(run.entry.job.jobId);
   };
 
-  const handleStart = (worker: workerTable.WorkerEntry, it: orderDesk.SettledOrder): void => {
+  const handleStart = (worker: workerTable.WorkerEntry, it: orderSender.SettledOrder): void => {
     const { run, outcome, reason, hasOpenCopy } = it;
     const isOpen = worker.runs.get(workerTable.runKey(run.name, run.run)) === run;
     if (!isOpen) return;
@@ -59,7 +64,7 @@
     if (outcome === agentContract.OrderOutcome.accepted) {
       if (run.phase === workerTable.RunPhase.ordering) run.phase = workerTable.RunPhase.present;
       run.task.refusals = 0;
-      if (!runNeed.isWanted(run)) stopRun(worker, run, 'notWanted');
+      if (!runState.isWanted(run)) stopRun(worker, run, 'notWanted');
       return;
     }
     log('warn', 'startNotTaken', {
@@ -70,11 +75,11 @@
       reason,
     });
     metrics.count('auburnlift_starts_not_taken_total', { outcome });
-    jobBook.noteRefusal(run.task, nowMs());
+    jobState.recordRefusal(run.task, nowMs());
     if (run.phase === workerTable.RunPhase.ordering) close(worker, run);
   };
 
-  const handleStop = (settled: orderDesk.SettledOrders, it: orderDesk.SettledOrder): void => {
+  const handleStop = (settled: orderSender.SettledOrders, it: orderSender.SettledOrder): void => {
     const { worker, isNewsLater, news } = settled;
     const key = workerTable.runKey(it.run.name, it.run.run);
     const isOpen = worker.runs.get(key) === it.run;
--- a/src/coordination/node/pool/orderDesk.ts
+++ b/src/coordination/node/pool/orderSender.ts
@@ -11,13 +11,13 @@
 
 /** A run to start. */
 export interface StartOrder {
-  readonly run: workerTable.RunHolding;
+  readonly run: workerTable.ActiveRun;
   readonly ticket: string | undefined;
 }
 
 /** The result of an order; `unknown` if no answer was received. */
 export interface SettledOrder {
-  readonly run: workerTable.RunHolding;
+  readonly run: workerTable.ActiveRun;
   readonly outcome: agentContract.OrderOutcome;
   readonly reason: string;
   /** A delayed duplicate of it may still take effect. */
@@ -30,14 +30,14 @@
   readonly starts: readonly SettledOrder[];
   readonly stops: readonly SettledOrder[];
   /** The agent's update about the worker; undefined if no answer was received. */
-  readonly news: agentContract.WorkerNews | undefined;
+  readonly news: agentContract.WorkerUpdate | undefined;
   readonly isNewsLater: boolean;
   readonly receivedAtMs: number;
 }
 
 /** Dependencies of the order sender. */
-export interface OrderDeskOptions {
-  readonly link: agentContract.AgentLink;
+export interface OrderSenderOptions {
+  readonly link: agentContract.AgentApi;
   readonly clock: clock.Clock;
   readonly log: logging.Log;
   /** Duration of the leases granted; 0 while the leadership is not certain. */
@@ -46,16 +46,16 @@
 }
 
 /** Sends orders. */
-export interface OrderDesk {
+export interface OrderSender {
   readonly start: (worker: workerTable.WorkerEntry, order: StartOrder) => void;
-  readonly stop: (worker: workerTable.WorkerEntry, run: workerTable.RunHolding) => void;
+  readonly stop: (worker: workerTable.WorkerEntry, run: workerTable.ActiveRun) => void;
   readonly dispose: () => void;
 }
 
 interface PendingOrders {
   readonly worker: workerTable.WorkerEntry;
   readonly starts: StartOrder[];
-  readonly stops: workerTable.RunHolding[];
+  readonly stops: workerTable.ActiveRun[];
 }
 
 const toStartCommand = (order: StartOrder, leaseUntilMs: number): agentContract.StartCommand => ({
@@ -68,7 +68,7 @@
 });
 
 const toResults = (
-  runs: readonly workerTable.RunHolding[],
+  runs: readonly workerTable.ActiveRun[],
   results: readonly agentContract.OrderResult[],
 ): SettledOrder[] =>
   runs.map((run, index) => ({
@@ -82,7 +82,7 @@
  * @param options - its dependencies
  * @returns a sender without pending orders
  */
-export const createOrderDesk = (options: OrderDeskOptions): OrderDesk => {
+export const createOrderSender = (options: OrderSenderOptions): OrderSender => {
   const pending = new Map<string, PendingOrders>();
   let isDisposed = false;
 
--- a/src/coordination/node/pool/pendingCounts.ts
+++ b/src/coordination/node/pool/pendingCounts.ts
@@ -59,7 +59,7 @@
  */
 export const createPendingCounts = (options: PendingCountsOptions): PendingCounts => {
   const { store, clock: time } = options;
-  let kept: Count | undefined;
+  let last: Count | undefined;
 
   const fromLeader = async (): Promise<Counts | undefined> => {
     const record = await store.get(poolKeys.LEADER);
@@ -110,13 +110,13 @@
   const ageMs = ({ startedAtMs }: Count): number => time.monotonicMs() - startedAtMs;
 
   const evict = (count: Count): void => {
-    if (kept === count) kept = undefined;
+    if (last === count) last = undefined;
   };
 
   return {
     ofQueue: async (queue) => {
-      if (kept === undefined || (!kept.isOpen && ageMs(kept) > CACHE_MS)) kept = startCount();
-      const count = kept;
+      if (last === undefined || (!last.isOpen && ageMs(last) > CACHE_MS)) last = startCount();
+      const count = last;
       try {
         const counts = await Promise.race([count.counts, clock.sleep(time, MAX_WAIT_MS)]);
         if (counts === undefined || ageMs(count) > MAX_AGE_MS) throw tooLate();
--- a/src/coordination/node/pool/planDriver.ts
+++ b/src/coordination/node/pool/planDriver.ts
@@ -6,18 +6,18 @@
 import type * as logging from '../../../base/common/logging.js';
 import type * as metrics from '../../../base/common/metrics.js';
 import type * as poolConfiguration from '../../../state/common/pool/poolConfiguration.js';
-import type * as estimateBook from '../../common/pool/estimateBook.js';
+import type * as runtimeEstimates from '../../common/pool/runtimeEstimates.js';
 import * as gangPlacement from '../../common/pool/gangPlacement.js';
-import * as heldUpRuns from '../../common/pool/heldUpRuns.js';
-import * as jobBook from '../../common/pool/jobBook.js';
+import * as stragglers from '../../common/pool/stragglers.js';
+import * as jobState from '../../common/pool/jobState.js';
 import type * as jobRegistry from '../../common/pool/jobRegistry.js';
 import * as planRound from '../../common/pool/planRound.js';
 import type * as planTypes from '../../common/pool/planTypes.js';
 import * as readyQueue from '../../common/pool/readyQueue.js';
 import * as workerTable from '../../common/pool/workerTable.js';
 
-import * as adviceDesk from './adviceDesk.js';
-import type * as orderDesk from './orderDesk.js';
+import * as ticketCache from './ticketCache.js';
+import type * as orderSender from './orderSender.js';
 import type * as poolLeadership from './poolLeadership.js';
 import type * as runControl from './runControl.js';
 
@@ -30,15 +30,15 @@
   readonly registry: jobRegistry.JobRegistry;
   readonly workers: ReadonlyMap<string, workerTable.WorkerEntry>;
   /** Runtime estimates, and which declared work is reliable. */
-  readonly estimates: estimateBook.EstimateBook;
+  readonly estimates: runtimeEstimates.RuntimeEstimates;
   /** Factor by which a task takes longer away from its data or its rack. */
-  readonly farFactor: number;
+  readonly remoteFactor: number;
   readonly control: () => runControl.RunControl;
-  readonly orderSender: () => orderDesk.OrderDesk;
+  readonly orderSender: () => orderSender.OrderSender;
   /** Stores a job's progress; settled once it is stored. */
   readonly save: (jobId: string) => Promise<void>;
   readonly configuration: () => poolConfiguration.PoolConfiguration | undefined;
-  readonly askAdvice: adviceDesk.AdviceDeskOptions['ask'];
+  readonly askAdvice: ticketCache.TicketCacheOptions['ask'];
   /** Age of the leader's state: all jobs and cancellations stored before then have certainly been received. */
   readonly recordsAgeMs: () => number;
   /** Whether all jobs are loaded and the term has not ended. */
@@ -75,7 +75,7 @@
     time.after(BATCH_MS, plan);
   };
 
-  const advice = adviceDesk.createAdviceDesk({
+  const tickets = ticketCache.createTicketCache({
     clock: time,
     log,
     metrics,
@@ -90,15 +90,15 @@
   const storeUntilCertain = async (jobId: string): Promise<void> => {
     for (;;) {
       await options.save(jobId);
-      if (!options.isReady() || options.term.isCertain()) return;
-      while (options.isReady() && !options.term.isCertain()) await clock.sleep(time, RECHECK_MS);
+      if (!options.isReady() || options.term.isLeaseValid()) return;
+      while (options.isReady() && !options.term.isLeaseValid()) await clock.sleep(time, RECHECK_MS);
     }
   };
 
   /** Sends a stored start. */
   const sendStart = (
     worker: workerTable.WorkerEntry,
-    run: workerTable.RunHolding,
+    run: workerTable.ActiveRun,
     ticket: string | undefined,
   ): void => {
     if (!options.isReady() || run.phase !== workerTable.RunPhase.ordering) return;
@@ -109,8 +109,8 @@
       return;
     }
     // Storing the start may have taken long: counted from its placement, a healthy run would count as stalled.
-    run.sinceMs = nowMs();
-    run.movedAtMs = nowMs();
+    run.startedAtMs = nowMs();
+    run.progressedAtMs = nowMs();
     options.orderSender().start(worker, { run, ticket });
   };
 
@@ -118,15 +118,15 @@
     const { unit } = placement;
     const { entry, tasks } = unit.unit;
     const racks = placement.workers.map((it) => it.rack);
-    const away = gangPlacement.tasksAway(unit.unit.step, racks);
-    const distanceFactor = away > 0 ? options.farFactor : 1;
+    const away = gangPlacement.countRemoteTasks(unit.unit.step, racks);
+    const distanceFactor = away > 0 ? options.remoteFactor : 1;
     const assignment = { wallMs: time.wallMs(), distanceFactor };
-    jobBook.assign(entry, gangPlacement.assignmentsOf(placement), assignment);
+    jobState.assign(entry, gangPlacement.assignmentsOf(placement), assignment);
     const runs = tasks.flatMap((task) => {
       const worker = workers.get(task.agentId);
       if (worker === undefined) return [];
-      const run = workerTable.createRun(entry, task, workerTable.RunPhase.ordering, nowMs());
-      workerTable.expectWork(run, unit.expectedMs);
+      const run = workerTable.createActiveRun(entry, task, workerTable.RunPhase.ordering, nowMs());
+      workerTable.setExpectedWork(run, unit.expectedMs);
       worker.runs.set(workerTable.runKey(run.name, run.run), run);
       return [{ worker, run }];
     });
@@ -158,7 +158,7 @@
   };
 
   const relocate = ({ unit, groupKey }: planTypes.PlanUnit): void => {
-    jobBook.noteMove(unit.tasks);
+    jobState.recordRelocation(unit.tasks);
     options.control().stopGroup(groupKey, 'heldUp');
   };
 
@@ -181,12 +181,12 @@
     units: readonly planTypes.PlanUnit[],
     planWorkers: readonly planTypes.PlanWorker[],
   ): planTypes.PlanUnit[] => {
-    advice.retainOnly(new Set(units.map((it) => it.stepKey)));
+    tickets.retainOnly(new Set(units.map((it) => it.stepKey)));
     return units.flatMap((unit) => {
       if (!unit.unit.entry.job.policy.needsAdvice) return [unit];
       const suitable = planWorkers.filter((it) => gangPlacement.isSuitable(it, unit));
       const ids = suitable.map((it) => it.workerId);
-      const ticketsByWorker = advice.ticketsFor(unit.stepKey, ids);
+      const ticketsByWorker = tickets.ticketsFor(unit.stepKey, ids);
       if (ticketsByWorker !== undefined) return [{ ...unit, ticketsByWorker }];
       logWait({ unit, reason: 'waiting for the policy service' });
       return [];
@@ -195,8 +195,8 @@
 
   const addDueOccurrences = (wallMs: number): void => {
     for (const entry of registry.all()) {
-      if (entry.job.schedule !== undefined && !jobBook.isEnded(entry)) {
-        jobBook.addDueOccurrences(entry, wallMs);
+      if (entry.job.schedule !== undefined && !jobState.isEnded(entry)) {
+        jobState.addDueOccurrences(entry, wallMs);
       }
     }
   };
@@ -211,10 +211,14 @@
       registry.all(),
       startedAtMs,
       wallMs,
-      workerTable.createSlotCount(workers.values()),
+      workerTable.createSlotCounter(workers.values()),
     );
-    const stragglers = heldUpRuns.findHeldUp([...workers.values()], options.estimates, wallMs);
-    if (units.length === 0 && stragglers.length === 0) return;
+    const stragglerGroups = stragglers.findStragglers(
+      [...workers.values()],
+      options.estimates,
+      wallMs,
+    );
+    if (units.length === 0 && stragglerGroups.length === 0) return;
     const planWorkers = [...workers.values()]
       .map((it) => workerTable.toPlanWorker(it, startedAtMs))
       .filter((it) => it !== undefined);
@@ -222,14 +226,14 @@
       nowMs: startedAtMs,
       workers: planWorkers,
       units: withTickets(units, planWorkers),
-      heldUp: queue.heldUpUnits(stragglers, startedAtMs, wallMs),
+      stragglerUnits: queue.stragglerUnits(stragglerGroups, startedAtMs, wallMs),
       guarantees: guarantees(),
-      farFactor: options.farFactor,
+      remoteFactor: options.remoteFactor,
     });
     metrics.time('auburnlift_plan_round_ms', nowMs() - startedAtMs);
     round.starts.forEach(startUnit);
-    round.evictions.forEach((unit, groupKey) => preempt(groupKey, unit));
-    round.moves.forEach(relocate);
+    round.preemptions.forEach((unit, groupKey) => preempt(groupKey, unit));
+    round.relocations.forEach(relocate);
     round.waits.forEach(logWait);
   };
 
--- a/src/coordination/node/pool/poolAgent.ts
+++ b/src/coordination/node/pool/poolAgent.ts
@@ -15,7 +15,7 @@
 
 /** Dependencies of the agent. */
 export interface PoolAgentOptions {
-  readonly worker: agentContract.WorkerLink;
+  readonly worker: agentContract.WorkerApi;
   readonly clock: clock.Clock;
   readonly log: logging.Log;
   readonly metrics: metrics.Metrics;
@@ -31,10 +31,10 @@
 
 /** The agent beside one worker. */
 export interface PoolAgent extends disposable.Disposable {
-  readonly noteHeartbeat: (heartbeat: Heartbeat) => void;
+  readonly recordHeartbeat: (heartbeat: Heartbeat) => void;
   /** The worker has announced that it shuts down now. */
-  readonly noteDeparture: (workerId: string) => void;
-  readonly sync: (request: agentContract.SyncRequest) => Promise<agentContract.WorkerNews>;
+  readonly recordDeparture: (workerId: string) => void;
+  readonly sync: (request: agentContract.SyncRequest) => Promise<agentContract.WorkerUpdate>;
   readonly order: (request: agentContract.OrderRequest) => Promise<agentContract.OrderReply>;
 }
 
@@ -57,7 +57,7 @@
 const ORDER_ATTEMPTS = 3;
 
 interface ReceivedReport {
-  readonly view: poolWorker.WorkerView;
+  readonly view: poolWorker.WorkerReport;
   readonly fence: number;
   readonly receivedAtMs: number;
 }
@@ -68,7 +68,7 @@
   reason: string,
 ): agentContract.OrderResult => ({ task, run, outcome: 'refused', reason, hasOpenCopy: false });
 
-const describeRuns = (view: poolWorker.WorkerView | undefined): string =>
+const describeRuns = (view: poolWorker.WorkerReport | undefined): string =>
   view === undefined
     ? ''
     : `${view.incarnationMs};${view.running.map((it) => `${it.task}#${it.run}`).join(',')};${
@@ -88,7 +88,7 @@
   let fence = 0;
   let newestIncarnationMs = 0;
   /** New incarnations of the worker since the leader last raised its fence. */
-  let unfencedLives = 0;
+  let unfencedIncarnations = 0;
   let lease = { incarnationMs: 0, untilMs: 0 };
   let acknowledged = { incarnationMs: 0, upTo: 0 };
   /** Run ends of the worker's current incarnation that have been logged. */
@@ -120,21 +120,21 @@
   /** A new incarnation has seen no fence and would accept orders meant for the previous one. */
   const recordIncarnation = (incarnationMs: number): void => {
     if (incarnationMs <= newestIncarnationMs) return;
-    if (newestIncarnationMs !== 0) unfencedLives += 1;
+    if (newestIncarnationMs !== 0) unfencedIncarnations += 1;
     newestIncarnationMs = incarnationMs;
   };
 
   /** @returns the fence to send to the worker */
   const workerFence = (leaderFence: number): number =>
     leaderFence === fence
-      ? fence + Math.min(unfencedLives, agentContract.FENCE_STEP - 1)
+      ? fence + Math.min(unfencedIncarnations, agentContract.FENCE_STEP - 1)
       : leaderFence;
 
   const isCurrentIncarnation = (incarnationMs: number): boolean =>
     incarnationMs !== 0 && incarnationMs === (latest?.view.incarnationMs ?? info?.incarnationMs);
 
   /** Logs each run end, so that the delay until the job's end can be measured. */
-  const logEnds = ({ incarnationMs, ended }: poolWorker.WorkerView): void => {
+  const logEnds = ({ incarnationMs, ended }: poolWorker.WorkerReport): void => {
     const upTo = logged.incarnationMs === incarnationMs ? logged.upTo : 0;
     for (const { sequence, task, run, how } of ended) {
       if (sequence > upTo) log('info', 'endListed', { task, run, how });
@@ -142,7 +142,7 @@
     logged = { incarnationMs, upTo: Math.max(upTo, ended.at(-1)?.sequence ?? 0) };
   };
 
-  const applyReport = (view: poolWorker.WorkerView, viewFence: number): void => {
+  const applyReport = (view: poolWorker.WorkerReport, viewFence: number): void => {
     const isOlder =
       latest !== undefined &&
       (view.incarnationMs < latest.view.incarnationMs ||
@@ -164,11 +164,11 @@
   const fetchReport = async (waitMs: number): Promise<boolean> => {
     const viewFence = fence;
     // After an outage a new incarnation may answer; the previous one's acknowledgement would drop its run ends.
-    const isSeenUpToMeant = isAnswering && isCurrentIncarnation(acknowledged.incarnationMs);
+    const isAcknowledgementValid = isAnswering && isCurrentIncarnation(acknowledged.incarnationMs);
     const answer = await options.worker.view(info?.workerId, {
       fence: workerFence(viewFence),
       leaseUntilMs: isCurrentIncarnation(lease.incarnationMs) ? lease.untilMs : 0,
-      seenUpTo: isSeenUpToMeant ? acknowledged.upTo : 0,
+      seenUpTo: isAcknowledgementValid ? acknowledged.upTo : 0,
       waitMs,
     });
     isAnswering = answer.outcome === 'view';
@@ -220,10 +220,10 @@
     if (next === fence) return;
     log('info', 'fenceRaised', { from: fence, to: next });
     fence = next;
-    unfencedLives = 0;
+    unfencedIncarnations = 0;
   };
 
-  const buildUpdate = (): agentContract.WorkerNews => ({
+  const buildUpdate = (): agentContract.WorkerUpdate => ({
     bootId: options.bootId,
     version,
     ...(info === undefined ? {} : { worker: info }),
@@ -243,7 +243,7 @@
   const attempt = async (
     request: agentContract.OrderRequest,
     send: () => Promise<agentContract.WorkerAnswer>,
-  ): Promise<agentContract.AttemptedOrder> => {
+  ): Promise<agentContract.DeliveryResult> => {
     let answer = await send();
     const hasOpenCopy = answer.outcome === 'unknown';
     for (let tries = 1; tries < ORDER_ATTEMPTS && answer.outcome === 'unknown'; tries += 1) {
@@ -306,7 +306,7 @@
   };
 
   return {
-    noteHeartbeat: (heartbeat) => {
+    recordHeartbeat: (heartbeat) => {
       const next = heartbeat.info;
       const before = info;
       if (before !== undefined) {
@@ -331,7 +331,7 @@
       });
       notifyChange();
     },
-    noteDeparture: (workerId) => {
+    recordDeparture: (workerId) => {
       if (info?.workerId !== workerId) return;
       log('info', 'workerLeft', { worker: workerId, incarnation: info.incarnationMs });
       info = { ...info, state: poolWorker.WorkerState.gone };
--- a/src/coordination/node/pool/poolLeader.ts
+++ b/src/coordination/node/pool/poolLeader.ts
@@ -14,17 +14,17 @@
 import type * as store from '../../../state/common/store.js';
 import * as addressRecord from '../../common/pool/addressRecord.js';
 import type * as doneRuns from '../../common/pool/doneRuns.js';
-import * as estimateBook from '../../common/pool/estimateBook.js';
-import * as jobBook from '../../common/pool/jobBook.js';
-import * as jobEnds from '../../common/pool/jobEnds.js';
+import * as runtimeEstimates from '../../common/pool/runtimeEstimates.js';
+import * as jobState from '../../common/pool/jobState.js';
+import * as jobTransitions from '../../common/pool/jobTransitions.js';
 import * as jobRegistry from '../../common/pool/jobRegistry.js';
 import * as leaseClock from '../../common/pool/leaseClock.js';
 import * as workerTable from '../../common/pool/workerTable.js';
 
-import type * as adviceDesk from './adviceDesk.js';
+import type * as ticketCache from './ticketCache.js';
 import * as agentSession from './agentSession.js';
 import * as endedJobsRemoval from './endedJobsRemoval.js';
-import * as orderDesk from './orderDesk.js';
+import * as orderSender from './orderSender.js';
 import * as planDriver from './planDriver.js';
 import type * as poolLeadership from './poolLeadership.js';
 import * as progressWriter from './progressWriter.js';
@@ -39,7 +39,7 @@
   /** A job's status is available at least this long after its end. */
   readonly statusMs: number;
   /** Factor by which a task takes longer away from its data or its rack. */
-  readonly farFactor: number;
+  readonly remoteFactor: number;
 }
 
 /** Dependencies of a leader. */
@@ -48,7 +48,7 @@
   readonly clock: clock.Clock;
   readonly log: logging.Log;
   readonly metrics: metrics.Metrics;
-  readonly link: agentContract.AgentLink;
+  readonly link: agentContract.AgentApi;
   readonly term: poolLeadership.Term;
   readonly limits: PoolLimits;
   readonly configuration: () => poolConfiguration.PoolConfiguration | undefined;
@@ -57,7 +57,7 @@
   /** Another process leads or changed a record: the term is over. */
   readonly onDidConflict: (reason: string) => void;
   /** Requests from the policy service which workers may run a step. */
-  readonly askAdvice: adviceDesk.AdviceDeskOptions['ask'];
+  readonly askAdvice: ticketCache.TicketCacheOptions['ask'];
 }
 
 /** The leader of the pools. */
@@ -68,7 +68,7 @@
    */
   readonly pendingByQueue: () => Readonly<Record<string, number>> | undefined;
   /** An entry has stored a record of a job; it is read if the watch does not deliver it shortly after. */
-  readonly noteStored: (jobId: string, part: poolKeys.JobPart) => Promise<void>;
+  readonly handleStoredRecord: (jobId: string, part: poolKeys.JobPart) => Promise<void>;
 }
 
 /** Leases are this much shorter than the longest one a worker grants, so that it does not shorten them. */
@@ -90,7 +90,7 @@
  * Callers may receive counts up to two seconds old, and entries cache a count for half a second. A watch of a slow
  * store, which answers in a quarter of a second, confirms the leader's state within this time.
  */
-const MAX_TOLD_AGE_MS = 1500;
+const MAX_REPORTED_AGE_MS = 1500;
 
 /**
  * @param options - its dependencies
@@ -104,16 +104,17 @@
   const sessions = new Map<string, disposable.Disposable>();
   const listedAgents = new Set<string>();
   const checkpointedJobs = new Set<string>();
-  const estimates = estimateBook.createEstimateBook();
+  const estimates = runtimeEstimates.createRuntimeEstimates();
   const startedAtMs = time.monotonicMs();
-  const formerLapseAtMs = startedAtMs + leaseClock.formerLeasesLapseMs(options.limits.maxLeaseMs);
+  const previousLeasesExpireAtMs =
+    startedAtMs + leaseClock.previousLeasesExpiryMs(options.limits.maxLeaseMs);
   let isLoaded = false;
   let checkpointedAtMs = startedAtMs;
 
   const nowMs = (): number => time.monotonicMs();
   const isReady = (): boolean => isLoaded && !owned.isDisposed();
   const fullGrantMs = options.limits.maxLeaseMs - LEASE_SLACK_MS;
-  const grantMs = (): number => (term.isCertain() ? fullGrantMs : 0);
+  const grantMs = (): number => (term.isLeaseValid() ? fullGrantMs : 0);
 
   const writer = progressWriter.createProgressWriter({
     store: options.store,
@@ -124,7 +125,7 @@
     recordOf: (jobId) => {
       const entry = registry.get(jobId);
       if (entry === undefined) return undefined;
-      const value = progressRecord.encodeProgress(jobBook.toRecord(entry));
+      const value = progressRecord.encodeProgress(jobState.toProgressRecord(entry));
       const record = { key: poolKeys.progressKey(jobId), value, revision: entry.progressRevision };
       return entry.isCancelled
         ? record
@@ -145,7 +146,7 @@
     workers,
     orderSender: () => sender,
     grantMs: fullGrantMs,
-    formerLapseAtMs,
+    previousLeasesExpireAtMs,
     doneRuns: options.doneRuns,
     estimates,
     save: writer.save,
@@ -153,7 +154,7 @@
     onDidCheckpoint: (jobId) => checkpointedJobs.add(jobId),
     onDidChange: () => driver.schedule(),
   });
-  const sender = orderDesk.createOrderDesk({
+  const sender = orderSender.createOrderSender({
     link: options.link,
     clock: time,
     log,
@@ -168,7 +169,7 @@
     registry,
     workers,
     estimates,
-    farFactor: options.limits.farFactor,
+    remoteFactor: options.limits.remoteFactor,
     control: () => control,
     orderSender: () => sender,
     save: writer.save,
@@ -180,8 +181,8 @@
 
   const adoptRuns = (worker: workerTable.WorkerEntry): void => {
     for (const entry of registry.all()) {
-      if (jobBook.isEnded(entry)) continue;
-      for (const task of jobBook.tasksOf(entry)) {
+      if (jobState.isEnded(entry)) continue;
+      for (const task of jobState.tasksOf(entry)) {
         const isHere = task.phase === 'assigned' && task.agentId === worker.agentId;
         const { name } = workerTable.keysOf(entry, task);
         const isKnown = worker.runs.has(workerTable.runKey(name, task.run));
@@ -193,7 +194,7 @@
   /** The first update about a worker triggers the adoption of runs that a previous leader assigned to it. */
   const applyUpdate = (
     worker: workerTable.WorkerEntry,
-    news: agentContract.WorkerNews,
+    news: agentContract.WorkerUpdate,
     receivedAtMs: number,
   ): Promise<unknown> => {
     const isFirst = worker.info === undefined && news.worker !== undefined;
@@ -235,21 +236,27 @@
       return;
     }
     const fence = workerTable.firstFence(term.epoch);
-    const worker = workerTable.createWorkerEntry(agentId, url, fence, nowMs(), formerLapseAtMs);
+    const worker = workerTable.createWorkerEntry(
+      agentId,
+      url,
+      fence,
+      nowMs(),
+      previousLeasesExpireAtMs,
+    );
     workers.set(agentId, worker);
     openSession(worker);
   };
 
-  const applyCancellation = (entry: jobBook.JobEntry | undefined): void => {
+  const applyCancellation = (entry: jobState.JobEntry | undefined): void => {
     if (entry?.isCancelled !== true) return;
-    if (!jobEnds.cancel(entry, time.wallMs())) return;
+    if (!jobTransitions.cancel(entry, time.wallMs())) return;
     control.stopUnwanted(entry, 'cancelled');
     void writer.save(entry.job.jobId);
   };
 
   /** @param source - how the leader received the record */
   const handleJobRecord = (record: store.StoreEntry, source: 'watch' | 'write' | 'entry'): void => {
-    const effect = registry.takeRecord(record, nowMs());
+    const effect = registry.applyRecord(record, nowMs());
     if (effect === jobRegistry.RecordEffect.none || !isLoaded) return;
     const jobId = poolKeys.parseJobKey(record.key)?.jobId ?? '';
     log('info', effect === 'submitted' ? 'jobLearnt' : 'cancelLearnt', {
@@ -282,9 +289,9 @@
     isLoaded = true;
     for (const entry of registry.all()) {
       applyCancellation(entry);
-      estimateBook.noteJob(estimates, entry.job, jobBook.tasksOf(entry));
+      runtimeEstimates.recordRestoredJob(estimates, entry.job, jobState.tasksOf(entry));
     }
-    control.recallDone();
+    control.applyDoneRuns();
     for (const worker of workers.values()) if (worker.info !== undefined) adoptRuns(worker);
     log('info', 'loaded', {
       epoch: term.epoch,
@@ -351,13 +358,13 @@
       log,
       onRecord: handleRecord,
       onRemoved: handleRemoval,
-      onProgress: registry.takeProgress,
+      onProgress: registry.applyProgress,
       onDidLoad: handleLoaded,
     }),
   );
   time.after(TICK_MS, tick);
   return {
-    noteStored: storedRecordReader.createStoredRecordReader({
+    handleStoredRecord: storedRecordReader.createStoredRecordReader({
       store: options.store,
       clock: time,
       log,
@@ -366,7 +373,7 @@
       onRecord: (record) => handleJobRecord(record, 'entry'),
     }),
     pendingByQueue: () =>
-      isLoaded && feed.ageMs() <= MAX_TOLD_AGE_MS ? registry.pendingByQueue() : undefined,
+      isLoaded && feed.ageMs() <= MAX_REPORTED_AGE_MS ? registry.pendingByQueue() : undefined,
     dispose: () => owned.dispose(),
   };
 };
--- a/src/coordination/node/pool/poolLeadership.ts
+++ b/src/coordination/node/pool/poolLeadership.ts
@@ -33,7 +33,7 @@
   /** The leased record with its revision; every write of the leader is conditional on it. */
   readonly condition: recordStore.Condition;
   /** Whether the lease certainly has not expired. */
-  readonly isCertain: () => boolean;
+  readonly isLeaseValid: () => boolean;
 }
 
 /** Dependencies of a candidate. */
@@ -110,7 +110,7 @@
     validUntilMs = sentAtMs + options.leaseMs;
     validUntilWallMs = sentAtWallMs + options.leaseMs;
   };
-  const isCertain = (): boolean =>
+  const isLeaseValid = (): boolean =>
     held !== undefined && time.monotonicMs() < validUntilMs && time.wallMs() < validUntilWallMs;
   const lose = (reason: string): void => {
     if (held === undefined) return;
@@ -130,7 +130,7 @@
 
   const gain = (record: LeaderRecord, leaseId: string, revision: number): void => {
     const condition = { key: poolKeys.LEADER, revision };
-    held = { leaseId, term: { epoch: record.epoch, condition, isCertain } };
+    held = { leaseId, term: { epoch: record.epoch, condition, isLeaseValid } };
     known = record;
     log('info', 'leadershipGained', { epoch: record.epoch, revision });
     options.onDidGain(held.term);
@@ -174,7 +174,7 @@
 
   const lead = async (current: HeldLeadership): Promise<void> => {
     while (held === current && !isDisposed) {
-      if (isCertain()) await clock.sleep(time, options.leaseMs / RENEWALS_PER_LEASE);
+      if (isLeaseValid()) await clock.sleep(time, options.leaseMs / RENEWALS_PER_LEASE);
       try {
         if (held === current) await renew(current);
       } catch (thrown) {
@@ -190,7 +190,7 @@
    * process restarts in less than its lease. That incarnation is gone and neither grants nor writes any more.
    * Without this check there is no leader for the rest of the lease, and urgent work of a second is late.
    */
-  const isFormerSelf = ({ holderId, url, bootId }: LeaderRecord): boolean =>
+  const isPreviousIncarnation = ({ holderId, url, bootId }: LeaderRecord): boolean =>
     holderId === options.holderId && url === options.url && bootId !== options.bootId;
 
   /** @returns the revision up to which the records were read, if another process leads */
@@ -198,7 +198,7 @@
     const { entries, revision } = await store.list(poolKeys.LEADERSHIP);
     const leader = entries.find((it) => it.key === poolKeys.LEADER);
     known = parseLeader(leader?.value);
-    if (known !== undefined && isFormerSelf(known)) {
+    if (known !== undefined && isPreviousIncarnation(known)) {
       log('info', 'formerLeaseEnded', { epoch: known.epoch, boot: known.bootId });
       await store.revokeLease(known.leaseId);
     } else if (leader !== undefined) {
--- a/src/coordination/node/pool/prefixWatch.ts
+++ b/src/coordination/node/pool/prefixWatch.ts
@@ -7,7 +7,7 @@
 import type * as recordStore from '../../../state/common/pool/recordStore.js';
 import type * as store from '../../../state/common/store.js';
 
-import type * as viewAge from './viewAge.js';
+import type * as snapshotAge from './snapshotAge.js';
 
 /** What to follow, and whom to notify. */
 export interface PrefixWatchOptions {
@@ -19,11 +19,11 @@
    * Shorter wait of the first watch and of each one after changes, for copies whose age matters more than the
    * number of calls: an answer with changes only confirms that the copy was complete when its watch was sent.
    */
-  readonly proofWaitMs?: number;
+  readonly confirmWaitMs?: number;
   /** Stops following. */
   readonly signal: AbortSignal;
   /** Age of the copy that the caller maintains from the changes. */
-  readonly age: viewAge.ViewAge;
+  readonly age: snapshotAge.SnapshotAge;
   /** Called for each answer, including empty ones. */
   readonly onDidSee: (seen: store.WatchResult) => void;
 }
@@ -40,7 +40,7 @@
 ): Promise<void> => {
   const { age, signal } = options;
   let revision = afterRevision;
-  const confirmWaitMs = options.proofWaitMs ?? options.waitMs;
+  const confirmWaitMs = options.confirmWaitMs ?? options.waitMs;
   let waitMs = confirmWaitMs;
   for (;;) {
     const sentAt = age.now();
@@ -49,7 +49,7 @@
     options.onDidSee(seen);
     // The callback may have aborted the signal, as when a leader sees that another process leads.
     if (signal.aborted) return;
-    age.proveByWatch(sentAt, waitMs, seen);
+    age.confirmByWatch(sentAt, waitMs, seen);
     revision = seen.revision;
     const hasChanges = seen.entries.length + seen.deletedKeys.length > 0;
     waitMs = hasChanges ? confirmWaitMs : options.waitMs;
--- a/src/coordination/node/pool/progressWriter.ts
+++ b/src/coordination/node/pool/progressWriter.ts
@@ -98,7 +98,7 @@
       batch.forEach(({ jobId }) => options.onDidWrite(jobId, result.revision));
       return progressBatch.BatchOutcome.written;
     }
-    const refused = progressBatch.judgeRefusal(batch, options.leadership, result);
+    const refused = progressBatch.interpretRefusal(batch, options.leadership, result);
     refused.revisions.forEach((revision, jobId) => options.onDidWrite(jobId, revision));
     refused.cancels.forEach(options.onDidFindCancel);
     return refused.outcome;
--- a/src/coordination/node/pool/recordFeed.ts
+++ b/src/coordination/node/pool/recordFeed.ts
@@ -11,7 +11,7 @@
 import type * as store from '../../../state/common/store.js';
 
 import * as prefixWatch from './prefixWatch.js';
-import * as viewAge from './viewAge.js';
+import * as snapshotAge from './snapshotAge.js';
 
 /** Dependencies of the feed. */
 export interface RecordFeedOptions {
@@ -58,7 +58,7 @@
   const { clock: time, log } = options;
   const aborter = new AbortController();
   const knownKeys = new Set<string>();
-  const age = viewAge.createViewAge(time);
+  const age = snapshotAge.createSnapshotAge(time);
   let isDisposed = false;
   let isAnswered = true;
   let revision = 0;
@@ -80,7 +80,7 @@
     if (isDisposed) return;
     live.entries.forEach(deliver);
     progress.entries.forEach(options.onProgress);
-    age.prove(sentAt);
+    age.confirm(sentAt);
     revision = live.revision;
     options.onDidLoad(revision);
   };
@@ -92,7 +92,7 @@
     const listed = new Set(live.entries.map((it) => it.key));
     for (const key of [...knownKeys]) if (!listed.has(key)) deliverRemoval(key);
     live.entries.forEach(deliver);
-    age.prove(sentAt);
+    age.confirm(sentAt);
     revision = live.revision;
     log('info', 'relisted', { revision, records: live.entries.length });
     recordAnswer();
--- a/src/coordination/node/pool/runControl.ts
+++ b/src/coordination/node/pool/runControl.ts
@@ -14,21 +14,21 @@
 import * as agentContract from '../../../state/common/pool/agentContract.js';
 import * as poolWorker from '../../../state/common/pool/poolWorker.js';
 import type * as doneRuns from '../../common/pool/doneRuns.js';
-import * as endLedger from '../../common/pool/endLedger.js';
-import type * as estimateBook from '../../common/pool/estimateBook.js';
-import * as jobBook from '../../common/pool/jobBook.js';
-import * as jobEnds from '../../common/pool/jobEnds.js';
+import * as endTracker from '../../common/pool/endTracker.js';
+import type * as runtimeEstimates from '../../common/pool/runtimeEstimates.js';
+import * as jobState from '../../common/pool/jobState.js';
+import * as jobTransitions from '../../common/pool/jobTransitions.js';
 import type * as jobRegistry from '../../common/pool/jobRegistry.js';
-import * as lateOrders from '../../common/pool/lateOrders.js';
-import * as runNeed from '../../common/pool/runNeed.js';
-import * as viewIntake from '../../common/pool/viewIntake.js';
-import * as workerBlame from '../../common/pool/workerBlame.js';
+import * as delayedOrders from '../../common/pool/delayedOrders.js';
+import * as runState from '../../common/pool/runState.js';
+import * as reportReconciliation from '../../common/pool/reportReconciliation.js';
+import * as workerSuspicion from '../../common/pool/workerSuspicion.js';
 import * as workerTable from '../../common/pool/workerTable.js';
 
 import * as endRecorder from './endRecorder.js';
-import * as lostRuns from './lostRuns.js';
-import type * as orderDesk from './orderDesk.js';
-import * as orderIntake from './orderIntake.js';
+import * as lostRunDetector from './lostRunDetector.js';
+import type * as orderSender from './orderSender.js';
+import * as orderResultHandler from './orderResultHandler.js';
 import * as runInspection from './runInspection.js';
 
 /** Dependencies of run control. */
@@ -38,13 +38,13 @@
   readonly metrics: metrics.Metrics;
   readonly registry: jobRegistry.JobRegistry;
   readonly workers: ReadonlyMap<string, workerTable.WorkerEntry>;
-  readonly orderSender: () => orderDesk.OrderDesk;
+  readonly orderSender: () => orderSender.OrderSender;
   /** Duration of leases: on a worker whose incarnation is younger, no lease can have expired. */
   readonly grantMs: number;
   /** Leader's clock by which every lease granted by a previous leader has expired. */
-  readonly formerLapseAtMs: number;
+  readonly previousLeasesExpireAtMs: number;
   /** Runtime estimates, updated from completed runs. */
-  readonly estimates: estimateBook.EstimateBook;
+  readonly estimates: runtimeEstimates.RuntimeEstimates;
   readonly doneRuns: doneRuns.DoneRuns;
   /** Stores a job's progress; settled once it is stored. */
   readonly save: (jobId: string) => Promise<void>;
@@ -61,34 +61,34 @@
   /** @returns settled once the run ends in the update are stored and may be acknowledged */
   readonly applyUpdate: (
     worker: workerTable.WorkerEntry,
-    news: agentContract.WorkerNews,
+    news: agentContract.WorkerUpdate,
     receivedAtMs: number,
   ) => Promise<unknown>;
-  readonly applyOrderResults: (settled: orderDesk.SettledOrders) => void;
+  readonly applyOrderResults: (settled: orderSender.SettledOrders) => void;
   /** Applies completed runs that this process received in an earlier term and could not store. */
-  readonly recallDone: () => void;
+  readonly applyDoneRuns: () => void;
   /** Registers a run that a previous leader ordered; the worker's next report shows whether it exists. */
   readonly adoptAssigned: (
     worker: workerTable.WorkerEntry,
-    entry: jobBook.JobEntry,
-    task: jobBook.TaskEntry,
+    entry: jobState.JobEntry,
+    task: jobState.TaskEntry,
   ) => void;
   readonly stopRun: (
     worker: workerTable.WorkerEntry,
-    run: workerTable.RunHolding,
+    run: workerTable.ActiveRun,
     cause: string,
   ) => void;
   /** Stops the present runs of a group. */
   readonly stopGroup: (groupKey: string, cause: string) => void;
   /** Stops the remaining runs of an ended job, and of gangs that lost a member. */
-  readonly stopUnwanted: (entry: jobBook.JobEntry, cause: string) => void;
+  readonly stopUnwanted: (entry: jobState.JobEntry, cause: string) => void;
   /** Ends a run that has certainly ended or can no longer start. */
-  readonly markLost: (run: workerTable.RunHolding, cause: string) => void;
+  readonly markLost: (run: workerTable.ActiveRun, cause: string) => void;
   /** Declares the runs of unreachable workers lost once all their leases have expired. */
   readonly declareLost: () => void;
   /** Repeats stop orders that have had no effect yet. */
   readonly repeatStops: () => void;
-  readonly isWanted: (run: workerTable.RunHolding) => boolean;
+  readonly isWanted: (run: workerTable.ActiveRun) => boolean;
   /** Stops stalled runs, and runs that cannot finish before their draining worker shuts down. */
   readonly inspect: () => void;
 }
@@ -113,7 +113,7 @@
 
   const stopRun = (
     worker: workerTable.WorkerEntry,
-    run: workerTable.RunHolding,
+    run: workerTable.ActiveRun,
     cause: string,
   ): void => {
     run.phase = workerTable.RunPhase.stopping;
@@ -132,44 +132,44 @@
     }
   };
 
-  const stopUnwanted = (entry: jobBook.JobEntry, cause: string): void => {
+  const stopUnwanted = (entry: jobState.JobEntry, cause: string): void => {
     for (const worker of options.workers.values()) {
       for (const run of worker.runs.values()) {
         const isOwn = run.entry === entry && run.phase === workerTable.RunPhase.present;
-        if (isOwn && !runNeed.isWanted(run) && !runNeed.isDone(run)) stopRun(worker, run, cause);
+        if (isOwn && !runState.isWanted(run) && !runState.isDone(run)) stopRun(worker, run, cause);
       }
     }
   };
 
   /** Marks a run as closing: it counts as gone once the worker has answered under a higher fence. */
-  const markClosing = (worker: workerTable.WorkerEntry, run: workerTable.RunHolding): void => {
+  const markClosing = (worker: workerTable.WorkerEntry, run: workerTable.ActiveRun): void => {
     workerTable.raiseFence(worker);
     run.phase = workerTable.RunPhase.closing;
     run.closeFence = worker.fence;
   };
 
   const endRun = (
-    entry: jobBook.JobEntry,
-    task: jobBook.TaskEntry,
-    outcome: jobEnds.RunOutcome,
+    entry: jobState.JobEntry,
+    task: jobState.TaskEntry,
+    outcome: jobTransitions.RunOutcome,
     mayBeOfLostRun = false,
   ): Promise<void> => {
     const { jobId } = entry.job;
-    const hadEnded = jobBook.isEnded(entry);
+    const hadEnded = jobState.isEnded(entry);
     // The end of another gang member may already have changed the job, and that change may not be stored yet.
     const hasChanged =
-      jobEnds.noteEnd(entry, task, outcome, time.wallMs()) ||
-      (mayBeOfLostRun && jobEnds.noteEarlierDone(entry, task, outcome, time.wallMs()));
+      jobTransitions.recordRunEnd(entry, task, outcome, time.wallMs()) ||
+      (mayBeOfLostRun && jobTransitions.recordEarlierRunDone(entry, task, outcome, time.wallMs()));
     if (!hasChanged) return options.whenStored(jobId);
     recorder.recordRunEnd(entry, task, outcome);
-    const hasEnded = jobBook.isEnded(entry);
+    const hasEnded = jobState.isEnded(entry);
     if (hasEnded && !hadEnded) recorder.recordJobEnd(entry);
     stopUnwanted(entry, hasEnded ? 'jobEnded' : 'gangBroken');
     options.onDidChange();
     return options.save(jobId);
   };
 
-  const markLost = (run: workerTable.RunHolding, cause: string): void => {
+  const markLost = (run: workerTable.ActiveRun, cause: string): void => {
     log('warn', 'runLost', { task: run.name, run: run.run, cause });
     const outcome = { run: run.run, how: 'lost', saved: run.saved } as const;
     void endRun(run.entry, run.task, outcome);
@@ -178,11 +178,11 @@
   /** The job and task for a task name, if the leader knows them. */
   const findTask = (
     text: string,
-  ): { entry: jobBook.JobEntry; task: jobBook.TaskEntry } | undefined => {
+  ): { entry: jobState.JobEntry; task: jobState.TaskEntry } | undefined => {
     const name = poolWorker.parseTaskName(text);
     const entry = name === undefined ? undefined : options.registry.get(name.jobId);
     if (name === undefined || entry === undefined) return undefined;
-    const task = jobBook.findTask(entry, name);
+    const task = jobState.findTask(entry, name);
     return task === undefined ? undefined : { entry, task };
   };
 
@@ -196,7 +196,7 @@
     options.doneRuns.remove(done);
   };
 
-  const recallDone = (): void => {
+  const applyDoneRuns = (): void => {
     for (const done of options.doneRuns.all()) {
       const known = findTask(done.task);
       const stored =
@@ -232,18 +232,23 @@
       return;
     }
     const run = {
-      ...workerTable.createRun(known.entry, known.task, workerTable.RunPhase.present, nowMs()),
+      ...workerTable.createActiveRun(
+        known.entry,
+        known.task,
+        workerTable.RunPhase.present,
+        nowMs(),
+      ),
       run: listed.run,
       percent: listed.percent,
       saved: listed.saved,
     };
     worker.runs.set(workerTable.runKey(run.name, run.run), run);
-    if (!runNeed.isWanted(run)) stopRun(worker, run, 'notWanted');
+    if (!runState.isWanted(run)) stopRun(worker, run, 'notWanted');
   };
 
-  const recordCheckpoint = (run: workerTable.RunHolding): void => {
-    if (!runNeed.isWanted(run)) return;
-    for (const member of jobBook.groupOf(run.entry, run.task)) member.saved = run.saved;
+  const recordCheckpoint = (run: workerTable.ActiveRun): void => {
+    if (!runState.isWanted(run)) return;
+    for (const member of jobState.groupOf(run.entry, run.task)) member.saved = run.saved;
     options.onDidCheckpoint(run.entry.job.jobId);
   };
 
@@ -251,12 +256,12 @@
     worker.info = info;
     worker.seenUpTo = 0;
     worker.appliedUpTo = 0;
-    worker.ends = endLedger.createEndLedger();
+    worker.endTracker = endTracker.createEndTracker();
     worker.viewClockMs = 0;
     worker.sample = undefined;
-    worker.leasesLapseAtMs = 0;
-    worker.leavesAtMs = Infinity;
-    worker.blame = workerBlame.createWorkerBlame();
+    worker.leasesExpireAtMs = 0;
+    worker.drainEndsAtMs = Infinity;
+    worker.suspicion = workerSuspicion.createWorkerSuspicion();
     // The previous incarnation ended with all its runs, but an order to it may still reach the new one, even a
     // duplicate of an order that was executed long ago.
     workerTable.raiseFence(worker);
@@ -276,8 +281,8 @@
       before?.workerId !== info.workerId || before.incarnationMs !== info.incarnationMs;
     if (isNewIncarnation) startIncarnation(worker, info);
     worker.info = info;
-    if (info.state === poolWorker.WorkerState.draining && worker.leavesAtMs === Infinity) {
-      worker.leavesAtMs = nowMs() + (info.remainingMs ?? DEFAULT_REMAINING_MS);
+    if (info.state === poolWorker.WorkerState.draining && worker.drainEndsAtMs === Infinity) {
+      worker.drainEndsAtMs = nowMs() + (info.remainingMs ?? DEFAULT_REMAINING_MS);
     }
     if (isNewIncarnation || before.state !== info.state) {
       log('info', 'workerChanged', {
@@ -295,20 +300,20 @@
     worker: workerTable.WorkerEntry,
     listed: readonly poolWorker.EndedRun[],
   ): Promise<unknown> => {
-    const { ends } = worker;
+    const { endTracker: ends } = worker;
     listed.forEach((end) => ends.add(end.sequence));
     return Promise.all(
       listed.map(async (end) => {
         await applyEnd(worker, end);
         const upTo = ends.note(end.sequence);
-        if (worker.ends === ends) worker.seenUpTo = upTo;
+        if (worker.endTracker === ends) worker.seenUpTo = upTo;
       }),
     );
   };
 
   const applyReport = (
     worker: workerTable.WorkerEntry,
-    news: agentContract.WorkerNews,
+    news: agentContract.WorkerUpdate,
     receivedAtMs: number,
   ): Promise<unknown> => {
     const { view, viewFence, viewAgeMs } = news;
@@ -321,25 +326,25 @@
       clockMs: view.clockMs,
       atMs: receivedAtMs - viewAgeMs,
     };
-    const facts = viewIntake.takeView(worker, { view, viewFence }, nowMs());
+    const facts = reportReconciliation.applyReport(worker, { view, viewFence }, nowMs());
     facts.saved.forEach(recordCheckpoint);
     recorder.recordRuntimes(worker, facts.done);
     const stored = acknowledge(worker, facts.ends);
     facts.gone.forEach((run) => markLost(run, 'notOnWorker'));
-    facts.vanished.forEach((run) => markClosing(worker, run));
-    facts.strays.forEach((listed) => adoptUnknownRun(worker, listed));
+    facts.missing.forEach((run) => markClosing(worker, run));
+    facts.unknownRuns.forEach((listed) => adoptUnknownRun(worker, listed));
     for (const run of worker.runs.values()) {
       const isStale =
         run.phase === workerTable.RunPhase.present &&
-        !runNeed.isWanted(run) &&
-        !runNeed.isDone(run);
+        !runState.isWanted(run) &&
+        !runState.isDone(run);
       if (isStale) stopRun(worker, run, 'notWanted');
     }
     if (facts.ends.length + facts.gone.length > 0) options.onDidChange();
     return stored;
   };
 
-  const lostRunDetection = lostRuns.createLostRuns({ ...options, markLost });
+  const detector = lostRunDetector.createLostRunDetector({ ...options, markLost });
 
   const applyUpdate: RunControl['applyUpdate'] = (worker, news, receivedAtMs) => {
     const wasReachable = worker.isReachable;
@@ -350,12 +355,12 @@
     worker.isReachable = worker.sample !== undefined && news.viewAgeMs <= MAX_VIEW_AGE_MS;
     const hasDeparted =
       worker.info?.state === poolWorker.WorkerState.gone && news.viewAgeMs > DEPARTED_MS;
-    if (hasDeparted && worker.runs.size > 0) lostRunDetection.markWorkerLost(worker);
+    if (hasDeparted && worker.runs.size > 0) detector.markWorkerLost(worker);
     if (worker.isReachable !== wasReachable) options.onDidChange();
     return stored;
   };
 
-  const orderResults = orderIntake.createOrderIntake({
+  const orderResults = orderResultHandler.createOrderResultHandler({
     ...options,
     stopRun,
     close: markClosing,
@@ -365,20 +370,20 @@
   const { inspect, repeatStops } = runInspection.createRunInspection({
     clock: time,
     workers: options.workers,
-    isWanted: runNeed.isWanted,
+    isWanted: runState.isWanted,
     stopRun,
     stopGroup,
   });
 
   return {
-    isWanted: runNeed.isWanted,
+    isWanted: runState.isWanted,
     inspect,
     stopRun,
     stopGroup,
     stopUnwanted,
     markLost,
     applyUpdate,
-    recallDone,
+    applyDoneRuns,
     applyOrderResults: (settled) => {
       const { worker, news, receivedAtMs } = settled;
       settled.starts.forEach((it) => orderResults.handleStart(worker, it));
@@ -386,16 +391,19 @@
       settled.stops.forEach((it) => orderResults.handleStop(settled, it));
     },
     adoptAssigned: (worker, entry, task) => {
-      const run = workerTable.createRun(entry, task, workerTable.RunPhase.closing, nowMs());
-      workerTable.countFromStart(run, options.estimates, { nowMs: nowMs(), wallMs: time.wallMs() });
+      const run = workerTable.createActiveRun(entry, task, workerTable.RunPhase.closing, nowMs());
+      workerTable.restoreStartTime(run, options.estimates, {
+        nowMs: nowMs(),
+        wallMs: time.wallMs(),
+      });
       run.closeFence = worker.fence;
-      run.lateUntilMs = lateOrders.toOwnClock(task.lateUntilWallMs, {
+      run.delayedOrderUntilMs = delayedOrders.toMonotonicMs(task.lateUntilWallMs, {
         monotonicMs: nowMs(),
         wallMs: time.wallMs(),
       });
       worker.runs.set(workerTable.runKey(run.name, run.run), run);
     },
-    declareLost: lostRunDetection.declareLost,
+    declareLost: detector.declareLost,
     repeatStops,
   };
 };
--- a/src/coordination/node/pool/runInspection.ts
+++ b/src/coordination/node/pool/runInspection.ts
@@ -2,17 +2,17 @@
  * Finds stalled runs and runs that cannot finish before their worker shuts down.
  */
 import type * as clock from '../../../base/common/clock.js';
-import * as workerBlame from '../../common/pool/workerBlame.js';
+import * as workerSuspicion from '../../common/pool/workerSuspicion.js';
 import * as workerTable from '../../common/pool/workerTable.js';
 
 /** Dependencies of the inspection. */
 export interface RunInspectionOptions {
   readonly clock: clock.Clock;
   readonly workers: ReadonlyMap<string, workerTable.WorkerEntry>;
-  readonly isWanted: (run: workerTable.RunHolding) => boolean;
+  readonly isWanted: (run: workerTable.ActiveRun) => boolean;
   readonly stopRun: (
     worker: workerTable.WorkerEntry,
-    run: workerTable.RunHolding,
+    run: workerTable.ActiveRun,
     cause: string,
   ) => void;
   /** Stops the present runs of a group. */
@@ -52,21 +52,24 @@
 export const createRunInspection = (options: RunInspectionOptions): RunInspection => {
   const nowMs = (): number => options.clock.monotonicMs();
 
-  const inspectRun = (worker: workerTable.WorkerEntry, run: workerTable.RunHolding): void => {
+  const inspectRun = (worker: workerTable.WorkerEntry, run: workerTable.ActiveRun): void => {
     if (run.phase !== workerTable.RunPhase.present || !options.isWanted(run)) return;
     const { estimatedMs, isLongRunning } = run.step;
-    if (nowMs() + workerTable.remainingMsOf(run, nowMs()) > worker.leavesAtMs - STOP_RESERVE_MS) {
+    if (
+      nowMs() + workerTable.remainingMsOf(run, nowMs()) >
+      worker.drainEndsAtMs - STOP_RESERVE_MS
+    ) {
       // It would be killed with its worker; if stopped now it can resume elsewhere from a checkpoint.
       options.stopGroup(run.groupKey, 'workerLeaves');
       return;
     }
     if (isLongRunning) return;
-    const stalledMs = nowMs() - run.movedAtMs;
+    const stalledMs = nowMs() - run.progressedAtMs;
     if (stalledMs > STALL.suspectMs + STALL.suspectShare * estimatedMs) {
-      workerBlame.noteStall(worker.blame, nowMs());
+      workerSuspicion.recordStall(worker.suspicion, nowMs());
     }
     if (stalledMs > STALL.relocateMs + STALL.relocateShare * estimatedMs) {
-      run.task.avoid.push(worker.info?.workerId ?? '');
+      run.task.avoidedWorkerIds.push(worker.info?.workerId ?? '');
       options.stopGroup(run.groupKey, 'standsStill');
     }
   };
--- a/src/coordination/node/pool/viewAge.ts
+++ b/src/coordination/node/pool/snapshotAge.ts
@@ -11,13 +11,13 @@
 }
 
 /** The age of a copy. */
-export interface ViewAge {
-  /** @returns the current instant, to be passed to {@link prove} once a call sent now has been answered */
+export interface SnapshotAge {
+  /** @returns the current instant, to be passed to {@link confirm} once a call sent now has been answered */
   readonly now: () => Moment;
   /** Confirms that the copy contained everything written up to this instant. */
-  readonly prove: (at: Moment) => void;
+  readonly confirm: (at: Moment) => void;
   /** Confirms the copy by the answer to a watch that was sent at this instant with this maximum wait. */
-  readonly proveByWatch: (sentAt: Moment, waitMs: number, seen: store.WatchResult) => void;
+  readonly confirmByWatch: (sentAt: Moment, waitMs: number, seen: store.WatchResult) => void;
   /** Time since the latest confirmed instant; infinite before the first one. */
   readonly ageMs: () => number;
 }
@@ -26,20 +26,20 @@
  * @param time - both clocks
  * @returns the age of a copy that has not been confirmed yet
  */
-export const createViewAge = (time: clock.Clock): ViewAge => {
+export const createSnapshotAge = (time: clock.Clock): SnapshotAge => {
   let proven: Moment = { monotonicMs: -Infinity, wallMs: -Infinity };
-  const prove = (at: Moment): void => {
+  const confirm = (at: Moment): void => {
     if (at.monotonicMs >= proven.monotonicMs) proven = at;
   };
   return {
     now: () => ({ monotonicMs: time.monotonicMs(), wallMs: time.wallMs() }),
-    prove,
-    proveByWatch: (sentAt, waitMs, seen) => {
+    confirm,
+    confirmByWatch: (sentAt, waitMs, seen) => {
       // An empty answer was sent at the end of the wait; one with changes may have been sent at any time before.
       const isEmpty = seen.entries.length + seen.deletedKeys.length === 0;
       const elapsedMs = time.monotonicMs() - sentAt.monotonicMs;
       const waitedMs = isEmpty ? Math.min(waitMs, elapsedMs) : 0;
-      prove({ monotonicMs: sentAt.monotonicMs + waitedMs, wallMs: sentAt.wallMs + waitedMs });
+      confirm({ monotonicMs: sentAt.monotonicMs + waitedMs, wallMs: sentAt.wallMs + waitedMs });
     },
     // Uses the clock that advanced more, since the monotonic one stops while the machine is suspended.
     ageMs: () => Math.max(time.monotonicMs() - proven.monotonicMs, time.wallMs() - proven.wallMs),
--- a/src/coordination/node/pool/test/prefixWatch.test.ts
+++ b/src/coordination/node/pool/test/prefixWatch.test.ts
@@ -7,7 +7,7 @@
 import * as clock from '../../../../base/common/clock.js';
 import type * as store from '../../../../state/common/store.js';
 import * as prefixWatch from '../prefixWatch.js';
-import * as viewAge from '../viewAge.js';
+import * as snapshotAge from '../snapshotAge.js';
 
 const seenAt = (revision: number, isGap = false): store.WatchResult => ({
   entries: [],
@@ -37,7 +37,7 @@
       prefix: 'k',
       waitMs: 800,
       signal: aborter.signal,
-      age: viewAge.createViewAge(clock.createFakeClock()),
+      age: snapshotAge.createSnapshotAge(clock.createFakeClock()),
       onDidSee: (seen) => onDidSee(seen, aborter),
     },
     1,
--- a/src/coordination/node/pool/test/viewAge.test.ts
+++ b/src/coordination/node/pool/test/snapshotAge.test.ts
@@ -5,7 +5,7 @@
 import * as test from 'node:test';
 
 import * as clock from '../../../../base/common/clock.js';
-import * as viewAge from '../viewAge.js';
+import * as snapshotAge from '../snapshotAge.js';
 
 const entry = { key: 'k', value: '', revision: 2 };
 
@@ -40,22 +40,22 @@
   for (const { name, seen, answeredAfterMs, ageMs } of CASES) {
     test.it(name, async () => {
       const time = clock.createFakeClock(1000);
-      const age = viewAge.createViewAge(time);
+      const age = snapshotAge.createSnapshotAge(time);
       assert.equal(age.ageMs(), Infinity);
       const sentAt = age.now();
       await time.advance(answeredAfterMs);
-      age.proveByWatch(sentAt, 1000, { ...seen, revision: 2, isGap: false });
+      age.confirmByWatch(sentAt, 1000, { ...seen, revision: 2, isGap: false });
       assert.equal(age.ageMs(), ageMs);
     });
   }
 
   test.it('an answer to an earlier call does not reduce what was confirmed', async () => {
     const time = clock.createFakeClock(1000);
-    const age = viewAge.createViewAge(time);
+    const age = snapshotAge.createSnapshotAge(time);
     const before = age.now();
     await time.advance(500);
-    age.prove(age.now());
-    age.prove(before);
+    age.confirm(age.now());
+    age.confirm(before);
     assert.equal(age.ageMs(), 0);
   });
 });
--- a/src/coordination/node/pool/adviceDesk.ts
+++ b/src/coordination/node/pool/ticketCache.ts
@@ -17,7 +17,7 @@
 }
 
 /** Dependencies of the ticket cache. */
-export interface AdviceDeskOptions {
+export interface TicketCacheOptions {
   readonly clock: clock.Clock;
   readonly log: logging.Log;
   readonly metrics: metrics.Metrics;
@@ -31,7 +31,7 @@
 }
 
 /** Tickets by step and worker. */
-export interface AdviceDesk {
+export interface TicketCache {
   /**
    * @param stepKey - a step of one occurrence
    * @param workerIds - workers that could run it, the best first
@@ -76,7 +76,7 @@
  * @param options - its dependencies
  * @returns an empty cache
  */
-export const createAdviceDesk = (options: AdviceDeskOptions): AdviceDesk => {
+export const createTicketCache = (options: TicketCacheOptions): TicketCache => {
   const { clock: time, log, metrics } = options;
   const steps = new Map<string, StepState>();
   let lastCall: Promise<unknown> = Promise.resolve();
--- a/src/coordination/node/serviceLevelKeeper.ts
+++ b/src/coordination/node/serviceLevelRecorder.ts
@@ -17,8 +17,8 @@
 import * as storeKeys from '../../state/common/storeKeys.js';
 import * as serviceLevelCounters from '../common/serviceLevelCounters.js';
 
-/** Options of {@link createServiceLevelKeeper}. */
-export interface ServiceLevelKeeperOptions {
+/** Options of {@link createServiceLevelRecorder}. */
+export interface ServiceLevelRecorderOptions {
   /** Id of this run of the process. */
   readonly writerId: string;
   readonly store: store.Store;
@@ -27,8 +27,8 @@
 }
 
 /** Records the counts of one process. */
-export interface ServiceLevelKeeper extends disposable.Disposable {
-  readonly note: (verdicts: readonly serviceLevelCounters.Verdict[]) => void;
+export interface ServiceLevelRecorder extends disposable.Disposable {
+  readonly note: (verdicts: readonly serviceLevelCounters.ObjectiveResult[]) => void;
   readonly flush: () => Promise<void>;
 }
 
@@ -44,9 +44,9 @@
  * @param options - options
  * @returns a recorder without counts
  */
-export const createServiceLevelKeeper = (
-  options: ServiceLevelKeeperOptions,
-): ServiceLevelKeeper => {
+export const createServiceLevelRecorder = (
+  options: ServiceLevelRecorderOptions,
+): ServiceLevelRecorder => {
   const { store: target, clock: timeSource, writerId } = options;
   let counts: serviceLevelCounters.Counts = new Map();
   const revisions = new Map<number, number>();
@@ -73,7 +73,7 @@
   const deleteOld = async (): Promise<void> => {
     const hour = serviceLevelCounters.hourOf(timeSource.wallMs());
     if (hour === cleanedHour) return;
-    const first = hour - serviceLevel.KEPT_HOURS;
+    const first = hour - serviceLevel.RETAINED_HOURS;
     for (let old = first; old > first - CLEANUP_SPAN_HOURS; old -= 1) {
       const { entries } = await target.list(storeKeys.serviceLevelPrefix(old));
       for (const { key, revision } of entries) {
@@ -161,7 +161,7 @@
   };
   return async (nowMs) => {
     const current = serviceLevelCounters.hourOf(nowMs);
-    const first = current - serviceLevel.KEPT_HOURS + 1;
+    const first = current - serviceLevel.RETAINED_HOURS + 1;
     for (const hour of cachedHours.keys()) if (hour < first) cachedHours.delete(hour);
     const found: serviceLevel.ServiceLevelHour[] = [];
     for (let hour = first; hour <= current; hour += 1) {
--- a/src/coordination/node/workerInventory.ts
+++ b/src/coordination/node/workerInventory.ts
@@ -19,13 +19,13 @@
 export interface WorkerInventory {
   readonly load: () => Promise<readonly worker.WorkerInfo[]>;
   /** @returns whether the worker is new or has changed, and must be saved */
-  readonly remember: (info: worker.WorkerInfo) => boolean;
+  readonly record: (info: worker.WorkerInfo) => boolean;
   /** Writes all recorded workers; concurrent calls share one write. */
   readonly save: () => Promise<void>;
   /** Whether a recorded worker is not saved yet and no write is pending. */
-  readonly isSaveOwed: () => boolean;
+  readonly hasUnsavedWorkers: () => boolean;
   /** The set of workers last confirmed in the store, then each set that may have replaced it. */
-  readonly possibleSets: () => readonly ReadonlySet<string>[];
+  readonly possibleWorkerSets: () => readonly ReadonlySet<string>[];
 }
 
 const decode = (entry: store.StoreEntry): readonly worker.WorkerInfo[] =>
@@ -82,7 +82,7 @@
       confirmedSet = new Set(known.keys());
       return workers;
     },
-    remember: (info) => {
+    record: (info) => {
       const isSame = JSON.stringify(known.get(info.workerId)) === JSON.stringify(info);
       if (!isSame) known.set(info.workerId, info);
       return !isSame;
@@ -94,7 +94,7 @@
       }
       return saving;
     },
-    isSaveOwed: () => hasUnsaved && saving === undefined,
-    possibleSets: () => [confirmedSet, ...unconfirmedSets],
+    hasUnsavedWorkers: () => hasUnsaved && saving === undefined,
+    possibleWorkerSets: () => [confirmedSet, ...unconfirmedSets],
   };
 };
--- a/src/dev/demo.ts
+++ b/src/dev/demo.ts
@@ -2,7 +2,7 @@
  * The demo: requests from callers in all regions and a mix of jobs, judged by the stand-ins' own
  * records of what they executed.
  */
-import * as ledgerBook from '../coordination/common/ledgerBook.js';
+import * as ledgerHours from '../coordination/common/ledgerHours.js';
 import type * as configuration from '../state/common/configuration.js';
 import * as job from '../state/common/job.js';
 
@@ -139,7 +139,7 @@
   const { operatorsUrl } = options.host.entries[0]?.program ?? { operatorsUrl: '' };
   for (const { cell } of options.document.cells) {
     for (const hour of await options.client.ledger(operatorsUrl, cell)) {
-      imbalanceMs += Math.abs(ledgerBook.imbalanceOf(hour));
+      imbalanceMs += Math.abs(ledgerHours.imbalanceOf(hour));
       for (const it of hour.entries) {
         hours.set(it.reason, (hours.get(it.reason) ?? 0) + it.acceleratorMs / MS_PER_HOUR);
       }
--- a/src/platform/adviceClient.ts
+++ b/src/platform/adviceClient.ts
@@ -6,7 +6,7 @@
 import * as errors from '../base/common/errors.js';
 import type * as http from '../base/common/http.js';
 import * as schemaIssues from '../base/common/schemaIssues.js';
-import type * as adviceDesk from '../coordination/node/pool/adviceDesk.js';
+import type * as ticketCache from '../coordination/node/pool/ticketCache.js';
 
 /** Options of the client. */
 export interface AdviceClientOptions {
@@ -31,7 +31,7 @@
  * @returns a function that asks the service which workers may run a step
  */
 export const createAdviceClient =
-  (options: AdviceClientOptions): adviceDesk.AdviceDeskOptions['ask'] =>
+  (options: AdviceClientOptions): ticketCache.TicketCacheOptions['ask'] =>
   async (stepKey, workerIds, timeoutMs) => {
     const address = options.address();
     if (address === undefined) {
--- a/src/platform/bootSettings.ts
+++ b/src/platform/bootSettings.ts
@@ -104,10 +104,10 @@
   heartbeatMs: file.heartbeat_ms,
   graceMs: file.bounds.grace_s * MS_PER_S,
   maxLeaseMs: file.bounds.hold_max_ms,
-  farFactor: Math.max(1, file.bounds.far_x ?? 1),
-  statusMs: file.bounds.status_s * MS_PER_S,
-  revokeMs: file.bounds.revoke_ms,
-  gangMs: file.bounds.gang_ms,
+  remoteFactor: Math.max(1, file.bounds.far_x ?? 1),
+  statusRetentionMs: file.bounds.status_s * MS_PER_S,
+  maxRevocationMs: file.bounds.revoke_ms,
+  gangStartTimeoutMs: file.bounds.gang_ms,
   minStoreLeaseMs: file.platform.ttl_min_ms,
 });
 
@@ -137,7 +137,7 @@
  * @returns path of the settings file
  * @throws AuburnliftError `invalidRequest` if the variable is not set
  */
-export const bootPath = (): string => {
+export const bootSettingsPath = (): string => {
   const path = process.env[PATH_VARIABLE];
   if (path === undefined || path === '') {
     throw errors.fail('invalidRequest', `${PATH_VARIABLE} must name the settings file`, {
--- a/src/platform/heartbeatApi.ts
+++ b/src/platform/heartbeatApi.ts
@@ -39,13 +39,13 @@
       });
       return httpServer.jsonReply({}, BAD_REQUEST);
     }
-    options.agent.noteHeartbeat(heartbeat);
+    options.agent.recordHeartbeat(heartbeat);
     return httpServer.jsonReply({});
   };
   return (request) => {
     if (request.path.startsWith(HEARTBEAT_PREFIX)) return Promise.resolve(handleHeartbeat(request));
     if (request.path.startsWith(DEREGISTER_PREFIX)) {
-      options.agent.noteDeparture(workerIdIn(request.path, DEREGISTER_PREFIX));
+      options.agent.recordDeparture(workerIdIn(request.path, DEREGISTER_PREFIX));
       return Promise.resolve(httpServer.jsonReply({}));
     }
     return Promise.resolve(httpServer.jsonReply({}, NOT_FOUND));
--- a/src/platform/jobApi.ts
+++ b/src/platform/jobApi.ts
@@ -7,14 +7,14 @@
 import type * as logging from '../base/common/logging.js';
 import type * as metrics from '../base/common/metrics.js';
 import * as schemaIssues from '../base/common/schemaIssues.js';
-import type * as jobDesk from '../coordination/node/pool/jobDesk.js';
+import type * as jobRequestHandler from '../coordination/node/pool/jobRequestHandler.js';
 import type * as poolJob from '../state/common/pool/poolJob.js';
 import * as poolKeys from '../state/common/pool/poolKeys.js';
 import * as httpServer from '../transport/node/httpServer.js';
 
 /** What the API needs. */
 export interface JobApiOptions {
-  readonly desk: jobDesk.JobDesk;
+  readonly jobs: jobRequestHandler.JobRequestHandler;
   /** Number of accepted jobs of a queue of which no task has started. */
   readonly pending: (queue: string) => Promise<number>;
   readonly maxBodyBytes: () => number;
@@ -22,7 +22,7 @@
    * Whether callers should open their next connection to another entry: an open connection stays with
    * this entry even after the load balancer has taken it out of rotation.
    */
-  readonly sendsAway: () => boolean;
+  readonly shouldCloseConnections: () => boolean;
   /** Called when a record of a job was stored. */
   readonly onDidStore: (jobId: string, part: poolKeys.JobPart) => void;
   readonly newRequestId: () => string;
@@ -124,7 +124,7 @@
   };
 };
 
-const decodeDraft = (request: httpServer.ServerRequest): jobDesk.JobDraft => {
+const decodeDraft = (request: httpServer.ServerRequest): jobRequestHandler.JobDraft => {
   const wire = schemaIssues.decodeOrFail(
     WireJob,
     httpServer.parseJsonBody(request),
@@ -168,9 +168,9 @@
 export const createJobApi = (options: JobApiOptions): httpServer.Handler => {
   const handleCall = async (
     request: httpServer.ServerRequest,
-    call: jobDesk.Call,
+    call: jobRequestHandler.Call,
   ): Promise<httpServer.ServerReply> => {
-    const { desk } = options;
+    const { jobs: desk } = options;
     const admitted = desk.admit(call);
     const { queue, jobId } = admitted;
     if (jobId === '' && request.method === 'GET') {
@@ -205,7 +205,7 @@
 
   return async (request) => {
     const startedAtMs = options.nowMs();
-    const call: jobDesk.Call = {
+    const call: jobRequestHandler.Call = {
       requestId: options.newRequestId(),
       host: hostOf(request),
       path: request.path,
@@ -232,7 +232,7 @@
       durationMs: Math.round(durationMs),
       reason,
     });
-    return options.sendsAway()
+    return options.shouldCloseConnections()
       ? { ...reply, headers: { ...reply.headers, connection: 'close' } }
       : reply;
   };
--- a/src/platform/platformStore.ts
+++ b/src/platform/platformStore.ts
@@ -24,14 +24,14 @@
   /** For the pauses between attempts to read a page; without it, a list fails with the first page that fails. */
   readonly clock?: clock.Clock;
   /** Called when any part of an answer arrives, directly or relayed, unless its status is 429 or 503. */
-  readonly onDidHear?: () => void;
+  readonly onDidReceive?: () => void;
 }
 
 /**
  * A value of one megabyte takes 1.6 s over a link of 7 Mbit/s, which all calls of a machine share; the store's
  * change history covers only 20 s.
  */
-export const TRANSFER: http.TransferLimits = {
+export const TRANSFER_LIMITS: http.TransferLimits = {
   maxMs: 15_000,
   maxPauseMs: 2000,
   minBytesPerS: 100_000,
@@ -123,7 +123,7 @@
  */
 export const createPlatformStore = (options: PlatformStoreOptions): recordStore.RecordStore => {
   const reportArrival = (status: number): void => {
-    if (status !== TOO_MANY_REQUESTS && status !== UNAVAILABLE) options.onDidHear?.();
+    if (status !== TOO_MANY_REQUESTS && status !== UNAVAILABLE) options.onDidReceive?.();
   };
 
   const send = async (
@@ -141,7 +141,7 @@
       headers: body === undefined ? {} : { 'content-type': 'application/json' },
       body: body === undefined ? Buffer.alloc(0) : Buffer.from(JSON.stringify(body)),
       timeoutMs,
-      transfer: TRANSFER,
+      transfer: TRANSFER_LIMITS,
       ...(isBrief && options.totalMs !== undefined ? { totalMs: options.totalMs } : {}),
       onArrival: reportArrival,
       ...rest,
@@ -180,10 +180,10 @@
       reply = await send(operation, 'POST', path, rest);
     } catch (thrown) {
       options.metrics.count('auburnlift_store_failures_total', { operation });
-      const isUnseen =
+      const isNotSent =
         thrown instanceof http.HttpCallError && thrown.failure === http.HttpFailure.notSent;
       const { message } = errors.normalize(thrown);
-      if (isUnseen) throw unavailable(operation, message);
+      if (isNotSent) throw unavailable(operation, message);
       throw new store.StoreOutcomeUnknown(message);
     }
     const { status } = reply;
@@ -205,11 +205,11 @@
   };
 
   const nextPage = async (prefix: string, after: string): Promise<WirePage> => {
-    for (let tries = 1; ; tries += 1) {
+    for (let attempt = 1; ; attempt += 1) {
       try {
         return await listPage(prefix, after);
       } catch (thrown) {
-        if (options.clock === undefined || tries === PAGE_ATTEMPTS) throw thrown;
+        if (options.clock === undefined || attempt === PAGE_ATTEMPTS) throw thrown;
         await clock.sleep(options.clock, PAGE_PAUSE_MS);
       }
     }
--- a/src/platform/test/bootFile.ts
+++ b/src/platform/test/bootFile.ts
@@ -70,4 +70,4 @@
 };
 
 /** Headers of a client's calls, with its credential. */
-export const KEY_HEADERS = { 'auburnlift-key': 'key', host: 'h' };
+export const API_KEY_HEADERS = { 'auburnlift-key': 'key', host: 'h' };
--- a/src/platform/test/decoding.test.ts
+++ b/src/platform/test/decoding.test.ts
@@ -46,7 +46,7 @@
     const settings = bootSettings.parseBootSettings(SETTINGS, 'local.toml', 'agent');
     assert.deepEqual(settings.peers, { host: '10.0.0.1', port: 7000 });
     assert.deepEqual(settings.worker, { host: '10.0.0.1', port: 80 });
-    assert.deepEqual([settings.graceMs, settings.statusMs], [6000, 120_000]);
+    assert.deepEqual([settings.graceMs, settings.statusRetentionMs], [6000, 120_000]);
     assert.equal(settings.front, undefined);
   });
 
--- a/src/platform/test/jobApi.test.ts
+++ b/src/platform/test/jobApi.test.ts
@@ -7,18 +7,18 @@
 
 import * as logging from '../../base/common/logging.js';
 import * as metrics from '../../base/common/metrics.js';
-import type * as jobDesk from '../../coordination/node/pool/jobDesk.js';
+import type * as jobRequestHandler from '../../coordination/node/pool/jobRequestHandler.js';
 import type * as httpServer from '../../transport/node/httpServer.js';
 import * as jobApi from '../jobApi.js';
 
 const ID = '5c0e7a21d94b36f8';
 
-interface Desk extends jobDesk.JobDesk {
-  readonly drafts: jobDesk.JobDraft[];
+interface Desk extends jobRequestHandler.JobRequestHandler {
+  readonly drafts: jobRequestHandler.JobDraft[];
 }
 
 const createDesk = (): Desk => {
-  const drafts: jobDesk.JobDraft[] = [];
+  const drafts: jobRequestHandler.JobDraft[] = [];
   return {
     drafts,
     canCheckCredentials: () => true,
@@ -52,17 +52,17 @@
 };
 
 const send = async (
-  desk: jobDesk.JobDesk,
+  desk: jobRequestHandler.JobRequestHandler,
   method: string,
   path: string,
   body: string,
   overrides: Partial<jobApi.JobApiOptions> = {},
 ): Promise<httpServer.ServerReply> => {
   const handler = jobApi.createJobApi({
-    desk,
+    jobs: desk,
     pending: () => Promise.resolve(12),
     maxBodyBytes: () => 3000,
-    sendsAway: () => false,
+    shouldCloseConnections: () => false,
     onDidStore: () => undefined,
     newRequestId: () => 'id',
     nowMs: () => 0,
--- a/src/platform/test/platformStore.test.ts
+++ b/src/platform/test/platformStore.test.ts
@@ -42,7 +42,7 @@
 
 interface Case {
   readonly name: string;
-  readonly answers: readonly scripted.Scripted[];
+  readonly answers: readonly scripted.ScriptedAnswer[];
   readonly call: (subject: recordStore.RecordStore) => Promise<unknown>;
   readonly outcome: unknown;
   readonly path?: string;
@@ -218,7 +218,7 @@
 test.describe('platformStore', () => {
   for (const it of CASES) {
     test.it(it.name, async () => {
-      const scriptedCall = scripted.scriptedCall(...it.answers);
+      const scriptedCall = scripted.createScriptedCall(...it.answers);
       assert.deepEqual(await outcomeOf(() => it.call(create(scriptedCall))), it.outcome);
       if (it.path !== undefined) assert.equal(scriptedCall.sent[0]?.path, it.path);
       if (it.body !== undefined) assert.deepEqual(scriptedCall.sent[0]?.body, it.body);
@@ -226,7 +226,7 @@
   }
 });
 
-const PAGES: readonly scripted.Scripted[] = [
+const PAGES: readonly scripted.ScriptedAnswer[] = [
   {
     status: 200,
     body: { items: [{ key: 'p/1', value: base64('1'), rev: 1 }], more_pages: true, as_of: 3 },
@@ -240,7 +240,7 @@
 interface PageCase {
   readonly name: string;
   /** Failures of the second page, one per attempt. */
-  readonly failures: readonly scripted.Scripted[];
+  readonly failures: readonly scripted.ScriptedAnswer[];
   readonly outcome: unknown;
 }
 
@@ -263,7 +263,7 @@
     test.it(it.name, async () => {
       const [first, second] = PAGES;
       assert.ok(first !== undefined && second !== undefined);
-      const scriptedCall = scripted.scriptedCall(first, ...it.failures, second);
+      const scriptedCall = scripted.createScriptedCall(first, ...it.failures, second);
       const time = clock.createFakeClock();
       const listed = outcomeOf(async () => {
         const { entries } = await create(scriptedCall, time).list('p/');
@@ -277,7 +277,7 @@
   }
 
   test.it('fails if its first page fails, since no pages have been read yet', async () => {
-    const scriptedCall = scripted.scriptedCall({ failure: 'timeout' }, ...PAGES);
+    const scriptedCall = scripted.createScriptedCall({ failure: 'timeout' }, ...PAGES);
     const outcome = await outcomeOf(() => create(scriptedCall, clock.createFakeClock()).list('p/'));
     assert.equal(outcome, 'storeUnavailable');
   });
