--- a/src/platform/test/relayOutage.ts
+++ b/src/platform/test/relayOutage.ts
@@ -8,11 +8,11 @@
 import * as metrics from '../../base/common/metrics.js';
 import * as fixtures from '../../coordination/common/pool/test/poolFixtures.js';
 import * as configurationFeed from '../../coordination/node/pool/configurationFeed.js';
-import * as jobDesk from '../../coordination/node/pool/jobDesk.js';
+import * as jobRequestHandler from '../../coordination/node/pool/jobRequestHandler.js';
 import * as leasedRecord from '../../coordination/node/pool/leasedRecord.js';
 import * as peerDirectory from '../../coordination/node/pool/peerDirectory.js';
 import * as storeRelay from '../../coordination/node/pool/storeRelay.js';
-import * as viewAge from '../../coordination/node/pool/viewAge.js';
+import * as snapshotAge from '../../coordination/node/pool/snapshotAge.js';
 import * as platformStore from '../platformStore.js';
 import type * as poolConfiguration from '../../state/common/pool/poolConfiguration.js';
 import * as poolKeys from '../../state/common/pool/poolKeys.js';
@@ -231,7 +231,7 @@
   const name = `${role}${machine}`;
   const { time } = model;
   model.counts.set(name, { own: 0, offers: 0, forOthers: 0, asked: 0 });
-  const contact = viewAge.createViewAge(time);
+  const contact = snapshotAge.createSnapshotAge(time);
   const relay = storeRelay.createStoreRelay({
     clock: time,
     log: logging.silentLog,
@@ -260,12 +260,12 @@
     metrics: metrics.createMetrics(),
     timeoutMs: TIMEOUT_MS[role],
     totalMs: TIMEOUT_MS[role] * 2,
-    onDidHear: () => contact.prove(contact.now()),
+    onDidReceive: () => contact.confirm(contact.now()),
   });
   const common = { store, clock: time, log: logging.silentLog };
   const directory = peerDirectory.startPeerDirectory({ ...common, ownUrl: `http://${name}` });
   const key = poolKeys.peerKey(role, `m${machine}`);
-  leasedRecord.keepLeasedRecord({ ...common, key, value: '{}', leaseMs: PRESENCE_LEASE_MS });
+  leasedRecord.maintainLeasedRecord({ ...common, key, value: '{}', leaseMs: PRESENCE_LEASE_MS });
   if (role === 'entry') {
     model.urls.set(key, `http://${name}`);
     model.relays.set(name, relay);
@@ -285,13 +285,13 @@
   }
 };
 
-const createDesk = (its: Process): jobDesk.JobDesk => {
+const createDesk = (its: Process): jobRequestHandler.JobRequestHandler => {
   const feed = configurationFeed.startConfigurationFeed({
     ...its,
     key: CONFIGURATION_KEY,
     decode: (text) => JSON.parse(text) as poolConfiguration.PoolConfiguration,
   });
-  return jobDesk.createJobDesk({
+  return jobRequestHandler.createJobRequestHandler({
     ...its,
     metrics: metrics.createMetrics(),
     feed,
@@ -305,12 +305,12 @@
   model: Model,
   scenario: Scenario,
   machine: number,
-  desk: jobDesk.JobDesk,
+  desk: jobRequestHandler.JobRequestHandler,
   seen: CallResult[],
 ): Promise<void> => {
   const { time, state } = model;
   const call = async (isRead: boolean, index: number): Promise<void> => {
-    const its: jobDesk.Call = {
+    const its: jobRequestHandler.Call = {
       requestId: 'id',
       host: 'h',
       path: `/q/j${machine}x${index}`,
--- a/src/platform/test/scriptedCall.ts
+++ b/src/platform/test/scriptedCall.ts
@@ -4,11 +4,11 @@
 import * as http from '../../base/common/http.js';
 
 /** An answer, or the failure of the exchange. */
-export type Scripted =
+export type ScriptedAnswer =
   { readonly status: number; readonly body?: unknown } | { readonly failure: http.HttpFailure };
 
 /** A recorded request. */
-export interface Sent {
+export interface SentRequest {
   readonly method: string;
   readonly path: string;
   readonly headers: Readonly<Record<string, string>>;
@@ -19,7 +19,7 @@
 /** The scripted call with its recorded requests. */
 export interface ScriptedCall {
   readonly call: http.HttpCall;
-  readonly sent: readonly Sent[];
+  readonly sent: readonly SentRequest[];
 }
 
 const parse = (body: Uint8Array): unknown =>
@@ -29,8 +29,8 @@
  * @param answers - one per request, in order
  * @returns the scripted call
  */
-export const scriptedCall = (...answers: readonly Scripted[]): ScriptedCall => {
-  const sent: Sent[] = [];
+export const createScriptedCall = (...answers: readonly ScriptedAnswer[]): ScriptedCall => {
+  const sent: SentRequest[] = [];
   return {
     sent,
     call: ({ method, path, headers, body, timeoutMs }) => {
--- a/src/platform/test/storeServer.ts
+++ b/src/platform/test/storeServer.ts
@@ -116,5 +116,5 @@
   );
 
 /** Formats the address of a test's server as in the settings file. */
-export const addressText = ({ address }: httpServer.HttpServer): string =>
+export const formatServerAddress = ({ address }: httpServer.HttpServer): string =>
   http.formatAddress(address).slice('http://'.length);
--- a/src/platform/test/workerClient.test.ts
+++ b/src/platform/test/workerClient.test.ts
@@ -9,7 +9,7 @@
 import * as workerClient from '../workerClient.js';
 import * as scripted from './scriptedCall.js';
 
-const create = (scriptedCall: scripted.ScriptedCall): agentContract.WorkerLink =>
+const create = (scriptedCall: scripted.ScriptedCall): agentContract.WorkerApi =>
   workerClient.createWorkerClient({
     address: () => ({ host: '127.0.0.1', port: 1 }),
     call: scriptedCall.call,
@@ -28,7 +28,7 @@
 
 interface Case {
   readonly name: string;
-  readonly answer: scripted.Scripted;
+  readonly answer: scripted.ScriptedAnswer;
   readonly outcome: string;
   readonly reason?: string;
 }
@@ -54,14 +54,14 @@
 test.describe('workerClient', () => {
   for (const it of START_CASES) {
     test.it(`start: ${it.name}`, async () => {
-      const answer = await create(scripted.scriptedCall(it.answer)).start('i-1', START);
+      const answer = await create(scripted.createScriptedCall(it.answer)).start('i-1', START);
       assert.equal(answer.outcome, it.outcome);
       if (it.reason !== undefined) assert.equal(answer.reason, it.reason);
     });
   }
 
   test.it('a start names the intended worker and omits empty fields', async () => {
-    const scriptedCall = scripted.scriptedCall({ status: 200 });
+    const scriptedCall = scripted.createScriptedCall({ status: 200 });
     await create(scriptedCall).start('i-1', START);
     const [sent] = scriptedCall.sent;
     assert.equal(sent?.path, '/-/run-start');
@@ -77,7 +77,7 @@
 
   test.it('a report request without a lease renews nothing', async () => {
     const view = { clock_ms: 9, born: 3, running: [['j.0.0.0', 2, 's', 41, 7]], ended: [] };
-    const scriptedCall = scripted.scriptedCall({ status: 200, body: view });
+    const scriptedCall = scripted.createScriptedCall({ status: 200, body: view });
     const request = { fence: 7, leaseUntilMs: 0, seenUpTo: 4, waitMs: 100 };
     const answer = await create(scriptedCall).view(undefined, request);
     assert.deepEqual(scriptedCall.sent[0]?.body, { fence: 7, seen_upto: 4, wait_ms: 100 });
@@ -92,7 +92,7 @@
     });
   });
 
-  const UNREADABLE: readonly [string, scripted.Scripted][] = [
+  const UNREADABLE: readonly [string, scripted.ScriptedAnswer][] = [
     ['bytes that are not JSON', { status: 200, body: 'garbage' }],
     // With a partial report the missing runs would count as gone and be started again.
     ['a malformed row', { status: 200, body: { clock_ms: 1, running: [['t']], ended: [] } }],
@@ -105,7 +105,7 @@
   for (const [name, answer] of UNREADABLE) {
     test.it(`a report with ${name} is not decoded`, async () => {
       const request = { fence: 7, leaseUntilMs: 0, seenUpTo: 0, waitMs: 0 };
-      const received = await create(scripted.scriptedCall(answer)).view('i-1', request);
+      const received = await create(scripted.createScriptedCall(answer)).view('i-1', request);
       assert.equal(received.outcome, 'unknown');
     });
   }
--- a/src/platform/test/workerServer.ts
+++ b/src/platform/test/workerServer.ts
@@ -9,7 +9,7 @@
 
 /** The worker that handles the calls. */
 export interface ServedWorker {
-  readonly link: agentContract.WorkerLink;
+  readonly link: agentContract.WorkerApi;
   readonly info: () => poolWorker.WorkerInfo;
 }
 
--- a/src/platform/workerClient.ts
+++ b/src/platform/workerClient.ts
@@ -39,7 +39,7 @@
  * @param options - options of the client
  * @returns the client
  */
-export const createWorkerClient = (options: WorkerClientOptions): agentContract.WorkerLink => {
+export const createWorkerClient = (options: WorkerClientOptions): agentContract.WorkerApi => {
   const send = (
     operation: string,
     workerId: string | undefined,
@@ -72,10 +72,10 @@
       const isRefusal = reply.status < SERVER_ERROR || reply.status === UNAVAILABLE;
       return { outcome: isRefusal ? 'refused' : 'unknown', reason: reasonOf(reply) };
     } catch (thrown) {
-      const isUnseen =
+      const isNotSent =
         thrown instanceof http.HttpCallError && thrown.failure === http.HttpFailure.notSent;
       const reason = errors.normalize(thrown).message;
-      return { outcome: isUnseen ? 'refused' : 'unknown', reason };
+      return { outcome: isNotSent ? 'refused' : 'unknown', reason };
     }
   };
 
@@ -104,7 +104,7 @@
       try {
         const reply = await send('hold', workerId, body, request.waitMs + TIMEOUT_MS);
         if (reply.status !== OK) return { outcome: 'refused', reason: reasonOf(reply) };
-        const view = workerWire.decodeView(reply.body);
+        const view = workerWire.decodeReport(reply.body);
         if (view === undefined) return { outcome: 'unknown', reason: 'the list can not be read' };
         return { outcome: 'view', view };
       } catch (thrown) {
--- a/src/platform/workerWire.ts
+++ b/src/platform/workerWire.ts
@@ -136,7 +136,7 @@
  * @returns the report, or undefined if any part of it can't be decoded: with a partial report, the
  *   missing runs would count as gone
  */
-export const decodeView = (body: Uint8Array): poolWorker.WorkerView | undefined => {
+export const decodeReport = (body: Uint8Array): poolWorker.WorkerReport | undefined => {
   const decoded = schemaIssues.decode(ViewBody, parseJson(body), schemaIssues.Excess.ignore);
   if (!decoded.isValid) return undefined;
   const { value } = decoded;
--- a/src/programs/agent.ts
+++ b/src/programs/agent.ts
@@ -217,13 +217,13 @@
   return {
     peersUrl,
     shutdown: async () => {
-      kit.log('info', 'draining', { open: host.openRequests() });
+      kit.log('info', 'draining', { open: host.openRequestCount() });
       isLeaving = true;
-      host.leave();
+      host.startDraining();
       await links.registerNow();
       // An entry whose connection broke asks again over another one: the run must end first.
       const untilMs = kit.clock.monotonicMs() + settings.drainMs;
-      while (host.openRequests() > 0 && kit.clock.monotonicMs() < untilMs) {
+      while (host.openRequestCount() > 0 && kit.clock.monotonicMs() < untilMs) {
         await clock.sleep(kit.clock, DRAIN_POLL_MS);
       }
       await server.drain(Math.max(LAST_ANSWERS_MS, untilMs - kit.clock.monotonicMs()));
--- a/src/programs/cellClaims.ts
+++ b/src/programs/cellClaims.ts
@@ -4,7 +4,7 @@
  */
 import type * as disposable from '../base/common/disposable.js';
 import * as errors from '../base/common/errors.js';
-import * as liveView from '../coordination/common/liveView.js';
+import * as liveEntries from '../coordination/common/liveEntries.js';
 import * as cellLeader from '../coordination/node/cellLeader.js';
 import * as jobStore from '../coordination/node/jobStore.js';
 import * as leadership from '../coordination/node/leadership.js';
@@ -71,7 +71,7 @@
     await claim.leadership.lease.dispose();
   };
   const discoverAgents = async (cell: string): Promise<readonly string[]> => {
-    const entries = liveView.processesOf(live.entries(), 'entry');
+    const entries = liveEntries.processesOf(live.entries(), 'entry');
     const found = await Promise.all(
       entries.map(async (it) => {
         try {
@@ -107,13 +107,13 @@
       },
       discoverAgents: () => discoverAgents(cell),
       ...(options.onDidChangeJob === undefined ? {} : { onDidChangeJob: options.onDidChangeJob }),
-      onDeposed: () => {
+      onLeadershipLost: () => {
         void drop(cell, 'another leader took it');
       },
     });
   };
   const claim = async (cell: string): Promise<void> => {
-    const won = await leadership.tryLead({
+    const won = await leadership.tryAcquireLeadership({
       store: options.store,
       clock: kit.clock,
       cell,
@@ -139,7 +139,7 @@
   const patienceMs = (cell: string): number =>
     (cell === settings.zone ? 0 : FOREIGN_PATIENCE_MS) + claims.size * LOAD_PATIENCE_MS;
   const isDue = (cell: string): boolean => {
-    if (claims.has(cell) || liveView.isLed(live.entries(), cell)) {
+    if (claims.has(cell) || liveEntries.isLed(live.entries(), cell)) {
       unledSinceMs.delete(cell);
       return false;
     }
--- a/src/programs/configurationGateway.ts
+++ b/src/programs/configurationGateway.ts
@@ -81,7 +81,7 @@
   ): Promise<readonly configurationDifference.ChangeEffect[]> => {
     const { jobs, unansweredCells } = await views.jobs();
     const before = kit.configuration.current()?.document;
-    return configurationDifference.effectsOf(before, document, jobs, unansweredCells);
+    return configurationDifference.findEffects(before, document, jobs, unansweredCells);
   };
   const stragglersOf = async (version: number) => {
     const processes = await views.versions();
--- a/src/programs/entry.ts
+++ b/src/programs/entry.ts
@@ -5,7 +5,7 @@
 import * as errors from '../base/common/errors.js';
 import * as http from '../base/common/http.js';
 import * as agentDirectory from '../coordination/common/agentDirectory.js';
-import * as liveView from '../coordination/common/liveView.js';
+import * as liveEntries from '../coordination/common/liveEntries.js';
 import type * as liveWatch from '../coordination/node/liveWatch.js';
 import * as processPresence from '../coordination/node/processPresence.js';
 import * as requestClaims from '../coordination/node/requestClaims.js';
@@ -69,8 +69,8 @@
       },
       kit.clock.monotonicMs(),
     );
-    const leader = liveView.leaderOf(live.entries(), request.zone);
-    const entries = liveView.processesOf(live.entries(), 'entry');
+    const leader = liveEntries.leaderOf(live.entries(), request.zone);
+    const entries = liveEntries.processesOf(live.entries(), 'entry');
     return Promise.resolve({
       from: kit.sender(),
       entryUrls: entries.filter((it) => it.region === region).map((it) => it.url),
@@ -112,7 +112,7 @@
     kit,
     region: settings.region,
     directory,
-    entries: () => liveView.processesOf(live.entries(), 'entry'),
+    entries: () => liveEntries.processesOf(live.entries(), 'entry'),
   });
   let hasTakenOver = false;
   kit.owned.add(
@@ -126,7 +126,7 @@
     entryPresence.createPresenceHolder({
       clock: kit.clock,
       version: kit.configuration.version,
-      onDidHear: ({ agentUrl, configVersion }) => directory.noteVersion(agentUrl, configVersion),
+      onDidHear: ({ agentUrl, configVersion }) => directory.recordVersion(agentUrl, configVersion),
     }),
   );
   kit.owned.add(kit.configuration.onDidChange(presence.release));
@@ -142,7 +142,7 @@
     sender: kit.sender,
     policy: () => kit.configuration.current()?.document.routing,
     peerSecretHeaders: kit.peerHeaders,
-    onHomeSaturated: learner.learnRemote,
+    onRegionSaturated: learner.learnRemote,
     claims: requestClaims.createRequestClaims(store, kit.clock),
   });
   const health: healthApi.HealthOptions = {
--- a/src/programs/entryGateways.ts
+++ b/src/programs/entryGateways.ts
@@ -5,7 +5,7 @@
 import * as schemaIssues from '../base/common/schemaIssues.js';
 import type * as agentDirectory from '../coordination/common/agentDirectory.js';
 import * as jobAdmission from '../coordination/common/jobAdmission.js';
-import * as liveView from '../coordination/common/liveView.js';
+import * as liveEntries from '../coordination/common/liveEntries.js';
 import type * as configurationSync from '../coordination/node/configurationSync.js';
 import type * as liveWatch from '../coordination/node/liveWatch.js';
 import type * as configuration from '../state/common/configuration.js';
@@ -54,7 +54,7 @@
     if (!document().cells.some((it) => it.cell === cell)) {
       throw errors.fail('notFound', `no cell ${cell}; nothing ran`, { field: 'cell' });
     }
-    const record = liveView.leaderOf(live.entries(), cell);
+    const record = liveEntries.leaderOf(live.entries(), cell);
     if (record !== undefined) return kit.clients.scheduler(record.url);
     throw errors.fail('notLeader', `cell ${cell} has no leader now; nothing ran`, {
       retryAfterMs: RETRY_MS,
@@ -98,8 +98,8 @@
     cells: () =>
       Promise.resolve(
         document().cells.map(({ cell, region }) => {
-          const record = liveView.leaderOf(live.entries(), cell);
-          const isLed = liveView.isLed(live.entries(), cell);
+          const record = liveEntries.leaderOf(live.entries(), cell);
+          const isLed = liveEntries.isLed(live.entries(), cell);
           const { leaderId = '', epoch = 0 } = record ?? {};
           return { cell, region, leaderId, epoch, isLed };
         }),
--- a/src/programs/operatorExtras.ts
+++ b/src/programs/operatorExtras.ts
@@ -6,7 +6,7 @@
 import * as schemaIssues from '../base/common/schemaIssues.js';
 import * as serviceLevelReport from '../coordination/common/serviceLevelReport.js';
 import * as jobArchive from '../coordination/node/jobArchive.js';
-import * as serviceLevelKeeper from '../coordination/node/serviceLevelKeeper.js';
+import * as serviceLevelRecorder from '../coordination/node/serviceLevelRecorder.js';
 import * as ledgerEntry from '../state/common/ledgerEntry.js';
 import type * as store from '../state/common/store.js';
 import * as storeKeys from '../state/common/storeKeys.js';
@@ -36,7 +36,7 @@
   kit: processKit.ProcessKit,
   target: store.Store,
 ): (() => Promise<serviceLevelReport.ServiceLevelReport>) => {
-  const readLevels = serviceLevelKeeper.createServiceLevelReader(target);
+  const readLevels = serviceLevelRecorder.createServiceLevelReader(target);
   return async () => {
     const record = kit.configuration.current();
     if (record === undefined) {
@@ -60,7 +60,7 @@
 ): readonly operatorRoutes.Route[] => [
   ...operatorJobsApi.createJobRoutes({
     jobs,
-    archived: (cell, jobId) => jobArchive.findArchived(target, cell, jobId, kit.clock.wallMs()),
+    archived: (cell, jobId) => jobArchive.findArchivedJob(target, cell, jobId, kit.clock.wallMs()),
   }),
   ...operatorLedgerApi.createLedgerRoutes({
     ledgerDays: (cell) => readDays(target, cell),
--- a/src/programs/operatorViews.ts
+++ b/src/programs/operatorViews.ts
@@ -2,7 +2,7 @@
  * What an entry gathers from the other processes for operators: versions, upstreams, jobs.
  */
 import type * as agentDirectory from '../coordination/common/agentDirectory.js';
-import * as liveView from '../coordination/common/liveView.js';
+import * as liveEntries from '../coordination/common/liveEntries.js';
 import type * as liveWatch from '../coordination/node/liveWatch.js';
 import type * as operatorMessages from '../protocol/common/operatorMessages.js';
 import type * as job from '../state/common/job.js';
@@ -22,7 +22,7 @@
 
 /** Gathered views. */
 export interface OperatorViews {
-  readonly agents: () => Promise<readonly operatorMessages.AgentView[]>;
+  readonly agents: () => Promise<readonly operatorMessages.AgentStatus[]>;
   readonly versions: () => Promise<readonly operatorGateway.ProcessVersion[]>;
   readonly jobs: () => Promise<operatorGateway.JobList>;
 }
@@ -33,7 +33,7 @@
  */
 export const agentViews = (
   directory: agentDirectory.AgentDirectory,
-): operatorMessages.AgentView[] =>
+): operatorMessages.AgentStatus[] =>
   directory.entries().map((it) => ({
     agentId: it.agentId,
     url: it.url,
@@ -49,8 +49,8 @@
  * @returns one line of the list of upstreams
  */
 export const toUpstreamSummary = (
-  agent: operatorMessages.AgentView,
-  upstream: NonNullable<operatorMessages.AgentView['upstream']>,
+  agent: operatorMessages.AgentStatus,
+  upstream: NonNullable<operatorMessages.AgentStatus['upstream']>,
 ): operatorGateway.UpstreamSummary => {
   const { upstreamId, slots, running, queued, serviceMs, isLeaving } = upstream;
   const { agentId, zone, region } = agent;
@@ -66,8 +66,8 @@
  */
 export const createOperatorViews = (options: OperatorViewOptions): OperatorViews => {
   const { kit, live } = options;
-  const agents = async (): Promise<readonly operatorMessages.AgentView[]> => {
-    const entries = liveView.processesOf(live.entries(), 'entry');
+  const agents = async (): Promise<readonly operatorMessages.AgentStatus[]> => {
+    const entries = liveEntries.processesOf(live.entries(), 'entry');
     const own = agentViews(options.directory);
     const others = await Promise.all(
       entries
@@ -82,7 +82,7 @@
           ),
         ),
     );
-    const newest = new Map<string, operatorMessages.AgentView>();
+    const newest = new Map<string, operatorMessages.AgentStatus>();
     for (const it of [...own, ...others.flat()]) {
       const known = newest.get(it.agentId);
       if (known === undefined || known.configVersion <= it.configVersion) {
@@ -93,7 +93,7 @@
   };
   const versions = async (): Promise<readonly operatorGateway.ProcessVersion[]> => {
     const processes = (['entry', 'scheduler'] as const).flatMap((role) =>
-      liveView.processesOf(live.entries(), role),
+      liveEntries.processesOf(live.entries(), role),
     );
     const asked = processes.map(async ({ processId, role, zone, url }) => {
       const reply = await orElse(kit.clients.entry(url).version({ from: kit.sender() }), undefined);
--- a/src/programs/poolEntry.ts
+++ b/src/programs/poolEntry.ts
@@ -4,7 +4,7 @@
  */
 import * as poolConfigurationFeed from '../coordination/node/pool/configurationFeed.js';
 import * as configurationShare from '../coordination/node/pool/configurationShare.js';
-import * as jobDesk from '../coordination/node/pool/jobDesk.js';
+import * as jobRequestHandler from '../coordination/node/pool/jobRequestHandler.js';
 import * as pendingCounts from '../coordination/node/pool/pendingCounts.js';
 import * as clock from '../base/common/clock.js';
 import * as errors from '../base/common/errors.js';
@@ -71,7 +71,7 @@
       return answer.pendingByQueue;
     },
   });
-  const desk = jobDesk.createJobDesk({
+  const desk = jobRequestHandler.createJobRequestHandler({
     store: kit.store,
     clock: kit.clock,
     log: kit.log,
@@ -79,13 +79,13 @@
     feed,
     configurationKey: operatorConfiguration.CONFIGURATION_KEY,
     storeAgeMs: kit.storeAgeMs,
-    revokeMs: settings.revokeMs,
+    revokeMs: settings.maxRevocationMs,
   });
   const api = jobApi.createJobApi({
-    desk,
+    jobs: desk,
     pending: counts.ofQueue,
     maxBodyBytes: () => feed.current()?.configuration.maxBodyBytes ?? MAX_BODY_BYTES,
-    sendsAway: () => notReadyReason() !== undefined,
+    shouldCloseConnections: () => notReadyReason() !== undefined,
     onDidStore: schedulerNews.createSchedulerNews(kit),
     newRequestId: () => kit.newId().slice(0, 8),
     nowMs: kit.clock.monotonicMs,
--- a/src/programs/poolKit.ts
+++ b/src/programs/poolKit.ts
@@ -17,7 +17,7 @@
 import * as leasedRecord from '../coordination/node/pool/leasedRecord.js';
 import * as peerDirectory from '../coordination/node/pool/peerDirectory.js';
 import * as storeRelay from '../coordination/node/pool/storeRelay.js';
-import * as viewAge from '../coordination/node/pool/viewAge.js';
+import * as snapshotAge from '../coordination/node/pool/snapshotAge.js';
 import type * as bootSettings from '../platform/bootSettings.js';
 import * as platformStore from '../platform/platformStore.js';
 import type * as envelope from '../protocol/common/envelope.js';
@@ -113,7 +113,7 @@
     rpcClient.createRpcClients({
       call: client.call,
       timeoutMs,
-      transfer: platformStore.TRANSFER,
+      transfer: platformStore.TRANSFER_LIMITS,
       peerSecret: PEER_SECRET,
     });
   const sender = (): envelope.Sender => ({
@@ -121,7 +121,7 @@
     role,
     configVersion: 0,
   });
-  const contact = viewAge.createViewAge(systemClock.systemClock);
+  const contact = snapshotAge.createSnapshotAge(systemClock.systemClock);
   const relay = storeRelay.createStoreRelay({
     clock: systemClock.systemClock,
     log: logger,
@@ -138,7 +138,7 @@
     clock: systemClock.systemClock,
     timeoutMs: STORE_TIMEOUT_MS[role],
     totalMs: STORE_TIMEOUT_MS[role] * WAYS,
-    onDidHear: () => contact.prove(contact.now()),
+    onDidReceive: () => contact.confirm(contact.now()),
   });
   const directory =
     role === 'agent'
@@ -179,7 +179,7 @@
  * @returns the leased record by which they find it, kept until it is disposed
  */
 export const keepPresence = (kit: PoolKit, key: string, url: string): disposable.Disposable =>
-  leasedRecord.keepLeasedRecord({
+  leasedRecord.maintainLeasedRecord({
     store: kit.store,
     clock: kit.clock,
     log: kit.log,
--- a/src/programs/poolScheduler.ts
+++ b/src/programs/poolScheduler.ts
@@ -35,7 +35,7 @@
  */
 const LEADER_LEASE_MS = 1500;
 
-const createLink = (kit: poolKit.PoolKit): agentContract.AgentLink => {
+const createLink = (kit: poolKit.PoolKit): agentContract.AgentApi => {
   const clientsWith = (timeoutMs: number): rpcClient.RpcClients =>
     rpcClient.createRpcClients({ call: kit.call, timeoutMs, peerSecret: poolKit.PEER_SECRET });
   const syncClients = clientsWith(SYNC_TIMEOUT_MS);
@@ -61,11 +61,11 @@
   const clients = rpcClient.createRpcClients({
     call: kit.call,
     timeoutMs: CONFIGURATION_TIMEOUT_MS,
-    transfer: platformStore.TRANSFER,
+    transfer: platformStore.TRANSFER_LIMITS,
     peerSecret: poolKit.PEER_SECRET,
   });
   const entry = clients.poolEntry(http.formatAddress(ownEntry));
-  return configurationShare.createSharedStore({
+  return configurationShare.createSharedConfigurationStore({
     ask: (afterRevision, waitMs) =>
       entry.configuration({ from: kit.sender(), afterRevision, waitMs }),
     store: kit.store,
@@ -108,7 +108,7 @@
       return Promise.resolve({ from: kit.sender(), pendingByQueue });
     },
     jobChanged: ({ jobId, part }) => {
-      void leader?.noteStored(jobId, part);
+      void leader?.handleStoredRecord(jobId, part);
       return Promise.resolve({ from: kit.sender() });
     },
   });
@@ -138,8 +138,8 @@
           doneRuns: seenDone,
           limits: {
             maxLeaseMs: settings.maxLeaseMs,
-            statusMs: settings.statusMs,
-            farFactor: settings.farFactor,
+            statusMs: settings.statusRetentionMs,
+            remoteFactor: settings.remoteFactor,
           },
           configuration: () => feed.current()?.configuration,
           askAdvice: adviceClient.createAdviceClient({
--- a/src/programs/relayRpc.ts
+++ b/src/programs/relayRpc.ts
@@ -117,7 +117,7 @@
       headers,
       body,
       timeoutMs,
-      transfer: platformStore.TRANSFER,
+      transfer: platformStore.TRANSFER_LIMITS,
       unreadStatuses,
       onArrival: (status, piece) => {
         if (!isBegun) begin(status);
--- a/src/programs/runPoolMain.ts
+++ b/src/programs/runPoolMain.ts
@@ -18,7 +18,7 @@
   role: bootSettings.PoolProgram,
   start: (kit: poolKit.PoolKit) => Promise<poolKit.PoolProgram>,
 ): Promise<void> => {
-  const path = bootSettings.bootPath();
+  const path = bootSettings.bootSettingsPath();
   let settings = bootSettings.readBootSettings(path, role);
   const kit = poolKit.createPoolKit(role, () => settings);
   const stopped = signalled();
--- a/src/programs/serviceLevels.ts
+++ b/src/programs/serviceLevels.ts
@@ -4,7 +4,7 @@
  */
 import * as errors from '../base/common/errors.js';
 import * as serviceLevelCounters from '../coordination/common/serviceLevelCounters.js';
-import * as serviceLevelKeeper from '../coordination/node/serviceLevelKeeper.js';
+import * as serviceLevelRecorder from '../coordination/node/serviceLevelRecorder.js';
 import type * as configuration from '../state/common/configuration.js';
 import type * as job from '../state/common/job.js';
 import type * as store from '../state/common/store.js';
@@ -32,7 +32,7 @@
   target: store.Store,
 ): ServiceLevels => {
   const keeper = kit.owned.add(
-    serviceLevelKeeper.createServiceLevelKeeper({
+    serviceLevelRecorder.createServiceLevelRecorder({
       writerId: `${kit.sender().processId}.${kit.newId()}`,
       store: target,
       clock: kit.clock,
@@ -44,11 +44,11 @@
   return {
     observeCalls: (handler) =>
       callObserver.observeCalls(handler, kit.clock, (end) => {
-        keeper.note(serviceLevelCounters.judgeRequest(objectives(), end));
+        keeper.note(serviceLevelCounters.evaluateRequest(objectives(), end));
       }),
     noteJob: (before, after) => {
       const nowMs = kit.clock.wallMs();
-      keeper.note(serviceLevelCounters.judgeStart(objectives(), before, after, nowMs));
+      keeper.note(serviceLevelCounters.evaluateStart(objectives(), before, after, nowMs));
     },
     flush: async () => {
       try {
--- a/src/programs/test/entryPresence.test.ts
+++ b/src/programs/test/entryPresence.test.ts
@@ -176,7 +176,7 @@
   register('half', 4, false);
   register('leaving', 0, true);
   register('silent', 0, false);
-  directory.noteSilence('http://silent:1', 60);
+  directory.recordNoResponse('http://silent:1', 60);
   const told = entryDirectory.describeAgents(directory, 'r', 2, 60);
   assert.deepEqual(
     told.map((it) => [it.agentId, it.clockMs]),
--- a/src/programs/test/poolPrograms.test.ts
+++ b/src/programs/test/poolPrograms.test.ts
@@ -38,7 +38,7 @@
       method,
       path: target,
       agent: false,
-      headers: bootFile.KEY_HEADERS,
+      headers: bootFile.API_KEY_HEADERS,
     });
     request.on('error', reject);
     request.on('response', (response) => {
@@ -75,7 +75,7 @@
   const store = memoryStore.createMemoryStore(systemClock.systemClock);
   await store.transact({ conditions: [], puts: [bootFile.CONFIGURATION], removes: [] });
   const served = await storeServer.serveStore(store);
-  const storeAddress = storeServer.addressText(served);
+  const storeAddress = storeServer.formatServerAddress(served);
   const worker = memoryPoolWorker.createMemoryPoolWorker(
     {
       clock: systemClock.systemClock,
@@ -111,7 +111,7 @@
     peerPort: takePort(),
     storeAddress,
     control,
-    workerAddress: storeServer.addressText(workerSide.server),
+    workerAddress: storeServer.formatServerAddress(workerSide.server),
   });
   start('poolAgent', agentEnv);
   const entryEnv = bootFile.writeBootFile(folder, {
--- a/src/protocol/common/entrySchedulerMessages.ts
+++ b/src/protocol/common/entrySchedulerMessages.ts
@@ -56,14 +56,14 @@
 export type CellRequest = typeof CellRequest.Type;
 
 /** Status of one worker of a cell, as known to its leader. */
-export const WorkerView = Schema.Struct({
+export const WorkerStatus = Schema.Struct({
   worker: worker.WorkerInfo,
   health: Schema.Literals(['ready', 'unreachable', 'quarantined', 'leaving']),
   healthReason: units.ShortText,
 });
 
-/** See {@link WorkerView}. */
-export type WorkerView = typeof WorkerView.Type;
+/** See {@link WorkerStatus}. */
+export type WorkerStatus = typeof WorkerStatus.Type;
 
 /** State of a cell. */
 export const CellReply = Schema.Struct({
@@ -71,7 +71,7 @@
   cell: units.Id,
   epoch: units.Count,
   leaderId: units.Id,
-  workers: Schema.Array(WorkerView),
+  workers: Schema.Array(WorkerStatus),
   jobs: Schema.Array(job.JobRecord),
   /** Current problems with the cell's guarantees, for operators. */
   warnings: Schema.Array(units.ShortText),
--- a/src/protocol/common/operatorMessages.ts
+++ b/src/protocol/common/operatorMessages.ts
@@ -26,7 +26,7 @@
 export type VersionReply = typeof VersionReply.Type;
 
 /** Status of one agent, as known to an entry of its region. */
-export const AgentView = Schema.Struct({
+export const AgentStatus = Schema.Struct({
   agentId: units.Id,
   url: units.Url,
   zone: units.Id,
@@ -35,13 +35,13 @@
   upstream: Schema.optionalKey(agentEntryMessages.UpstreamState),
 });
 
-/** See {@link AgentView}. */
-export type AgentView = typeof AgentView.Type;
+/** See {@link AgentStatus}. */
+export type AgentStatus = typeof AgentStatus.Type;
 
 /** The agents known to the entry. */
 export const OverviewReply = Schema.Struct({
   from: envelope.Sender,
-  agents: Schema.Array(AgentView),
+  agents: Schema.Array(AgentStatus),
 });
 
 /** See {@link OverviewReply}. */
--- a/src/protocol/common/poolMessages.ts
+++ b/src/protocol/common/poolMessages.ts
@@ -19,7 +19,7 @@
 /** The agent's updates on its worker. */
 export interface SyncAnswer {
   readonly from: envelope.Sender;
-  readonly news: agentContract.WorkerNews;
+  readonly news: agentContract.WorkerUpdate;
 }
 
 /** Orders of the leader to an agent. */
--- a/src/protocol/node/requestHost.ts
+++ b/src/protocol/node/requestHost.ts
@@ -39,13 +39,13 @@
   readonly upstream: () => upstreamContract.Announcement | undefined;
   readonly load: () => HostLoad;
   /** Rejects all new requests from now on. */
-  readonly leave: () => void;
+  readonly startDraining: () => void;
   readonly exchange: (
     request: exchange.ExchangeRequest,
     body: Uint8Array,
   ) => Promise<requestRecord.Outcome>;
   /** Number of running and queued requests. */
-  readonly openRequests: () => number;
+  readonly openRequestCount: () => number;
   readonly bootId: string;
   /** Monotonic clock of this boot. */
   readonly clockMs: () => number;
@@ -239,12 +239,12 @@
       serviceMs: load.serviceMs,
       isLeaving: isLeaving || (lastAnnouncement?.isLeaving ?? false),
     }),
-    leave: () => {
+    startDraining: () => {
       isLeaving = true;
     },
     exchange: handleExchange,
     bootId: options.bootId,
     clockMs: () => Math.floor(nowMs()),
-    openRequests: () => load.running.length + load.queue.length,
+    openRequestCount: () => load.running.length + load.queue.length,
   };
 };
--- a/src/protocol/node/requestRouter.ts
+++ b/src/protocol/node/requestRouter.ts
@@ -50,14 +50,14 @@
   readonly peerSecretHeaders: Readonly<Record<string, string>>;
   readonly claims?: requestClaims.RequestClaims;
   /** Called when the own region is so loaded that agents of other regions should be discovered. */
-  readonly onHomeSaturated?: () => void;
+  readonly onRegionSaturated?: () => void;
 }
 
 /** Routes requests to upstreams. */
 export interface RequestRouter {
   /** @throws AuburnliftError of a kind that says whether the request ran */
   readonly route: (request: CallerRequest) => Promise<exchange.Answer>;
-  readonly openRequests: () => number;
+  readonly openRequestCount: () => number;
 }
 
 /** Initial credit for retries, and for requests to other regions. */
@@ -162,7 +162,7 @@
   const readReply = (attempt: Attempt, reply: http.HttpReply): attemptSteps.ExchangeResult => {
     const header = parseReply(reply);
     if (header === undefined) return noReply('the reply has no valid envelope');
-    directory.noteAnswer(attempt.agent.agentUrl, header, nowMs());
+    directory.recordAnswer(attempt.agent.agentUrl, header, nowMs());
     const isOwn =
       header.requestId === attempt.request.requestId && header.attemptId === attempt.attemptId;
     return isOwn ? toResult(header, reply.body) : noReply('the reply belongs to another attempt');
@@ -193,7 +193,7 @@
       const wasNotSent =
         thrown instanceof http.HttpCallError && thrown.failure === http.HttpFailure.notSent;
       if (!wasNotSent) return noReply(message);
-      directory.noteSilence(attempt.agent.agentUrl, nowMs());
+      directory.recordNoResponse(attempt.agent.agentUrl, nowMs());
       return { type: 'notSent', error: errors.fail('noUpstream', message) };
     }
   };
@@ -202,7 +202,7 @@
     counters.count('auburnlift_settles_total');
     const leftMs = Math.max(1, attempt.deadlineAtMs - nowMs());
     const result = await send(attempt, exchange.ExchangeMode.settle, leftMs, leftMs);
-    if (result.type === 'noWord') directory.noteSilence(attempt.agent.agentUrl, nowMs());
+    if (result.type === 'noWord') directory.recordNoResponse(attempt.agent.agentUrl, nowMs());
     return attemptSteps.afterSettle(result, attempt.request.isIdempotent);
   };
   const recordHealth = (
@@ -212,10 +212,10 @@
   ): void => {
     const url = attempt.agent.agentUrl;
     const isAnswer = step.type === 'answer';
-    if (isAnswer && step.answer.status < SERVER_ERROR_STATUS) directory.noteSuccess(url, nowMs());
+    if (isAnswer && step.answer.status < SERVER_ERROR_STATUS) directory.recordSuccess(url, nowMs());
     const hasFailed =
       step.type === 'fail' || (isAnswer && step.answer.status >= SERVER_ERROR_STATUS);
-    if (hasFailed) directory.noteFailure(url, nowMs(), policy.ejectionCapShare);
+    if (hasFailed) directory.recordFailure(url, nowMs(), policy.ejectionCapShare);
   };
   const runAttempt = async (
     attempt: Attempt,
@@ -254,7 +254,7 @@
     );
     const isRegionSaturated =
       chosen === undefined || routing.expectedWaitMs(chosen) > policy.crossRegionPriceMs;
-    if (isRegionSaturated) options.onHomeSaturated?.();
+    if (isRegionSaturated) options.onRegionSaturated?.();
     if (chosen !== undefined && chosen.region !== region) crossRegionBudget.take();
     return chosen;
   };
@@ -342,7 +342,7 @@
     }
   };
   return {
-    openRequests: () => openCount,
+    openRequestCount: () => openCount,
     route: async (request) => {
       const policy = options.policy();
       if (policy === undefined) {
--- a/src/protocol/node/test/claimedKeys.test.ts
+++ b/src/protocol/node/test/claimedKeys.test.ts
@@ -6,11 +6,11 @@
 
 import * as fastCheck from 'fast-check';
 
-import * as faultyLine from './faultyLine.js';
+import * as faultyNetwork from './faultyNetwork.js';
 
 const ANSWER = 'body of r1';
 
-const FAULTS: readonly faultyLine.Fault[] = [
+const FAULTS: readonly faultyNetwork.Fault[] = [
   'sound',
   'silentBefore',
   'silentAfter',
@@ -25,12 +25,12 @@
     fastCheck.array(fastCheck.constantFrom(...FAULTS), { maxLength: 8 }),
     fastCheck.integer({ min: 0, max: 4000 }),
     async (faults, delayMs) => {
-      const harness = faultyLine.createHarness([...faults]);
-      const request = { ...faultyLine.requestOf('r1'), isClaimed };
+      const harness = faultyNetwork.createHarness([...faults]);
+      const request = { ...faultyNetwork.requestOf('r1'), isClaimed };
       const first = harness.router.route(request).catch(() => undefined);
       await harness.time.advance(delayMs);
       const second = harness.otherRouter.route(request).catch(() => undefined);
-      await harness.time.advance(faultyLine.DEADLINE_MS * 2);
+      await harness.time.advance(faultyNetwork.DEADLINE_MS * 2);
       const answers = [await first, await second].filter((it) => it !== undefined);
       assert.ok(harness.runs.length <= 1, `${harness.runs.length} runs`);
       assert.ok(answers.length === 0 || harness.runs.length === 1);
@@ -51,7 +51,7 @@
   assert.ok(found.failed);
 });
 
-const CLAIM_CASES: readonly [string, (harness: faultyLine.Harness) => void, string, number][] = [
+const CLAIM_CASES: readonly [string, (harness: faultyNetwork.Harness) => void, string, number][] = [
   ['the first answer again through another entry', () => {}, ANSWER, 1],
   [
     'an unknown outcome after the agents have restarted',
@@ -71,11 +71,11 @@
 
 for (const [name, beforeRepeat, outcome, runs] of CLAIM_CASES) {
   test.test(`a caller that repeats a claimed key gets ${name}`, async () => {
-    const harness = faultyLine.createHarness([]);
-    const request = { ...faultyLine.requestOf('r1'), isClaimed: true };
-    assert.equal((await faultyLine.send(harness, request)).outcome, ANSWER);
+    const harness = faultyNetwork.createHarness([]);
+    const request = { ...faultyNetwork.requestOf('r1'), isClaimed: true };
+    assert.equal((await faultyNetwork.send(harness, request)).outcome, ANSWER);
     beforeRepeat(harness);
-    const repeated = await faultyLine.send({ ...harness, router: harness.otherRouter }, request);
+    const repeated = await faultyNetwork.send({ ...harness, router: harness.otherRouter }, request);
     assert.deepEqual([repeated.outcome, harness.runs.length], [outcome, runs]);
   });
 }
--- a/src/protocol/node/test/requestFaults.test.ts
+++ b/src/protocol/node/test/requestFaults.test.ts
@@ -6,11 +6,11 @@
 
 import * as errors from '../../../base/common/errors.js';
 
-import * as faultyLine from './faultyLine.js';
+import * as faultyNetwork from './faultyNetwork.js';
 
 interface FaultCase {
   readonly name: string;
-  readonly faults: faultyLine.Fault[];
+  readonly faults: faultyNetwork.Fault[];
   readonly isIdempotent?: boolean;
   readonly isUpstreamLost?: boolean;
   readonly outcome: string;
@@ -63,12 +63,12 @@
 for (const it of CASES) {
   const kind = it.isIdempotent === true ? 'idempotent' : 'not idempotent';
   test.test(`${it.name}, ${kind}: ${it.outcome}, ${it.runs} runs`, async () => {
-    const harness = faultyLine.createHarness([...it.faults], it.isUpstreamLost);
-    const end = await faultyLine.send(harness, faultyLine.requestOf('r1', it.isIdempotent));
+    const harness = faultyNetwork.createHarness([...it.faults], it.isUpstreamLost);
+    const end = await faultyNetwork.send(harness, faultyNetwork.requestOf('r1', it.isIdempotent));
     assert.equal(end.outcome, it.outcome);
     assert.equal(harness.runs.length, it.runs);
     assert.ok(
-      end.tookMs <= faultyLine.DEADLINE_MS,
+      end.tookMs <= faultyNetwork.DEADLINE_MS,
       'the caller gets its result within the deadline',
     );
   });
@@ -77,43 +77,43 @@
 test.test('in a burst, excess requests are rejected immediately and never run', async () => {
   // Guards against rejected requests that ran anyway: of 60 concurrent requests some are answered,
   // the rest are rejected immediately with `overloaded`.
-  const harness = faultyLine.createHarness([]);
+  const harness = faultyNetwork.createHarness([]);
   const kinds: string[] = [];
   for (let index = 0; index < 60; index += 1) {
-    harness.router.route(faultyLine.requestOf(`r${index}`)).then(
+    harness.router.route(faultyNetwork.requestOf(`r${index}`)).then(
       () => kinds.push('answered'),
       (thrown: unknown) => kinds.push(errors.normalize(thrown).kind),
     );
   }
-  await harness.time.advance(faultyLine.SERVICE_MS);
+  await harness.time.advance(faultyNetwork.SERVICE_MS);
   const refusedAtOnce = kinds.filter((it) => it === 'overloaded').length;
-  await harness.time.advance(faultyLine.DEADLINE_MS);
+  await harness.time.advance(faultyNetwork.DEADLINE_MS);
   assert.ok(refusedAtOnce >= 40, String(refusedAtOnce));
   assert.equal(kinds.filter((it) => it === 'answered').length, harness.runs.length);
   assert.equal(new Set(harness.runs).size, harness.runs.length);
 });
 
 test.test("at most half of an upstream's connections are in use", async () => {
-  const harness = faultyLine.createHarness([]);
+  const harness = faultyNetwork.createHarness([]);
   const upstream = { upstreamId: 'u', url: 'http://u:1', slots: 8, connections: 4 };
   harness.hosts.forEach((it) => it.announce({ ...upstream, isLeaving: false }));
   const sent = Array.from({ length: 9 }, (_, index) =>
-    harness.router.route(faultyLine.requestOf(`r${index}`)).catch(errors.normalize),
+    harness.router.route(faultyNetwork.requestOf(`r${index}`)).catch(errors.normalize),
   );
-  await harness.time.advance(faultyLine.SERVICE_MS / 2);
+  await harness.time.advance(faultyNetwork.SERVICE_MS / 2);
   const running = [...harness.hosts.values()].map((it) => it.load().running);
   assert.deepEqual(running, [2, 2]);
-  await harness.time.advance(faultyLine.DEADLINE_MS);
+  await harness.time.advance(faultyNetwork.DEADLINE_MS);
   await Promise.all(sent);
 });
 
 test.test('a draining upstream finishes its running requests and gets no new ones', async () => {
-  const harness = faultyLine.createHarness([]);
-  const first = harness.router.route(faultyLine.requestOf('r1'));
+  const harness = faultyNetwork.createHarness([]);
+  const first = harness.router.route(faultyNetwork.requestOf('r1'));
   await harness.time.advance(1);
-  harness.hosts.forEach((host) => host.leave());
-  const second = harness.router.route(faultyLine.requestOf('r2')).catch(errors.normalize);
-  await harness.time.advance(faultyLine.DEADLINE_MS);
+  harness.hosts.forEach((host) => host.startDraining());
+  const second = harness.router.route(faultyNetwork.requestOf('r2')).catch(errors.normalize);
+  await harness.time.advance(faultyNetwork.DEADLINE_MS);
   assert.equal(Buffer.from((await first).body).toString('utf8'), ANSWER);
   assert.equal(((await second) as errors.AuburnliftError).kind, 'draining');
   assert.deepEqual(harness.runs, ['r1']);
@@ -122,12 +122,12 @@
 test.test(
   'a caller that repeats its key on the same agent gets the first answer again',
   async () => {
-    const harness = faultyLine.createHarness([]);
-    const [url] = faultyLine.URLS;
-    harness.hosts.get(faultyLine.URLS[1] ?? '')?.leave();
+    const harness = faultyNetwork.createHarness([]);
+    const [url] = faultyNetwork.URLS;
+    harness.hosts.get(faultyNetwork.URLS[1] ?? '')?.startDraining();
     const answers = [
-      await faultyLine.send(harness, faultyLine.requestOf('r1')),
-      await faultyLine.send(harness, faultyLine.requestOf('r1')),
+      await faultyNetwork.send(harness, faultyNetwork.requestOf('r1')),
+      await faultyNetwork.send(harness, faultyNetwork.requestOf('r1')),
     ];
     assert.deepEqual(
       answers.map((it) => it.outcome),
--- a/src/soak/test/longCalls.test.ts
+++ b/src/soak/test/longCalls.test.ts
@@ -68,7 +68,7 @@
     .createRpcClients({
       call: client.call,
       timeoutMs: RELAY_TIMEOUT_MS,
-      transfer: platformStore.TRANSFER,
+      transfer: platformStore.TRANSFER_LIMITS,
       peerSecret: '',
     })
     .poolEntry(`http://127.0.0.1:${peer.address.port}`);
--- a/src/soak/test/narrowLine.test.ts
+++ b/src/soak/test/narrowLine.test.ts
@@ -97,7 +97,7 @@
         address: { host: '127.0.0.1', port: firstPort },
         method,
         path: target,
-        headers: bootFile.KEY_HEADERS,
+        headers: bootFile.API_KEY_HEADERS,
         body: Buffer.from(body),
         timeoutMs: 3000,
       });
--- a/src/standins/memoryPoolWorker.ts
+++ b/src/standins/memoryPoolWorker.ts
@@ -40,7 +40,7 @@
 
 /** What tests see and do besides the contract. */
 export interface MemoryPoolWorker {
-  readonly link: agentContract.WorkerLink;
+  readonly link: agentContract.WorkerApi;
   readonly faults: PoolWorkerFaults;
   readonly runs: readonly RecordedRun[];
   readonly info: () => poolWorker.WorkerInfo;
@@ -251,8 +251,8 @@
 
   const view = async (
     workerId: string | undefined,
-    request: agentContract.ViewRequest,
-  ): Promise<agentContract.ViewAnswer> => {
+    request: agentContract.WorkerReportRequest,
+  ): Promise<agentContract.WorkerReportAnswer> => {
     if (faults.isSilent) return { outcome: 'unknown', reason: 'silence' };
     if (workerId !== undefined && workerId !== info.workerId) {
       return { outcome: 'refused', reason: '421' };
--- a/src/standins/test/cellKit.ts
+++ b/src/standins/test/cellKit.ts
@@ -9,7 +9,7 @@
 import * as metrics from '../../base/common/metrics.js';
 import * as configurationHolder from '../../coordination/common/configurationHolder.js';
 import * as agentRuntime from '../../coordination/node/agentRuntime.js';
-import type * as agentStatements from '../../coordination/node/agentStatements.js';
+import type * as agentReports from '../../coordination/node/agentReports.js';
 import * as cellLeader from '../../coordination/node/cellLeader.js';
 import * as jobStore from '../../coordination/node/jobStore.js';
 import * as leadership from '../../coordination/node/leadership.js';
@@ -222,7 +222,7 @@
       watch: reach(target.watch),
     };
   };
-  const fence = (name: string, epoch: number, agentUrl: string): agentStatements.AgentState => {
+  const fence = (name: string, epoch: number, agentUrl: string): agentReports.AgentState => {
     const { info, runtime } = agentAt(name, agentUrl);
     const tasks = runtime().fence(epoch);
     leadersOf.set(agentUrl, name);
@@ -244,7 +244,7 @@
       agents.flatMap((it) => it.worker.runs()).filter((it) => it.key.startsWith(`${jobId}/`)),
     lead: async (name) => {
       const reached = storeOf(name);
-      const won = await leadership.tryLead({
+      const won = await leadership.tryAcquireLeadership({
         store: reached,
         clock: time,
         cell: CELL,
@@ -274,7 +274,7 @@
           return { bootId, commandCount: runtime().commandCount(), results };
         },
         discoverAgents: async () => Promise.resolve(agents.map((it) => it.info.agentUrl)),
-        onDeposed: () => {
+        onLeadershipLost: () => {
           isDeposed = true;
         },
       });
--- a/src/standins/test/configurationShare.test.ts
+++ b/src/standins/test/configurationShare.test.ts
@@ -29,7 +29,7 @@
     clock: time,
     storeAgeMs: entry.ageMs,
   });
-  const shared = configurationShare.createSharedStore({
+  const shared = configurationShare.createSharedConfigurationStore({
     ask: (afterRevision, waitMs) => {
       counts.asks += 1;
       return isAnswering ? share(afterRevision, waitMs) : Promise.reject(new Error('silent'));
--- a/src/standins/test/jobDesk.test.ts
+++ b/src/standins/test/jobDesk.test.ts
@@ -10,7 +10,7 @@
 import * as metrics from '../../base/common/metrics.js';
 import * as fixtures from '../../coordination/common/pool/test/poolFixtures.js';
 import * as configurationFeed from '../../coordination/node/pool/configurationFeed.js';
-import * as jobDesk from '../../coordination/node/pool/jobDesk.js';
+import * as jobRequestHandler from '../../coordination/node/pool/jobRequestHandler.js';
 import type * as poolConfiguration from '../../state/common/pool/poolConfiguration.js';
 import * as poolKeys from '../../state/common/pool/poolKeys.js';
 import * as progressRecord from '../../state/common/pool/progressRecord.js';
@@ -44,7 +44,7 @@
   readonly clock: clock.FakeClock;
   readonly store: memoryStore.MemoryStore;
   readonly feed: configurationFeed.ConfigurationFeed;
-  readonly desk: jobDesk.JobDesk;
+  readonly desk: jobRequestHandler.JobRequestHandler;
   readonly configure: (text: string) => Promise<void>;
   /** The store is heard though it tells nothing new: a long answer is on its way. */
   readonly hear: () => void;
@@ -67,7 +67,7 @@
   });
   await time.advance(100);
   let heardAtMs = Number.NEGATIVE_INFINITY;
-  const desk = jobDesk.createJobDesk({
+  const desk = jobRequestHandler.createJobRequestHandler({
     store,
     clock: time,
     log: logging.silentLog,
@@ -83,7 +83,7 @@
   return { clock: time, store, feed, desk, configure, hear };
 };
 
-const call = (changes: Partial<jobDesk.Call> = {}): jobDesk.Call => ({
+const call = (changes: Partial<jobRequestHandler.Call> = {}): jobRequestHandler.Call => ({
   requestId: 'id',
   host: 'h',
   path: `/q/${ID}`,
@@ -92,7 +92,7 @@
   ...changes,
 });
 
-const DRAFT: jobDesk.JobDraft = {
+const DRAFT: jobRequestHandler.JobDraft = {
   payload: 'text',
   steps: [fixtures.makeStep()],
   schedule: undefined,
--- a/src/standins/test/jobDeskWait.test.ts
+++ b/src/standins/test/jobDeskWait.test.ts
@@ -9,7 +9,7 @@
 import * as logging from '../../base/common/logging.js';
 import * as metrics from '../../base/common/metrics.js';
 import * as fixtures from '../../coordination/common/pool/test/poolFixtures.js';
-import * as jobDesk from '../../coordination/node/pool/jobDesk.js';
+import * as jobRequestHandler from '../../coordination/node/pool/jobRequestHandler.js';
 import * as poolKeys from '../../state/common/pool/poolKeys.js';
 import type * as recordStore from '../../state/common/pool/recordStore.js';
 import * as memoryStore from '../memoryStore.js';
@@ -25,7 +25,7 @@
   ['a store that answers nothing', 5000, 5000],
 ];
 
-const CALL: jobDesk.Call = {
+const CALL: jobRequestHandler.Call = {
   requestId: 'id',
   host: 'h',
   path: `/q/${ID}`,
@@ -53,7 +53,11 @@
   };
 };
 
-const createDesk = (time: clock.Clock, readMs: number, writeMs: number): jobDesk.JobDesk => {
+const createDesk = (
+  time: clock.Clock,
+  readMs: number,
+  writeMs: number,
+): jobRequestHandler.JobRequestHandler => {
   const queue = {
     policy: fixtures.makeJob([{}]).policy,
     host: 'h',
@@ -68,7 +72,7 @@
     customers: [],
     maxBodyBytes: 1,
   };
-  return jobDesk.createJobDesk({
+  return jobRequestHandler.createJobRequestHandler({
     store: slowStore(time, readMs, writeMs),
     clock: time,
     log: logging.silentLog,
@@ -88,14 +92,16 @@
 };
 
 const DEEDS = {
-  submit: (desk: jobDesk.JobDesk, admitted: jobDesk.AdmittedCall) =>
+  submit: (desk: jobRequestHandler.JobRequestHandler, admitted: jobRequestHandler.AdmittedCall) =>
     desk.submit(CALL, admitted, {
       payload: 'text',
       steps: [fixtures.makeStep()],
       schedule: undefined,
     }),
-  cancel: (desk: jobDesk.JobDesk, admitted: jobDesk.AdmittedCall) => desk.cancel(CALL, admitted),
-  state: (desk: jobDesk.JobDesk, admitted: jobDesk.AdmittedCall) => desk.state(CALL, admitted),
+  cancel: (desk: jobRequestHandler.JobRequestHandler, admitted: jobRequestHandler.AdmittedCall) =>
+    desk.cancel(CALL, admitted),
+  state: (desk: jobRequestHandler.JobRequestHandler, admitted: jobRequestHandler.AdmittedCall) =>
+    desk.state(CALL, admitted),
 } as const;
 
 // Guards against a caller that is held for the sum of several calls of the store.
--- a/src/standins/test/keptRecords.test.ts
+++ b/src/standins/test/keptRecords.test.ts
@@ -9,7 +9,7 @@
 import * as metrics from '../../base/common/metrics.js';
 import * as ledgerFixtures from '../../coordination/common/test/ledgerFixtures.js';
 import * as jobArchive from '../../coordination/node/jobArchive.js';
-import * as serviceLevelKeeper from '../../coordination/node/serviceLevelKeeper.js';
+import * as serviceLevelRecorder from '../../coordination/node/serviceLevelRecorder.js';
 import type * as job from '../../state/common/job.js';
 import * as storeKeys from '../../state/common/storeKeys.js';
 import * as memoryStore from '../memoryStore.js';
@@ -35,7 +35,7 @@
         metrics: counted,
       }),
     levels: (writerId: string) =>
-      serviceLevelKeeper.createServiceLevelKeeper({
+      serviceLevelRecorder.createServiceLevelRecorder({
         writerId,
         store,
         clock: time,
@@ -54,7 +54,7 @@
   const archive = bench.archive();
   archive.add(endedJob('a', START_MS));
   await bench.time.advance(60_000);
-  const found = (atMs: number) => jobArchive.findArchived(bench.store, 'zone-a', 'a', atMs);
+  const found = (atMs: number) => jobArchive.findArchivedJob(bench.store, 'zone-a', 'a', atMs);
   assert.equal((await found(START_MS))?.state, 'done');
   assert.equal((await found(START_MS + 30 * DAY_MS))?.state, 'done');
   assert.equal(await found(START_MS + 31 * DAY_MS), undefined);
@@ -75,7 +75,7 @@
   await first.flush();
   const second = bench.archive();
   const long = endedJob('long-ago', START_MS - 2 * DAY_MS);
-  second.addLately([endedJob('a', START_MS), endedJob('b', START_MS), long]);
+  second.addRecent([endedJob('a', START_MS), endedJob('b', START_MS), long]);
   await second.flush();
   const { entries } = await bench.store.list('cells/zone-a/job-archive/');
   const jobs = entries.flatMap((it) => (JSON.parse(it.value) as { jobs: job.JobRecord[] }).jobs);
@@ -122,7 +122,7 @@
 const GOOD = [{ objectiveId: 'fast', isGood: true }];
 
 const goodOf = async (store: memoryStore.MemoryStore, nowMs: number): Promise<number> => {
-  const hours = await serviceLevelKeeper.createServiceLevelReader(store)(nowMs);
+  const hours = await serviceLevelRecorder.createServiceLevelReader(store)(nowMs);
   return hours
     .flatMap((it) => it.objectives)
     .flatMap((it) => it.good)
--- a/src/standins/test/leasedRecord.test.ts
+++ b/src/standins/test/leasedRecord.test.ts
@@ -57,7 +57,7 @@
       const time = clock.createFakeClock();
       const store = memoryStore.createMemoryStore(time);
       it.prepare(store);
-      const record = leasedRecord.keepLeasedRecord({
+      const record = leasedRecord.maintainLeasedRecord({
         store,
         clock: time,
         log: logging.silentLog,
--- a/src/standins/test/ledgerKeeper.test.ts
+++ b/src/standins/test/ledgerKeeper.test.ts
@@ -14,9 +14,9 @@
 import * as ledgerEntry from '../../state/common/ledgerEntry.js';
 import * as storeKeys from '../../state/common/storeKeys.js';
 import * as ledgerCheck from '../../coordination/common/ledgerCheck.js';
-import * as ledgerHoldings from '../../coordination/common/ledgerHoldings.js';
+import * as ledgerAllocations from '../../coordination/common/ledgerAllocations.js';
 import * as ledgerFixtures from '../../coordination/common/test/ledgerFixtures.js';
-import * as ledgerKeeper from '../../coordination/node/ledgerKeeper.js';
+import * as ledgerRecorder from '../../coordination/node/ledgerRecorder.js';
 import * as ledgerRollup from '../../coordination/node/ledgerRollup.js';
 
 const { HOUR_MS } = ledgerEntry;
@@ -28,11 +28,11 @@
   readonly store: memoryStore.MemoryStore;
   readonly metrics: metrics.Metrics;
   jobs: job.JobRecord[];
-  workers: ledgerHoldings.BookWorker[];
+  workers: ledgerAllocations.LedgerWorker[];
   /** Error of the wall clock. */
   wallOffMs: number;
   readonly deposed: number[];
-  readonly lead: () => ledgerKeeper.LedgerKeeper;
+  readonly lead: () => ledgerRecorder.LedgerRecorder;
   readonly hours: () => Promise<ledgerEntry.LedgerHour[]>;
 }
 
@@ -51,15 +51,15 @@
     lead: () => {
       epoch += 1;
       const own = epoch;
-      return ledgerKeeper.createLedgerKeeper({
+      return ledgerRecorder.createLedgerRecorder({
         cell: 'zone-a',
         epoch: own,
         store,
         clock: { ...time, wallMs: () => time.wallMs() + bench.wallOffMs },
         log: logging.silentLog,
         metrics: bench.metrics,
-        holdings: () => ({ workers: bench.workers, jobs: bench.jobs, configVersion: 1 }),
-        onDeposed: () => bench.deposed.push(own),
+        allocations: () => ({ workers: bench.workers, jobs: bench.jobs, configVersion: 1 }),
+        onLeadershipLost: () => bench.deposed.push(own),
       });
     },
     hours: async () => {
@@ -197,7 +197,7 @@
   [800_000, 120_000],
 ] as const) {
   test.test(`a record of ${bytes} bytes is written every ${delayMs} ms`, () => {
-    assert.equal(ledgerKeeper.writeDelayMs(bytes), delayMs);
+    assert.equal(ledgerRecorder.writeDelayMs(bytes), delayMs);
   });
 }
 
@@ -302,7 +302,7 @@
 
 const happen = async (
   bench: Bench,
-  keepers: ledgerKeeper.LedgerKeeper[],
+  keepers: ledgerRecorder.LedgerRecorder[],
   it: Happening,
   index: number,
 ): Promise<void> => {
--- a/src/standins/test/longAnswers.test.ts
+++ b/src/standins/test/longAnswers.test.ts
@@ -11,7 +11,7 @@
 import * as fixtures from '../../coordination/common/pool/test/poolFixtures.js';
 import * as configurationFeed from '../../coordination/node/pool/configurationFeed.js';
 import * as configurationShare from '../../coordination/node/pool/configurationShare.js';
-import * as jobDesk from '../../coordination/node/pool/jobDesk.js';
+import * as jobRequestHandler from '../../coordination/node/pool/jobRequestHandler.js';
 import * as pendingCounts from '../../coordination/node/pool/pendingCounts.js';
 import * as recordFeed from '../../coordination/node/pool/recordFeed.js';
 import type * as poolConfiguration from '../../state/common/pool/poolConfiguration.js';
@@ -40,7 +40,7 @@
 const away = (): Promise<never> =>
   Promise.reject(errors.fail('storeUnavailable', 'the store does not answer'));
 
-const CALL: jobDesk.Call = {
+const CALL: jobRequestHandler.Call = {
   requestId: 'id',
   host: 'h',
   path: `/q/${ID}`,
@@ -48,7 +48,7 @@
   deadlineMs: 3000,
 };
 
-const DRAFT: jobDesk.JobDraft = {
+const DRAFT: jobRequestHandler.JobDraft = {
   payload: 'text',
   steps: [fixtures.makeStep()],
   schedule: undefined,
@@ -56,7 +56,7 @@
 
 interface DeskRig {
   readonly clock: clock.FakeClock;
-  readonly desk: jobDesk.JobDesk;
+  readonly desk: jobRequestHandler.JobRequestHandler;
   readonly store: memoryStore.MemoryStore;
   readonly failGets: () => void;
   readonly submit: () => Promise<unknown>;
@@ -80,7 +80,7 @@
     ...store,
     get: (key) => (areGetsFailing ? away() : store.get(key)),
   };
-  const desk = jobDesk.createJobDesk({
+  const desk = jobRequestHandler.createJobRequestHandler({
     store: subject,
     clock: time,
     log: logging.silentLog,
@@ -137,7 +137,10 @@
   });
 });
 
-const outcomeOfAdmit = (desk: jobDesk.JobDesk, call: jobDesk.Call): string => {
+const outcomeOfAdmit = (
+  desk: jobRequestHandler.JobRequestHandler,
+  call: jobRequestHandler.Call,
+): string => {
   try {
     desk.admit(call);
     return 'admitted';
@@ -152,7 +155,7 @@
 /** The watch that waits when answers begin to take long still proves the configuration at its end. */
 const WAITING_WATCH_MS = 1200;
 
-const UNKNOWN: readonly [name: string, changes: Partial<jobDesk.Call>][] = [
+const UNKNOWN: readonly [name: string, changes: Partial<jobRequestHandler.Call>][] = [
   ['a queue', { path: `/later/${ID}` }],
   ['a key', { apiKey: 'later' }],
 ];
@@ -229,7 +232,7 @@
     });
     let forgottenRevision = 0;
     let calls = 0;
-    const shared = configurationShare.createSharedStore({
+    const shared = configurationShare.createSharedConfigurationStore({
       ask: configurationShare.shareConfiguration({
         feed: entry,
         clock: time,
--- a/src/standins/test/poolKit.ts
+++ b/src/standins/test/poolKit.ts
@@ -11,7 +11,7 @@
 import * as metrics from '../../base/common/metrics.js';
 import * as random from '../../base/common/random.js';
 import * as doneRuns from '../../coordination/common/pool/doneRuns.js';
-import type * as adviceDesk from '../../coordination/node/pool/adviceDesk.js';
+import type * as ticketCache from '../../coordination/node/pool/ticketCache.js';
 import * as poolAgent from '../../coordination/node/pool/poolAgent.js';
 import * as poolLeader from '../../coordination/node/pool/poolLeader.js';
 import * as poolLeadership from '../../coordination/node/pool/poolLeadership.js';
@@ -87,8 +87,8 @@
   readonly seed?: number;
   /** Answers for the policy service, on the clock of the pool. */
   readonly askAdvice?: (
-    ...asked: [...Parameters<adviceDesk.AdviceDeskOptions['ask']>, clock.Clock]
-  ) => ReturnType<adviceDesk.AdviceDeskOptions['ask']>;
+    ...asked: [...Parameters<ticketCache.TicketCacheOptions['ask']>, clock.Clock]
+  ) => ReturnType<ticketCache.TicketCacheOptions['ask']>;
 }
 
 const HEARTBEAT_MS = 500;
@@ -190,7 +190,7 @@
       },
       sendHeartbeat: () => {
         sequence += 1;
-        site.agent.noteHeartbeat({ info: worker.info(), sequence });
+        site.agent.recordHeartbeat({ info: worker.info(), sequence });
       },
     };
     const beat = (): void => {
@@ -220,7 +220,7 @@
     if (site.answersLeft <= 0) site.isCut = true;
     return answer;
   };
-  const link: agentContract.AgentLink = {
+  const link: agentContract.AgentApi = {
     sync: (url, request) => over(url, (agent) => agent.sync(request)),
     order: (url, request) => over(url, (agent) => agent.order(request)),
   };
@@ -264,7 +264,7 @@
           link,
           term,
           doneRuns: seenDone,
-          limits: { maxLeaseMs: MAX_LEASE_MS, statusMs: 120_000, farFactor: 3 },
+          limits: { maxLeaseMs: MAX_LEASE_MS, statusMs: 120_000, remoteFactor: 3 },
           configuration: () => configuration,
           askAdvice: (...asked) =>
             options.askAdvice?.(...asked, time) ?? Promise.reject(new Error('nobody is asked')),
--- a/src/standins/test/poolLostWatches.test.ts
+++ b/src/standins/test/poolLostWatches.test.ts
@@ -63,11 +63,11 @@
   await pool.clock.advance(1000);
   pool.store.faults.areWatchesLost = true;
   await pool.submit(fixtures.makeJob([{}], { jobId: 'a' }));
-  void candidate.leader()?.noteStored('a', 'spec');
+  void candidate.leader()?.handleStoredRecord('a', 'spec');
   await pool.clock.advance(200);
   assert.equal(pool.runs().length, 1, 'the job has not begun');
   await pool.cancel('a');
-  void candidate.leader()?.noteStored('a', 'cancel');
+  void candidate.leader()?.handleStoredRecord('a', 'cancel');
   await pool.clock.advance(200 + poolPromises.STOP_MS);
   assert.equal(pool.runs()[0]?.how, 'stopped');
   pool.dispose();
--- a/src/standins/test/poolParts.test.ts
+++ b/src/standins/test/poolParts.test.ts
@@ -8,9 +8,9 @@
 import * as errors from '../../base/common/errors.js';
 import * as logging from '../../base/common/logging.js';
 import * as metrics from '../../base/common/metrics.js';
-import * as jobBook from '../../coordination/common/pool/jobBook.js';
+import * as jobState from '../../coordination/common/pool/jobState.js';
 import * as fixtures from '../../coordination/common/pool/test/poolFixtures.js';
-import * as viewIntake from '../../coordination/common/pool/viewIntake.js';
+import * as reportReconciliation from '../../coordination/common/pool/reportReconciliation.js';
 import * as workerTable from '../../coordination/common/pool/workerTable.js';
 import * as poolAgent from '../../coordination/node/pool/poolAgent.js';
 import * as progressWriter from '../../coordination/node/pool/progressWriter.js';
@@ -59,14 +59,14 @@
   for (const [name, viewFence, isGone] of CASES) {
     test.it(name, () => {
       const worker = workerTable.createWorkerEntry('agent', 'http://a:1', 5, 0, 0);
-      const entry = jobBook.createEntry(fixtures.makeJob([{}]), 0);
-      const [task] = jobBook.tasksOf(entry);
+      const entry = jobState.createJobEntry(fixtures.makeJob([{}]), 0);
+      const [task] = jobState.tasksOf(entry);
       assert.ok(task);
-      const run = workerTable.createRun(entry, task, workerTable.RunPhase.closing, 0);
+      const run = workerTable.createActiveRun(entry, task, workerTable.RunPhase.closing, 0);
       run.closeFence = 5;
       worker.runs.set(workerTable.runKey(run.name, run.run), run);
       const view = { incarnationMs: 1, clockMs: 1, running: [], ended: [] };
-      const facts = viewIntake.takeView(worker, { view, viewFence }, 0);
+      const facts = reportReconciliation.applyReport(worker, { view, viewFence }, 0);
       assert.equal(facts.gone.length, isGone ? 1 : 0);
       assert.equal(worker.runs.size, isGone ? 0 : 1);
     });
@@ -105,7 +105,7 @@
     metrics: metrics.createMetrics(),
     bootId: 'boot',
   });
-  agent.noteHeartbeat({ info: INFO, sequence: 1 });
+  agent.recordHeartbeat({ info: INFO, sequence: 1 });
   return { agent, starts: () => starts };
 };
 
@@ -162,7 +162,7 @@
     name: 'an order without an answer is not given again to another life',
     answers: [UNKNOWN],
     meanwhile: (agent) => {
-      agent.noteHeartbeat({ info: { ...INFO, incarnationMs: 6 }, sequence: 1 });
+      agent.recordHeartbeat({ info: { ...INFO, incarnationMs: 6 }, sequence: 1 });
     },
     outcome: 'unknown',
     starts: 1,
@@ -178,7 +178,7 @@
     name: 'the worker is leaving',
     answers: [],
     before: (agent) => {
-      agent.noteHeartbeat({ info: { ...INFO, state: 'draining' }, sequence: 2 });
+      agent.recordHeartbeat({ info: { ...INFO, state: 'draining' }, sequence: 2 });
     },
     outcome: 'refused',
     starts: 0,
@@ -189,7 +189,10 @@
     name: 'a heartbeat of an earlier life changes nothing',
     answers: [],
     before: (agent) => {
-      agent.noteHeartbeat({ info: { ...INFO, incarnationMs: 4, state: 'draining' }, sequence: 99 });
+      agent.recordHeartbeat({
+        info: { ...INFO, incarnationMs: 4, state: 'draining' },
+        sequence: 99,
+      });
     },
     outcome: 'accepted',
     starts: 1,
@@ -198,7 +201,7 @@
     name: 'an older heartbeat of the same life changes nothing',
     answers: [],
     before: (agent) => {
-      agent.noteHeartbeat({ info: { ...INFO, state: 'draining' }, sequence: 1 });
+      agent.recordHeartbeat({ info: { ...INFO, state: 'draining' }, sequence: 1 });
     },
     outcome: 'accepted',
     starts: 1,
--- a/src/state/common/configurationChecks.ts
+++ b/src/state/common/configurationChecks.ts
@@ -235,7 +235,9 @@
  * @param issues - the issues found
  * @returns the error that lists them all
  */
-export const refusal = (issues: readonly schemaIssues.FieldIssue[]): errors.AuburnliftError => {
+export const createRefusal = (
+  issues: readonly schemaIssues.FieldIssue[],
+): errors.AuburnliftError => {
   const text = issues.map((it) => `${it.field}: ${it.message}`).join('; ');
   return errors.fail('invalidRequest', `configuration refused, nothing was written: ${text}`, {
     field: issues[0]?.field ?? '(document)',
@@ -249,5 +251,5 @@
  */
 export const assertDocument = (document: Document): void => {
   const issues = checkDocument(document);
-  if (issues.length > 0) throw refusal(issues);
+  if (issues.length > 0) throw createRefusal(issues);
 };
--- a/src/state/common/configurationDifference.ts
+++ b/src/state/common/configurationDifference.ts
@@ -165,7 +165,7 @@
  * @param unansweredCells - cells whose leader did not answer
  * @returns the effects that operators must know before they consent
  */
-export const effectsOf = (
+export const findEffects = (
   before: Document | undefined,
   after: Document,
   jobs: readonly job.JobRecord[],
--- a/src/state/common/pool/agentContract.ts
+++ b/src/state/common/pool/agentContract.ts
@@ -31,20 +31,20 @@
 export type SyncRequest = typeof SyncRequest.Type;
 
 /** The state of an agent's worker as known to the agent. */
-export const WorkerNews = Schema.Struct({
+export const WorkerUpdate = Schema.Struct({
   /** Identifies one incarnation of the agent's process. */
   bootId: Schema.String,
   version: units.Count,
   worker: Schema.optionalKey(poolWorker.WorkerInfo),
-  view: Schema.optionalKey(poolWorker.WorkerView),
+  view: Schema.optionalKey(poolWorker.WorkerReport),
   /** Fence under which the worker sent the report. */
   viewFence: units.Count,
   /** Time since the agent received the report, by the agent's clock. */
   viewAgeMs: units.Count,
 });
 
-/** See {@link WorkerNews}. */
-export type WorkerNews = typeof WorkerNews.Type;
+/** See {@link WorkerUpdate}. */
+export type WorkerUpdate = typeof WorkerUpdate.Type;
 
 /** One task to start. */
 export const StartCommand = Schema.Struct({
@@ -125,7 +125,7 @@
   starts: Schema.Array(OrderResult),
   stops: Schema.Array(OrderResult),
   paces: Schema.Array(OrderResult),
-  news: WorkerNews,
+  news: WorkerUpdate,
   /** Whether the worker reported its state after the orders were sent. */
   isNewsLater: Schema.Boolean,
 });
@@ -134,8 +134,8 @@
 export type OrderReply = typeof OrderReply.Type;
 
 /** Calls of the leader to an agent. They throw if no answer arrives. */
-export interface AgentLink {
-  readonly sync: (url: string, request: SyncRequest) => Promise<WorkerNews>;
+export interface AgentApi {
+  readonly sync: (url: string, request: SyncRequest) => Promise<WorkerUpdate>;
   readonly order: (url: string, request: OrderRequest) => Promise<OrderReply>;
 }
 
@@ -157,12 +157,12 @@
 }
 
 /** Result of an order over all delivery attempts. */
-export interface AttemptedOrder extends WorkerAnswer {
+export interface DeliveryResult extends WorkerAnswer {
   readonly hasOpenCopy: boolean;
 }
 
 /** An agent's request for a worker's report. */
-export interface ViewRequest {
+export interface WorkerReportRequest {
   readonly fence: number;
   /** 0 renews no lease. */
   readonly leaseUntilMs: number;
@@ -172,12 +172,12 @@
 }
 
 /** A worker's report, or why there is none. */
-export type ViewAnswer =
-  | { readonly outcome: 'view'; readonly view: poolWorker.WorkerView }
+export type WorkerReportAnswer =
+  | { readonly outcome: 'view'; readonly view: poolWorker.WorkerReport }
   | { readonly outcome: 'refused' | 'unknown'; readonly reason: string };
 
 /** Calls of an agent to the worker on its machine. None of them throws. */
-export interface WorkerLink {
+export interface WorkerApi {
   /** @param workerId - the intended worker; any other refuses the order */
   readonly start: (workerId: string, order: WorkerStart) => Promise<WorkerAnswer>;
   readonly stop: (
@@ -189,5 +189,8 @@
     order: PaceCommand & { readonly fence: number },
   ) => Promise<WorkerAnswer>;
   /** @param workerId - undefined if the worker is not known yet */
-  readonly view: (workerId: string | undefined, request: ViewRequest) => Promise<ViewAnswer>;
+  readonly view: (
+    workerId: string | undefined,
+    request: WorkerReportRequest,
+  ) => Promise<WorkerReportAnswer>;
 }
--- a/src/state/common/pool/poolConfiguration.ts
+++ b/src/state/common/pool/poolConfiguration.ts
@@ -42,7 +42,7 @@
 }
 
 /** A configuration with the revision of its record in the store. */
-export interface HeldConfiguration {
+export interface StoredConfiguration {
   readonly configuration: PoolConfiguration;
   readonly revision: number;
 }
--- a/src/state/common/pool/poolJob.ts
+++ b/src/state/common/pool/poolJob.ts
@@ -140,7 +140,7 @@
  * @param needed - resource request of one task
  * @returns how many such tasks fit into the free capacity
  */
-export const timesThatFit = (free: Resources, needed: Resources): number =>
+export const countFittingTasks = (free: Resources, needed: Resources): number =>
   Math.min(
     timesOf(free.cpuMillicores, needed.cpuMillicores),
     timesOf(free.memoryMb, needed.memoryMb),
@@ -151,5 +151,5 @@
  * @param step - a step
  * @returns the capacity that one of its tasks consumes on a worker
  */
-export const roomOf = (step: Step): Resources =>
+export const consumedResources = (step: Step): Resources =>
   step.isFiller ? { ...step.resources, cpuMillicores: 0 } : step.resources;
--- a/src/state/common/pool/poolSettings.ts
+++ b/src/state/common/pool/poolSettings.ts
@@ -32,13 +32,13 @@
   readonly graceMs: number;
   readonly maxLeaseMs: number;
   /** Factor by which a task takes longer on remote data or when its gang spans racks. */
-  readonly farFactor: number;
+  readonly remoteFactor: number;
   /** A job's state must be available for at least this long after its end. */
-  readonly statusMs: number;
+  readonly statusRetentionMs: number;
   /** A revoked credential must be refused within this time after its revocation. */
-  readonly revokeMs: number;
+  readonly maxRevocationMs: number;
   /** How long a gang's members wait for each other. */
-  readonly gangMs: number;
+  readonly gangStartTimeoutMs: number;
   /** Shortest lease that the store grants. */
   readonly minStoreLeaseMs: number;
 }
--- a/src/state/common/pool/poolWorker.ts
+++ b/src/state/common/pool/poolWorker.ts
@@ -77,7 +77,7 @@
 export type EndedRun = typeof EndedRun.Type;
 
 /** A worker's report of its runs at one instant. */
-export const WorkerView = Schema.Struct({
+export const WorkerReport = Schema.Struct({
   incarnationMs: units.Count,
   /** The worker's own monotonic clock. */
   clockMs: units.Count,
@@ -85,8 +85,8 @@
   ended: Schema.Array(EndedRun),
 });
 
-/** See {@link WorkerView}. */
-export type WorkerView = typeof WorkerView.Type;
+/** See {@link WorkerReport}. */
+export type WorkerReport = typeof WorkerReport.Type;
 
 /** Identifies a task of a job. */
 export interface TaskName {
--- a/src/state/common/serviceLevel.ts
+++ b/src/state/common/serviceLevel.ts
@@ -12,7 +12,7 @@
 export const BUCKETS_PER_HOUR = 12;
 
 /** Hours for which counts are retained: three days, and the current hour. */
-export const KEPT_HOURS = 73;
+export const RETAINED_HOURS = 73;
 
 const Buckets = Schema.Array(units.Count).check(
   Schema.isMinLength(BUCKETS_PER_HOUR),
--- a/src/state/common/test/configurationDifference.test.ts
+++ b/src/state/common/test/configurationDifference.test.ts
@@ -90,7 +90,7 @@
 for (const it of CASES) {
   test.test(`effects: ${it.name}`, () => {
     const after = { ...SAMPLE, ...it.after };
-    const effects = configurationDifference.effectsOf(SAMPLE, after, it.jobs, []);
+    const effects = configurationDifference.findEffects(SAMPLE, after, it.jobs, []);
     const text = effects
       .filter((effect) => effect.level === 'strands')
       .map((effect) => effect.text)
@@ -101,6 +101,6 @@
 }
 
 test.test('a cell that does not answer is reported as unknown', () => {
-  const [effect] = configurationDifference.effectsOf(SAMPLE, SAMPLE, [], ['south']);
+  const [effect] = configurationDifference.findEffects(SAMPLE, SAMPLE, [], ['south']);
   assert.equal(effect?.level, 'unknown');
 });
--- a/src/transport/node/callerApi.ts
+++ b/src/transport/node/callerApi.ts
@@ -106,7 +106,7 @@
   if (options.isDraining()) {
     throw errors.fail('draining', 'this entry is leaving; nothing ran', { retryAfterMs: 0 });
   }
-  if (options.router.openRequests() >= options.maxOpenRequests) {
+  if (options.router.openRequestCount() >= options.maxOpenRequests) {
     throw errors.fail('overloaded', 'this entry is full; nothing ran', {
       retryAfterMs: BUSY_RETRY_MS,
     });
--- a/src/transport/node/console/cellPicture.ts
+++ b/src/transport/node/console/cellPicture.ts
@@ -64,7 +64,7 @@
       ),
     );
 
-type WorkerView = entrySchedulerMessages.WorkerView;
+type WorkerView = entrySchedulerMessages.WorkerStatus;
 
 const byRack = (workers: readonly WorkerView[]): ReadonlyMap<string, readonly WorkerView[]> => {
   const racks = new Map<string, WorkerView[]>();
--- a/src/transport/node/console/viewPages.ts
+++ b/src/transport/node/console/viewPages.ts
@@ -97,7 +97,7 @@
     caption,
   );
 
-type WorkerView = entrySchedulerMessages.WorkerView;
+type WorkerView = entrySchedulerMessages.WorkerStatus;
 
 const quarantineForm = (context: Context, cell: string, view: WorkerView): html.Html => {
   const { workerId } = view.worker;
--- a/src/transport/node/operatorApi.ts
+++ b/src/transport/node/operatorApi.ts
@@ -48,7 +48,7 @@
     const change = schemaIssues.decodeOrFail(ChangeBody, body, 'configuration change');
     const { baseVersion, isStrandingAccepted = false } = change;
     const decoded = configurationChecks.decodeDocument(change.document);
-    if (!decoded.isValid) throw configurationChecks.refusal(decoded.issues);
+    if (!decoded.isValid) throw configurationChecks.createRefusal(decoded.issues);
     const { value: document } = decoded;
     if (request.query.get('dryRun') === 'true') {
       return httpServer.jsonReply(await gateway.previewConfiguration(baseVersion, document));
--- a/tools/ablation.js
+++ b/tools/ablation.js
@@ -15,14 +15,14 @@
 const MECHANISMS = [
   [
     'work expected from what was seen',
-    `${POOL}/estimateBook.js`,
+    `${POOL}/runtimeEstimates.js`,
     'summary === undefined ||',
     'true ||',
   ],
   [
     'objective in waves',
     `${POOL}/readyQueue.js`,
-    'jobChain.owedChainMs(job, workOf, slotsOf)',
+    'jobChain.longestChainInWavesMs(job, workOf, slotsOf)',
     'jobChain.longestChainMs(job, workOf)',
   ],
   [
@@ -46,8 +46,8 @@
   [
     'setting back what serves nobody',
     `${POOL}/planRound.js`,
-    'const MAX_SET_BACK_MS = 30_000',
-    'const MAX_SET_BACK_MS = 0',
+    'const MAX_DEPRIORITIZED_MS = 30_000',
+    'const MAX_DEPRIORITIZED_MS = 0',
   ],
   [
     'late behind what can be in time',
@@ -81,15 +81,15 @@
   ],
   [
     'far by expected end',
-    `${POOL}/placeChoice.js`,
+    `${POOL}/localityChoice.js`,
     'return future === undefined ||',
     'return false &&',
   ],
   ['tightest first', `${POOL}/gangPlacement.js`, 'a.left - b.left', '0'],
-  ['held-up runs', `${POOL}/heldUpRuns.js`, 'runPace.isHeldUp(it.run.pace) &&', 'false &&'],
+  ['held-up runs', `${POOL}/stragglers.js`, 'runPace.isStraggler(it.run.pace) &&', 'false &&'],
   [
     'blame of workers',
-    `${POOL}/workerBlame.js`,
+    `${POOL}/workerSuspicion.js`,
     /export const isSuspect = \(([^)]*)\) =>/,
     'export const isSuspect = ($1) => false &&',
   ],
--- a/tools/guards.js
+++ b/tools/guards.js
@@ -26,8 +26,8 @@
   'transport/node/test/answerTimeout.test.js',
   'transport/node/test/connections.test.js',
   'standins/test/poolExploration.test.js',
-  `${COMMON_POOL}/test/jobBook.test.js`,
-  `${COMMON_POOL}/test/jobEnds.test.js`,
+  `${COMMON_POOL}/test/jobState.test.js`,
+  `${COMMON_POOL}/test/jobTransitions.test.js`,
   `${COMMON_POOL}/test/poolGuards.test.js`,
   `${COMMON_POOL}/test/planRound.test.js`,
   `${COMMON_POOL}/test/progressBatch.test.js`,
@@ -72,7 +72,7 @@
   [
     'a change of the configuration is proved at once',
     `${NODE_POOL}/configurationFeed.js`,
-    'proofWaitMs: PROOF_MS,',
+    'confirmWaitMs: CONFIRM_WATCH_MS,',
     '',
   ],
   [
@@ -101,19 +101,19 @@
   ],
   [
     'a stored job is never called refused where the store does not show it',
-    `${NODE_POOL}/jobDesk.js`,
-    'options.store.get(key), stillOpen)',
+    `${NODE_POOL}/jobRequestHandler.js`,
+    'options.store.get(key), unresolved)',
     'options.store.get(key))',
   ],
   [
     'nobody is denied by an old configuration',
-    `${NODE_POOL}/jobDesk.js`,
-    'if (feed.ageMs() > DENY_MS)',
+    `${NODE_POOL}/jobRequestHandler.js`,
+    'if (feed.ageMs() > MAX_DENIAL_AGE_MS)',
     'if (false)',
   ],
   [
     'a caller is answered in its time',
-    `${NODE_POOL}/jobDesk.js`,
+    `${NODE_POOL}/jobRequestHandler.js`,
     'return await Promise.race([attempt, late]);',
     'return await attempt;',
   ],
@@ -126,13 +126,13 @@
   [
     'waiting jobs are counted once at a time',
     `${NODE_POOL}/pendingCounts.js`,
-    '!kept.isOpen && ',
+    '!last.isOpen && ',
     '',
   ],
   [
     'a run of a former leader counts from its beginning',
     `${COMMON_POOL}/workerTable.js`,
-    'run.sinceMs = now.nowMs - heldMs;',
+    'run.startedAtMs = now.nowMs - heldMs;',
     '',
   ],
   [
@@ -173,15 +173,15 @@
   ],
   [
     'a run is gone only under a fence that refuses its order',
-    `${COMMON_POOL}/viewIntake.js`,
+    `${COMMON_POOL}/reportReconciliation.js`,
     'viewFence >= run.closeFence',
     'true',
   ],
   [
     'a worker that is not heard of keeps the runs of a former leader',
     `${COMMON_POOL}/workerTable.js`,
-    'leasesLapseAtMs: formerLapseAtMs',
-    'leasesLapseAtMs: 0',
+    'leasesExpireAtMs: previousLeasesExpireAtMs',
+    'leasesExpireAtMs: 0',
   ],
   [
     'a leased record is written conditional on what it overwrites',
@@ -198,8 +198,8 @@
   [
     'a new life of a worker is told a higher fence before a leader knows of it',
     `${NODE_POOL}/poolAgent.js`,
-    'unfencedLives += 1',
-    'unfencedLives += 0',
+    'unfencedIncarnations += 1',
+    'unfencedIncarnations += 0',
   ],
   [
     'an order is not given again to another life of its worker',
@@ -210,49 +210,49 @@
   [
     'a new life of a worker forgets no end for those of the former',
     `${NODE_POOL}/poolAgent.js`,
-    'const isSeenUpToMeant = isAnswering &&',
-    'const isSeenUpToMeant =',
+    'const isAcknowledgementValid = isAnswering &&',
+    'const isAcknowledgementValid =',
   ],
   [
     'a process ends the leadership of its own former life only',
     `${NODE_POOL}/poolLeadership.js`,
-    'known !== undefined && isFormerSelf(known)',
+    'known !== undefined && isPreviousIncarnation(known)',
     'known !== undefined',
   ],
   [
     'a silent worker keeps its runs until its leases have lapsed',
     `${COMMON_POOL}/workerTable.js`,
-    'nowMs > worker.leasesLapseAtMs',
+    'nowMs > worker.leasesExpireAtMs',
     'true',
   ],
   [
     'a run is not given up while its order may come late',
-    `${NODE_POOL}/orderIntake.js`,
+    `${NODE_POOL}/orderResultHandler.js`,
     'if (hasOpenCopy)',
     'if (false)',
   ],
   [
     'what was seen done outlives the term',
     `${NODE_POOL}/poolLeader.js`,
-    'control.recallDone();',
+    'control.applyDoneRuns();',
     '',
   ],
   [
     'a new leader knows which orders of the former may come late',
     `${NODE_POOL}/runControl.js`,
-    'run.lateUntilMs = lateOrders.toOwnClock(',
+    'run.delayedOrderUntilMs = delayedOrders.toMonotonicMs(',
     'void (',
   ],
   [
     'a new leader waits for late orders of the former',
-    `${NODE_POOL}/lostRuns.js`,
-    'lateOrders.toOwnClock(task.lateUntilWallMs, now) <= now.monotonicMs',
+    `${NODE_POOL}/lostRunDetector.js`,
+    'delayedOrders.toMonotonicMs(task.lateUntilWallMs, now) <= now.monotonicMs',
     'true',
   ],
   [
     'a new leader waits for leases of the former',
-    `${NODE_POOL}/lostRuns.js`,
-    'if (nowMs() < options.formerLapseAtMs)',
+    `${NODE_POOL}/lostRunDetector.js`,
+    'if (nowMs() < options.previousLeasesExpireAtMs)',
     'if (false)',
   ],
   [
@@ -270,7 +270,7 @@
   [
     'old knowledge of waiting jobs is not told',
     `${NODE_POOL}/poolLeader.js`,
-    'isLoaded && feed.ageMs() <= MAX_TOLD_AGE_MS',
+    'isLoaded && feed.ageMs() <= MAX_REPORTED_AGE_MS',
     'isLoaded',
   ],
   [
@@ -293,7 +293,7 @@
   ],
   [
     'an end of an earlier run changes nothing',
-    `${COMMON_POOL}/jobEnds.js`,
+    `${COMMON_POOL}/jobTransitions.js`,
     'task.run === outcome.run',
     'true',
   ],
@@ -311,33 +311,38 @@
   ],
   [
     'several failed members are one failure',
-    `${COMMON_POOL}/jobEnds.js`,
+    `${COMMON_POOL}/jobTransitions.js`,
     'if (task.failedRun === run)',
     'if (false)',
   ],
   [
     'ends are acknowledged without a gap',
-    `${COMMON_POOL}/endLedger.js`,
+    `${COMMON_POOL}/endTracker.js`,
     'open.size === 0 ? highest : Math.min(...open) - 1',
     'highest',
   ],
   [
     'a submit is conditional on the configuration',
-    `${NODE_POOL}/jobDesk.js`,
-    '{ key: options.configurationKey, revision: judged.configurationRevision },',
+    `${NODE_POOL}/jobRequestHandler.js`,
+    '{ key: options.configurationKey, revision: current.configurationRevision },',
     '',
   ],
-  ['an open outcome is never a refusal', `${NODE_POOL}/jobDesk.js`, 'throw isOpen', 'throw false'],
+  [
+    'an open outcome is never a refusal',
+    `${NODE_POOL}/jobRequestHandler.js`,
+    'throw isOpen',
+    'throw false',
+  ],
   [
     'no credential without a fresh configuration',
-    `${NODE_POOL}/jobDesk.js`,
+    `${NODE_POOL}/jobRequestHandler.js`,
     'feed.ageMs() <= options.revokeMs * FRESH_SHARE',
     'true',
   ],
   [
     'no older configuration is taken',
     `${NODE_POOL}/configurationFeed.js`,
-    'configuration.version < held.configuration.version',
+    'configuration.version < active.configuration.version',
     'false',
   ],
   [
@@ -349,19 +354,19 @@
   [
     'a page that fails does not begin the list anew',
     'platform/platformStore.js',
-    'tries === PAGE_ATTEMPTS',
+    'attempt === PAGE_ATTEMPTS',
     'true',
   ],
   [
     'a write without an answer may take effect',
     'platform/platformStore.js',
-    'if (isUnseen)',
+    'if (isNotSent)',
     'if (true)',
   ],
   [
     'an order without an answer may be carried out',
     'platform/workerClient.js',
-    "isUnseen ? 'refused' : 'unknown'",
+    "isNotSent ? 'refused' : 'unknown'",
     "'refused'",
   ],
   [
