--- a/src/coordination/common/agentHealth.ts
+++ b/src/coordination/common/agentHealth.ts
@@ -8,7 +8,7 @@
 export interface AgentHealth {
   /** Smoothed fraction of failed exchanges at the time of the last one. */
   readonly errorShare: number;
-  readonly updatedAtMs: number;
+  readonly notedAtMs: number;
   readonly failuresInRow: number;
   /** No request goes there before this time. */
   readonly avoidUntilMs: number;
@@ -45,7 +45,7 @@
  */
 export const newHealth = (nowMs: number): AgentHealth => ({
   errorShare: 0,
-  updatedAtMs: nowMs,
+  notedAtMs: nowMs,
   failuresInRow: 0,
   avoidUntilMs: 0,
   consecutiveAvoidances: 0,
@@ -56,7 +56,7 @@
 const NEGLIGIBLE_ERROR_SHARE = 0.01;
 
 const errorShareAt = (health: AgentHealth, nowMs: number): number => {
-  const share = health.errorShare * 0.5 ** ((nowMs - health.updatedAtMs) / HALF_LIFE_MS);
+  const share = health.errorShare * 0.5 ** ((nowMs - health.notedAtMs) / HALF_LIFE_MS);
   return share < NEGLIGIBLE_ERROR_SHARE ? 0 : share;
 };
 
@@ -68,7 +68,7 @@
 export const afterSuccess = (health: AgentHealth, nowMs: number): AgentHealth => ({
   ...health,
   errorShare: errorShareAt(health, nowMs) * (1 - SMOOTHING),
-  updatedAtMs: nowMs,
+  notedAtMs: nowMs,
   failuresInRow: 0,
   consecutiveAvoidances: 0,
 });
--- a/src/coordination/common/failureAttribution.ts
+++ b/src/coordination/common/failureAttribution.ts
@@ -46,9 +46,7 @@
     if (first === undefined) continue;
     if (rest.some((it) => it.workerId !== first.workerId)) continue;
     const lastMs = Math.max(first.atMs, ...rest.map((it) => it.atMs));
-    if (nowMs - lastMs > MAX_AGE_MS || lastMs <= (blameFromMs.get(first.workerId) ?? 0)) {
-      continue;
-    }
+    if (nowMs - lastMs > MAX_AGE_MS || lastMs <= (blameFromMs.get(first.workerId) ?? 0)) continue;
     const jobIds = blamed.get(first.workerId) ?? new Set<string>();
     blamed.set(first.workerId, jobIds.add(record.spec.jobId));
   }
--- a/src/coordination/common/gangFit.ts
+++ b/src/coordination/common/gangFit.ts
@@ -16,7 +16,7 @@
   /** Accelerators on each worker that are set aside for unclaimed guarantees. */
   readonly setAside: readonly number[];
   /** Whether `open` includes accelerators that are not free yet. */
-  readonly includesExpectedCapacity?: boolean;
+  readonly isAhead?: boolean;
 }
 
 /** Outweighs every difference in leftovers: a worker has at most 64 accelerators. */
@@ -46,7 +46,7 @@
   let bestCost = Number.POSITIVE_INFINITY;
   for (const worker of capacity.all) {
     // Checks the free count first, since on a full cell it rules out almost every worker.
-    if (rules.includesExpectedCapacity !== true && (capacity.free[worker] ?? 0) < need) continue;
+    if (rules.isAhead !== true && (capacity.free[worker] ?? 0) < need) continue;
     const open = rules.open(worker);
     if (open < need) continue;
     const cost = costOn(capacity, rules, worker, need, open);
@@ -73,7 +73,7 @@
   const open: { readonly worker: number; readonly size: number }[] = [];
   let memberCapacity = 0;
   for (const worker of group) {
-    if (rules.includesExpectedCapacity !== true && (capacity.free[worker] ?? 0) < per) continue;
+    if (rules.isAhead !== true && (capacity.free[worker] ?? 0) < per) continue;
     const size = rules.open(worker);
     if (size < per) continue;
     open.push({ worker, size });
--- a/src/coordination/common/jobSteps.ts
+++ b/src/coordination/common/jobSteps.ts
@@ -93,10 +93,7 @@
   if (cause === job.StopCause.cancelled) {
     return ended(record, job.JobState.cancelled, context, 'cancelled on request');
   }
-  const failedOn = failureAttribution.countHealthyWorkerFailures(
-    record,
-    context.quarantinedWorkerIds,
-  );
+  const failedOn = failureAttribution.countHealthyWorkerFailures(record, context.badWorkerIds);
   if (cause === job.StopCause.memberFailed && failedOn >= context.unrunnableFailures) {
     const why = `failed on ${failedOn} different healthy workers`;
     return ended(record, job.JobState.unrunnable, context, why);
--- a/src/coordination/common/jobTypes.ts
+++ b/src/coordination/common/jobTypes.ts
@@ -33,7 +33,7 @@
   /** Distinct healthy workers on which a job must fail before it becomes unrunnable. */
   readonly unrunnableFailures: number;
   /** Quarantined workers: failures there don't count against a job. */
-  readonly quarantinedWorkerIds: ReadonlySet<string>;
+  readonly badWorkerIds: ReadonlySet<string>;
   readonly reclaimGraceMs: number;
 }
 
--- a/src/coordination/common/ledgerTime.ts
+++ b/src/coordination/common/ledgerTime.ts
@@ -20,7 +20,7 @@
 export interface LedgerStep {
   readonly next: LedgerTime;
   /** The allocations up to this time are unknown. */
-  readonly unobservedUntilMs: number;
+  readonly unwitnessedUntilMs: number;
   /** Clock anomaly to report. */
   readonly anomaly: 'none' | 'back' | 'forward' | 'refused';
 }
@@ -43,17 +43,17 @@
   const target = Math.floor(wallMs);
   if (target <= from) {
     const anomaly = from - target > JUMP_TOLERANCE_MS ? 'back' : 'none';
-    return { next: { bookedUntilMs: from, monotonicMs }, unobservedUntilMs: from, anomaly };
+    return { next: { bookedUntilMs: from, monotonicMs }, unwitnessedUntilMs: from, anomaly };
   }
   const surplusMs = target - from - elapsedMs;
   if (surplusMs > MAX_JUMP_MS) {
     const next = { bookedUntilMs: from + elapsedMs, monotonicMs };
-    return { next, unobservedUntilMs: from, anomaly: 'refused' };
+    return { next, unwitnessedUntilMs: from, anomaly: 'refused' };
   }
   const isJump = surplusMs > JUMP_TOLERANCE_MS;
   return {
     next: { bookedUntilMs: target, monotonicMs },
-    unobservedUntilMs: isJump ? from + surplusMs : from,
+    unwitnessedUntilMs: isJump ? from + surplusMs : from,
     anomaly: isJump ? 'forward' : 'none',
   };
 };
--- a/src/coordination/common/test/jobStateMachine.test.ts
+++ b/src/coordination/common/test/jobStateMachine.test.ts
@@ -13,7 +13,7 @@
   configVersion: 1,
   epoch: 1,
   unrunnableFailures: 3,
-  quarantinedWorkerIds: new Set<string>(),
+  badWorkerIds: new Set<string>(),
   reclaimGraceMs: 700,
 };
 
--- a/src/coordination/common/test/leadershipModel.ts
+++ b/src/coordination/common/test/leadershipModel.ts
@@ -87,7 +87,7 @@
   configVersion: 1,
   epoch: leader + 1,
   unrunnableFailures: 3,
-  quarantinedWorkerIds: new Set<string>(),
+  badWorkerIds: new Set<string>(),
   reclaimGraceMs: 0,
 });
 
--- a/src/coordination/node/cellLeader.ts
+++ b/src/coordination/node/cellLeader.ts
@@ -118,7 +118,7 @@
     configVersion: options.configuration.version(),
     epoch: options.epoch,
     unrunnableFailures: policy()?.unrunnableFailures ?? 3,
-    quarantinedWorkerIds: workers.quarantinedIds(),
+    badWorkerIds: workers.quarantinedIds(),
     reclaimGraceMs: policy()?.reclaimGraceMs ?? 0,
   });
   const records = (): job.JobRecord[] => [...runtimes.values()].map((it) => it.record);
--- a/src/coordination/node/ledgerRecorder.ts
+++ b/src/coordination/node/ledgerRecorder.ts
@@ -120,7 +120,7 @@
     reportAnomaly(step.anomaly);
     bookingTime = step.next;
     if (bookingTime.bookedUntilMs === fromMs) return;
-    const { unobservedUntilMs: unwitnessedUntilMs } = step;
+    const { unwitnessedUntilMs } = step;
     if (unwitnessedUntilMs > fromMs) {
       book = ledgerHours.recordUnobserved(book, spanOf(fromMs, unwitnessedUntilMs));
     }
