--- a/src/coordination/common/pool/test/heldUpRuns.test.ts
+++ b/src/coordination/common/pool/test/heldUpRuns.test.ts
@@ -149,7 +149,7 @@
   },
 ];
 
-test.describe('a run that', () => {
+test.describe('stragglers', () => {
   for (const it of CASES) {
     test.it(it.name, () => {
       const workers = (it.racks ?? ['r1']).map((rack, index) => createWorker(index, rack));
--- a/src/coordination/common/pool/test/jobBook.test.ts
+++ b/src/coordination/common/pool/test/jobBook.test.ts
@@ -128,7 +128,7 @@
 const readyOf = (entry: jobBook.JobEntry): string[] =>
   jobBook.readyUnits(entry).map((it) => `${it.stepIndex}.${it.tasks[0]?.index ?? ''}`);
 
-test.describe('jobBook', () => {
+test.describe('state of a job', () => {
   for (const it of CASES) {
     test.it(it.name, () => {
       const job = fixtures.makeJob(it.steps, { attempts: it.attempts ?? 3 });
--- a/src/coordination/common/pool/test/poolGuards.test.ts
+++ b/src/coordination/common/pool/test/poolGuards.test.ts
@@ -10,7 +10,7 @@
 
 const SAMPLE: leaseClock.ClockSample = { incarnationMs: 1, clockMs: 1000, atMs: 50 };
 
-test.describe('leaseClock', () => {
+test.describe('leases in the worker’s time', () => {
   const CASES: readonly [name: string, nowMs: number, leaseMs: number, untilMs: number][] = [
     ['from a reading just taken', 50, 6000, 7000],
     ['from a reading that is a second old', 1050, 6000, 8000],
@@ -27,7 +27,7 @@
   });
 });
 
-test.describe('endLedger', () => {
+test.describe('ends that may be acknowledged', () => {
   // The second end is stored before the first. Acknowledging it would acknowledge the first as well, which
   // would be lost if the leader died.
   const CASES: readonly [name: string, stored: readonly number[], upTo: number][] = [
@@ -44,7 +44,7 @@
   }
 });
 
-test.describe('workerBlame', () => {
+test.describe('suspicion against a worker', () => {
   const CASES: readonly [
     name: string,
     ends: readonly (readonly [jobId: string, isDone: boolean])[],
