--- a/src/standins/memoryPoolWorker.ts
+++ b/src/standins/memoryPoolWorker.ts
@@ -1,22 +1,22 @@
 /**
- * A stand-in for a worker of a pool: runs tasks on a clock that tests move, and has the faults that its
- * contract names. Keeps a record of every start, which tests judge by.
+ * An in-memory stand-in for a pool worker: runs tasks on a fake clock and injects the faults that the worker
+ * contract allows. It records every start, and tests assert on these records.
  */
 import type * as clock from '../base/common/clock.js';
 import type * as disposable from '../base/common/disposable.js';
 import type * as agentContract from '../state/common/pool/agentContract.js';
 import type * as poolWorker from '../state/common/pool/poolWorker.js';
 
-/** Fault switches; all are off at first. */
+/** Fault switches; initially all off. */
 export interface PoolWorkerFaults {
   /** No call is answered, and none takes effect. */
   isSilent: boolean;
-  /** So many of the next orders get no answer and are carried out after `lateByMs`. */
+  /** This many of the next orders get no answer and are executed after `lateByMs`. */
   delayOrders: number;
   lateByMs: number;
   /** Every task fails as soon as it is started. */
   failsAll: boolean;
-  /** Tasks stand still. */
+  /** Tasks make no progress. */
   isStalled: boolean;
   /** Tasks that start now take this many times as long. */
   slowFactor: number;
@@ -30,36 +30,36 @@
   readonly startedAtMs: number;
   endedAtMs: number | undefined;
   how: poolWorker.EndKind | 'crashed' | undefined;
-  /** The worker was told that its end is stored, and forgot it. */
+  /** The leader acknowledged the end of the run, and the worker dropped it from its report. */
   isAcknowledged: boolean;
-  /** The worker's leases lapsed between its end and the acknowledgement, which counts for nothing then. */
+  /** The worker's lease expired between the end and its acknowledgement, so the acknowledgement doesn't count. */
   hasLapsedSince: boolean;
-  /** Carried out seconds after its order, by a fault of the worker. */
+  /** Started `lateByMs` after its order, by the `delayOrders` fault. */
   readonly isLate: boolean;
 }
 
-/** What tests see and do besides the contract. */
+/** The stand-in with what tests inspect and control beyond the contract. */
 export interface MemoryPoolWorker {
   readonly link: agentContract.WorkerApi;
   readonly faults: PoolWorkerFaults;
   readonly runs: readonly RecordedRun[];
   readonly info: () => poolWorker.WorkerInfo;
-  /** Ends up to this one have been acknowledged in the present life, and are forgotten. */
+  /** Highest sequence of ended runs acknowledged in the current incarnation; these are no longer listed. */
   readonly acknowledgedUpTo: () => number;
-  /** Says that it leaves; it goes on with what it has. */
+  /** Sets the state to draining; running tasks continue. */
   readonly drain: (remainingMs: number) => void;
-  /** Ends everything at once and begins a new life, under the same or another id. */
+  /** Ends all tasks immediately and starts a new incarnation, under the same or another id. */
   readonly crash: (workerId?: string) => void;
   readonly dispose: () => void;
 }
 
-/** What the stand-in is. */
+/** Options of the stand-in. */
 export interface MemoryPoolWorkerOptions {
   readonly clock: clock.Clock;
   readonly info: poolWorker.WorkerInfo;
-  /** How long a task works. */
+  /** Duration of a task. */
   readonly workMs: (task: string) => number;
-  /** Size of the gang that a task belongs to; 1 for a task that runs alone. */
+  /** Size of the gang of the task; 1 for a task without a gang. */
   readonly gangOf: (task: string) => number;
   readonly maxLeaseMs: number;
   readonly gangMs: number;
@@ -80,24 +80,24 @@
 const NO_ANSWER: agentContract.WorkerAnswer = { outcome: 'unknown', reason: 'silence' };
 const ACCEPTED: agentContract.WorkerAnswer = { outcome: 'accepted', reason: '' };
 
-/** Gangs that span workers are known to all of them. */
+/** Key of the gang in the registry that all workers of a test share. */
 const gangKeyOf = (record: RecordedRun): string =>
   `${record.task.slice(0, record.task.lastIndexOf('.'))}#${record.run}`;
 
-/** Tells the members of gangs on all workers of a test about each other. */
+/** Registry of gang members over all workers of a test. */
 export interface GangBoard {
   readonly members: Map<string, Set<LiveRun>>;
   readonly workers: Set<(key: string, how: poolWorker.EndKind) => void>;
 }
 
 /**
- * @returns a board without gangs
+ * @returns an empty registry
  */
 export const createGangBoard = (): GangBoard => ({ members: new Map(), workers: new Set() });
 
 /**
- * @param options - what the stand-in is
- * @param board - shared by the workers of a test
+ * @param options - options of the stand-in
+ * @param board - gang registry shared by the workers of a test
  * @returns the stand-in
  */
 export const createMemoryPoolWorker = (
@@ -116,7 +116,7 @@
   };
   const waiters = new Set<() => void>();
   let { info } = options;
-  let bornAtMs = time.monotonicMs();
+  let incarnationStartMs = time.monotonicMs();
   let live = new Map<string, LiveRun>();
   let refusedUpTo = new Map<string, number>();
   let ended: EndedRecord[] = [];
@@ -126,7 +126,7 @@
   let leaseUntilMs = 0;
   let isDisposed = false;
 
-  const clockMs = (): number => Math.floor(time.monotonicMs() - bornAtMs);
+  const clockMs = (): number => Math.floor(time.monotonicMs() - incarnationStartMs);
   const wakeAll = (): void => {
     const woken = [...waiters];
     waiters.clear();
@@ -155,7 +155,7 @@
     const isGang = options.gangOf(it.record.task) > 1;
     end(it, how);
     if (!isGang) return;
-    for (const worker of board.workers) worker(key, how === 'done' ? 'done' : 'broken');
+    for (const endOnWorker of board.workers) endOnWorker(key, how === 'done' ? 'done' : 'broken');
   };
   const work = (it: LiveRun): void => {
     if (faults.failsAll) {
@@ -223,31 +223,31 @@
     return ACCEPTED;
   };
 
-  const carryOut = (
+  const execute = (
     workerId: string,
-    deed: (isLate: boolean) => agentContract.WorkerAnswer,
+    action: (isLate: boolean) => agentContract.WorkerAnswer,
   ): Promise<agentContract.WorkerAnswer> => {
     if (faults.isSilent) return Promise.resolve(NO_ANSWER);
     if (faults.delayOrders > 0) {
       faults.delayOrders -= 1;
       time.after(faults.lateByMs, () => {
-        if (workerId === info.workerId) deed(true);
+        if (workerId === info.workerId) action(true);
       });
       return Promise.resolve(NO_ANSWER);
     }
     if (workerId !== info.workerId) return Promise.resolve({ outcome: 'refused', reason: '421' });
-    return Promise.resolve(deed(false));
+    return Promise.resolve(action(false));
   };
 
-  const lapse = (): void => {
+  const checkLease = (): void => {
     if (isDisposed) return;
     if (clockMs() > leaseUntilMs) {
       for (const it of [...live.values()]) endWithGang(it, 'lapsed');
       for (const { record } of ended) record.hasLapsedSince = true;
     }
-    time.after(TICK_MS, lapse);
+    time.after(TICK_MS, checkLease);
   };
-  time.after(TICK_MS, lapse);
+  time.after(TICK_MS, checkLease);
 
   const view = async (
     workerId: string | undefined,
@@ -260,9 +260,9 @@
     if (request.fence < fence) return { outcome: 'refused', reason: 'fence' };
     fence = request.fence;
     acknowledgedUpTo = Math.max(acknowledgedUpTo, request.seenUpTo);
-    const isForgotten = (it: EndedRecord): boolean => it.listed.sequence <= request.seenUpTo;
-    for (const it of ended.filter(isForgotten)) it.record.isAcknowledged = true;
-    ended = ended.filter((it) => !isForgotten(it));
+    const isSeen = (it: EndedRecord): boolean => it.listed.sequence <= request.seenUpTo;
+    for (const it of ended.filter(isSeen)) it.record.isAcknowledged = true;
+    ended = ended.filter((it) => !isSeen(it));
     if (request.leaseUntilMs > 0) {
       const cappedMs = Math.min(request.leaseUntilMs, clockMs() + options.maxLeaseMs);
       leaseUntilMs = Math.max(leaseUntilMs, cappedMs);
@@ -297,9 +297,9 @@
 
   return {
     link: {
-      start: (workerId, order) => carryOut(workerId, (isLate) => start(order, isLate)),
-      stop: (workerId, order) => carryOut(workerId, () => stop(order)),
-      pace: (workerId) => carryOut(workerId, () => ACCEPTED),
+      start: (workerId, order) => execute(workerId, (isLate) => start(order, isLate)),
+      stop: (workerId, order) => execute(workerId, () => stop(order)),
+      pace: (workerId) => execute(workerId, () => ACCEPTED),
       view,
     },
     faults,
@@ -324,10 +324,10 @@
       fence = 0;
       acknowledgedUpTo = 0;
       leaseUntilMs = 0;
-      bornAtMs = time.monotonicMs();
-      const incarnationMs = info.incarnationMs + 1 + Math.floor(bornAtMs);
+      incarnationStartMs = time.monotonicMs();
+      const incarnationMs = info.incarnationMs + 1 + Math.floor(incarnationStartMs);
       info = { ...options.info, workerId, incarnationMs };
-      keys.forEach((key) => board.workers.forEach((tell) => tell(key, 'broken')));
+      keys.forEach((key) => board.workers.forEach((endOnWorker) => endOnWorker(key, 'broken')));
       wakeAll();
     },
     dispose: () => {
--- a/src/standins/memoryStore.ts
+++ b/src/standins/memoryStore.ts
@@ -1,37 +1,37 @@
 /**
- * A stand-in for the platform's key-value service, with the faults that the contract names.
+ * An in-memory stand-in for the platform's key-value store, which injects the faults that the contract allows.
  */
 import type * as clock from '../base/common/clock.js';
 import * as errors from '../base/common/errors.js';
 import type * as recordStore from '../state/common/pool/recordStore.js';
 import * as store from '../state/common/store.js';
 
-/** Fault switches; all are off at first. */
+/** Fault switches; initially all off. */
 export interface StoreFaults {
-  /** Nothing is read or written. */
+  /** Reads and writes fail. */
   isDown: boolean;
-  /** Leases do not run while nothing is read or written. */
+  /** Leases do not run down while the store is down. */
   pausesLeases: boolean;
   /** Each call takes this much longer. */
   delayMs: number;
-  /** So many of the next writes take effect and lose their answers. */
+  /** This many of the next writes take effect, but their answers are lost. */
   loseWriteAnswers: number;
-  /** So many of the next transactions get no answer and take effect after `lateByMs`, if they still may. */
+  /** This many of the next transactions get no answer and are applied after `lateByMs` if their conditions still hold. */
   delayTransactions: number;
   lateByMs: number;
-  /** Watches wait for ever and see nothing. */
+  /** Watches report no changes and end empty when their wait is over. */
   areWatchesSilent: boolean;
-  /** A watch that is sent now is never answered, also after this is over; its caller gives it up. */
+  /** Watches sent now are never answered, even after the fault has ended; their callers time out. */
   areWatchesLost: boolean;
-  /** The next watch says that it no longer remembers. */
+  /** The next watch reports a gap in its changes. */
   skipNextWatch: boolean;
 }
 
-/** The stand-in, with what it counted. */
+/** The stand-in with its fault switches and call counts. */
 export interface MemoryStore extends store.Store, recordStore.RecordStore {
   readonly faults: StoreFaults;
   readonly calls: () => Readonly<Record<string, number>>;
-  /** Ends leases whose time is over; also happens before each call. */
+  /** Removes expired leases with their keys; also done before each call. */
   readonly expireLeases: () => void;
 }
 
@@ -51,13 +51,13 @@
   readonly revision: number;
 }
 
-/** Changes that a watch can still be told; older ones make a gap. */
+/** Number of changes kept for watches; a watch from an older revision reports a gap. */
 const MAX_REMEMBERED_CHANGES = 5000;
 
-/** A caller waits this much longer for the answer of a watch than it asked the store to wait. */
+/** A caller waits for the answer of a watch this much longer than the wait that it requested. */
 const WATCH_SLACK_MS = 1000;
 
-/** How often a waiting watch looks for lapsed leases. */
+/** Interval at which a waiting watch checks for expired leases. */
 const WATCH_POLL_MS = 50;
 
 /**
@@ -92,9 +92,9 @@
     });
   const record = (key: string): void => {
     revision += 1;
-    note(key);
+    recordChange(key);
   };
-  const note = (key: string): void => {
+  const recordChange = (key: string): void => {
     changes.push({ key, revision });
     if (changes.length > MAX_REMEMBERED_CHANGES) {
       forgottenRevision = changes.shift()?.revision ?? forgottenRevision;
@@ -159,11 +159,11 @@
     if (!isMet) return { isCommitted: false, current, isLeaseGone: false };
     const isLeaseGone = puts.some((it) => it.leaseId !== undefined && !leases.has(it.leaseId));
     if (isLeaseGone) return { isCommitted: false, current: [], isLeaseGone };
-    // All changes of a transaction have one revision.
+    // All changes of a transaction share one revision.
     revision += 1;
     for (const { key, value, leaseId } of puts) values.set(key, { value, revision, leaseId });
     const removed = removes.filter((key) => values.delete(key));
-    [...puts.map(({ key }) => key), ...removed].forEach(note);
+    [...puts.map(({ key }) => key), ...removed].forEach(recordChange);
     return { isCommitted: true, revision };
   };
   const changesAfter = (prefix: string, afterRevision: number): store.WatchResult | undefined => {
--- a/src/standins/memoryWorker.ts
+++ b/src/standins/memoryWorker.ts
@@ -1,22 +1,22 @@
 /**
- * A stand-in for the platform's worker, with the faults that the contract names and a record of
- * what it really ran.
+ * An in-memory stand-in for the platform's worker, which injects the faults that the contract allows
+ * and records the runs that it executed.
  */
 import type * as clock from '../base/common/clock.js';
 import type * as disposable from '../base/common/disposable.js';
 import type * as workerContract from '../state/common/workerContract.js';
 
-/** Fault switches; all are off at first. */
+/** Fault switches; initially all off. */
 export interface WorkerFaults {
-  /** So many of the next calls take effect and lose their answers. */
+  /** This many of the next calls take effect, but their answers are lost. */
   loseAnswers: number;
   /** Every task fails shortly after its start. */
   isBlackHole: boolean;
-  /** No call is answered and none takes effect; tasks run on until their leases lapse. */
+  /** No call is answered and none takes effect; tasks run on until their leases expire. */
   isSilent: boolean;
 }
 
-/** One run of one task, as it really happened. */
+/** One run of one task, as executed. */
 export interface RunRecord {
   readonly key: string;
   readonly accelerators: readonly number[];
@@ -25,21 +25,21 @@
   end: workerContract.WorkerTask['phase'];
 }
 
-/** How a payload says what its task does. */
+/** Behaviour of a task, given as JSON in its payload. */
 export interface TaskScript {
-  /** Work of the whole job. */
+  /** Total work of the task, counted from a start without a checkpoint. */
   readonly runMs: number;
-  /** The task fails after this time. */
+  /** The task fails this long after its start. */
   readonly failAfterMs?: number;
 }
 
-/** The stand-in, with what it ran. */
+/** The stand-in with its fault switches and recorded runs. */
 export interface MemoryWorker extends workerContract.Worker, disposable.Disposable {
   readonly faults: WorkerFaults;
   readonly runs: () => readonly RunRecord[];
-  /** A task finishes now, whatever its script says. */
+  /** Finishes a task immediately, regardless of its script. */
   readonly finish: (key: string) => void;
-  /** The machine fails: tasks end at once and nothing is remembered but the record. */
+  /** Simulates a machine failure: all tasks end immediately and only the recorded runs remain. */
   readonly crash: () => void;
 }
 
@@ -51,22 +51,22 @@
   leaseUntilMs: number;
   checkpointMs: number;
   share: number;
-  /** Work at the last change of speed. */
+  /** Work done up to the last change of `share`. */
   workMs: number;
   workAtMs: number;
   reason: string;
 }
 
-/** Age of the figures in a usage report. */
+/** Age of the data in a usage report. */
 const USAGE_LAG_MS = 200;
 
-/** How often the stand-in looks for ends and lapsed leases. */
+/** Interval at which the stand-in checks for ended tasks and expired leases. */
 const STEP_MS = 20;
 
-/** Time after which a black hole fails a task. */
+/** Time after which a worker with `isBlackHole` fails a task. */
 const BLACK_HOLE_MS = 30;
 
-/** Time that a checkpoint takes. */
+/** Duration of the checkpoint that a stop with a grace period writes. */
 const CHECKPOINT_MS = 50;
 
 const parseScript = (payload: string): TaskScript => {
@@ -82,7 +82,7 @@
 
 /**
  * @param timeSource - clock of the worker
- * @returns a worker that runs nothing
+ * @returns a worker without tasks
  */
 export const createMemoryWorker = (timeSource: clock.Clock): MemoryWorker => {
   const tasks = new Map<string, RunningTask>();
--- a/src/standins/storeServer.ts
+++ b/src/standins/storeServer.ts
@@ -1,5 +1,5 @@
 /**
- * The stand-in store behind HTTP, as the platform's service is reached.
+ * Serves the in-memory store over HTTP, with the paths of the platform's store.
  */
 import * as errors from '../base/common/errors.js';
 import * as store from '../state/common/store.js';
@@ -7,7 +7,7 @@
 
 import type * as memoryStore from './memoryStore.js';
 
-/** Bodies a little above the largest value. */
+/** Twice the largest value, so that a body with a value above the limit still reaches the store. */
 const MAX_BODY_BYTES = 2 * store.MAX_VALUE_BYTES;
 
 type Operation = (body: never, signal: AbortSignal) => Promise<unknown>;
@@ -33,7 +33,7 @@
 });
 
 /**
- * @param target - the stand-in
+ * @param target - the store to serve
  * @param port - 0 takes any free port
  * @returns the server, listening on loopback
  */
@@ -49,7 +49,7 @@
     try {
       return httpServer.jsonReply(await operation(body, request.signal));
     } catch (thrown) {
-      // The connection breaks without an answer, as it does when a real answer is lost.
+      // Never answers, as when the answer of the platform is lost.
       if (thrown instanceof store.StoreOutcomeUnknown) return new Promise<never>(() => {});
       throw thrown;
     }
--- a/src/standins/test/poolKit.ts
+++ b/src/standins/test/poolKit.ts
@@ -1,7 +1,7 @@
 /**
- * A whole pool in one process on a clock that tests move: store, workers, agents, a desk and any
- * number of candidates for the leadership. What runs is the product's own code; only the lines between
- * its processes are replaced.
+ * A complete pool in one process on a fake clock: store, workers, agents and any number of candidates for
+ * the leadership. Agents, leadership and leaders are production code; the store, the workers and the links
+ * between processes are stand-ins.
  */
 import * as assert from 'node:assert/strict';
 
@@ -24,49 +24,49 @@
 import * as memoryPoolWorker from '../memoryPoolWorker.js';
 import * as memoryStore from '../memoryStore.js';
 
-/** Where the clocks of a test begin. */
+/** Initial time of the fake clock. */
 const START_MS = 1_000_000;
 
-/** Longest lease that the workers of a test grant. */
+/** Longest lease that workers accept in a test. */
 export const MAX_LEASE_MS = 6000;
 
-/** Lease of the leadership in a test. */
+/** Term of the leadership lease in a test. */
 export const LEADER_LEASE_MS = 2000;
 
-/** A worker with its agent and the line between leader and agent. */
+/** A worker with its agent and the link between leader and agent. */
 export interface Site {
   readonly worker: memoryPoolWorker.MemoryPoolWorker;
-  /** Cuts the line between leaders and the agent. */
+  /** Cuts the link between leaders and the agent. */
   isCut: boolean;
-  /** Cuts it after so many more answers. */
+  /** Cuts the link after this many more answers. */
   answersLeft: number;
-  /** Replaces the agent's process, which forgets everything. */
+  /** Restarts the agent's process without its in-memory state. */
   readonly restartAgent: () => void;
-  /** The worker speaks of itself once more, also where it answers nobody. */
+  /** Sends one heartbeat of the worker, even while it answers no calls. */
   readonly sendHeartbeat: () => void;
 }
 
 /** A candidate for the leadership. */
 export interface Candidate {
   readonly leader: () => poolLeader.PoolLeader | undefined;
-  /** Ends it without a word, as a killed process does. */
+  /** Ends the candidate without releasing its lease, as when a process is killed. */
   readonly kill: () => void;
 }
 
-/** Where a candidate runs: a restarted process has the place of its former life. */
+/** Identity of a candidate; a restarted process has that of its previous incarnation. */
 export interface CandidatePlace {
   readonly holderId: string;
   readonly url: string;
 }
 
-/** A whole pool. */
+/** A complete pool. */
 export interface Pool {
   readonly clock: clock.FakeClock;
   readonly store: memoryStore.MemoryStore;
   readonly sites: readonly Site[];
-  /** The agents' entries are written: awaited before the first fault. */
+  /** Resolves when the agents' records are stored; awaited before the first fault. */
   readonly ready: Promise<unknown>;
-  /** @param place - name and address; absent for a process of its own */
+  /** @param place - holder id and address; absent for a new process */
   readonly addCandidate: (place?: CandidatePlace) => Candidate;
   readonly submit: (job: poolJob.PoolJob) => Promise<void>;
   readonly cancel: (jobId: string) => Promise<void>;
@@ -76,7 +76,7 @@
   readonly dispose: () => void;
 }
 
-/** What a test says of its pool. */
+/** Options of a pool. */
 export interface PoolOptions {
   readonly workers: number;
   readonly acceleratorsPerWorker?: number;
@@ -106,14 +106,14 @@
   maxBodyBytes: 1000,
 });
 
-/** Size of the gang of a task, read from the jobs that the test submits. */
+/** Looks up the gang size of a task in the jobs that the test submits. */
 const gangSizes = (): {
-  readonly note: (job: poolJob.PoolJob) => void;
+  readonly record: (job: poolJob.PoolJob) => void;
   readonly of: (task: string) => number;
 } => {
   const jobs = new Map<string, poolJob.PoolJob>();
   return {
-    note: (job) => jobs.set(job.jobId, job),
+    record: (job) => jobs.set(job.jobId, job),
     of: (task) => {
       const name = poolWorker.parseTaskName(task);
       const step = jobs.get(name?.jobId ?? '')?.steps[name?.step ?? 0];
@@ -123,7 +123,7 @@
 };
 
 /**
- * @param options - what the test says of its pool
+ * @param options - options of the pool
  * @returns the pool, without candidates
  */
 export const createPool = (options: PoolOptions): Pool => {
@@ -142,10 +142,10 @@
     return `id-${ids}`;
   };
 
-  interface OpenSite extends Site {
+  interface MutableSite extends Site {
     agent: poolAgent.PoolAgent;
   }
-  const createSite = (index: number): OpenSite => {
+  const createSite = (index: number): MutableSite => {
     const worker = memoryPoolWorker.createMemoryPoolWorker(
       {
         clock: time,
@@ -179,7 +179,7 @@
         bootId: newId(),
       });
     let sequence = 0;
-    const site: OpenSite = {
+    const site: MutableSite = {
       worker,
       isCut: false,
       answersLeft: Infinity,
@@ -202,15 +202,15 @@
     return site;
   };
   const sites = Array.from({ length: options.workers }, (_, index) => createSite(index));
-  const siteAt = (url: string): OpenSite => {
+  const siteAt = (url: string): MutableSite => {
     const site = sites[Number(url.slice(url.lastIndexOf('/') + 1))];
     if (site === undefined || site.isCut) {
-      throw errors.fail('peerUnreachable', 'the line is cut');
+      throw errors.fail('peerUnreachable', 'the link is cut');
     }
     return site;
   };
-  /** A cut also loses answers that are on their way. */
-  const over = async <T>(url: string, call: (agent: poolAgent.PoolAgent) => Promise<T>) => {
+  /** A cut also loses answers in flight. */
+  const callAgent = async <T>(url: string, call: (agent: poolAgent.PoolAgent) => Promise<T>) => {
     const site = siteAt(url);
     const { agent } = site;
     const answer = await call(agent);
@@ -221,8 +221,8 @@
     return answer;
   };
   const link: agentContract.AgentApi = {
-    sync: (url, request) => over(url, (agent) => agent.sync(request)),
-    order: (url, request) => over(url, (agent) => agent.order(request)),
+    sync: (url, request) => callAgent(url, (agent) => agent.sync(request)),
+    order: (url, request) => callAgent(url, (agent) => agent.order(request)),
   };
 
   const put = async (key: string, value: string): Promise<void> => {
@@ -267,7 +267,8 @@
           limits: { maxLeaseMs: MAX_LEASE_MS, statusMs: 120_000, remoteFactor: 3 },
           configuration: () => configuration,
           askAdvice: (...asked) =>
-            options.askAdvice?.(...asked, time) ?? Promise.reject(new Error('nobody is asked')),
+            options.askAdvice?.(...asked, time) ??
+            Promise.reject(new Error('no policy is configured')),
           onDidConflict: (reason) => leadership.abandon(reason),
         });
       },
@@ -298,7 +299,7 @@
     addCandidate,
     submit: async (job) => {
       await ready;
-      gangs.note(job);
+      gangs.record(job);
       await put(poolKeys.jobKey(job.jobId, poolKeys.JobPart.spec), JSON.stringify(job));
     },
     cancel: (jobId) => put(poolKeys.jobKey(jobId, poolKeys.JobPart.cancel), '{}'),
@@ -319,7 +320,7 @@
 };
 
 /**
- * Takes back the faults of store, workers and lines that last.
+ * Clears the lasting faults of the store, the workers and the links.
  *
  * @param pool - the pool
  */
@@ -345,7 +346,7 @@
   poolWorker.parseTaskName(run.task)?.jobId ?? '';
 
 /**
- * Asserts that no task ran twice at once, and none again after it was done in sound order.
+ * Asserts that no two runs of a task overlap.
  *
  * @param runs - all runs on all workers
  */
@@ -353,7 +354,7 @@
   const byTask = new Map<string, memoryPoolWorker.RecordedRun[]>();
   for (const run of runs) byTask.set(run.task, [...(byTask.get(run.task) ?? []), run]);
   for (const [task, its] of byTask) {
-    // A run that fails at once and the next one may begin at the same moment.
+    // A run that fails immediately and the next one may start at the same time.
     const ordered = [...its].sort((a, b) => a.startedAtMs - b.startedAtMs || a.run - b.run);
     ordered.forEach((run, index) => {
       const next = ordered[index + 1];
@@ -371,7 +372,7 @@
   run.how === 'done' && run.isAcknowledged && !run.hasLapsedSince;
 
 /**
- * Asserts that no task began again after a run of it was done and its worker was told in time that this is known.
+ * Asserts that no task starts again after a run of it was done and the end was acknowledged before the lease expired.
  *
  * @param runs - all runs on all workers
  */
--- a/src/standins/upstream.ts
+++ b/src/standins/upstream.ts
@@ -1,6 +1,6 @@
 /**
- * A stand-in for an upstream: it announces itself, serves requests and leaves, with the faults that
- * the contract names and a record of what it executed.
+ * A stand-in for an upstream: announces itself, serves requests and leaves, injects the faults that
+ * the contract allows and records the requests that it executed.
  */
 import type * as clock from '../base/common/clock.js';
 import type * as disposable from '../base/common/disposable.js';
@@ -8,44 +8,44 @@
 import type * as upstreamContract from '../state/common/upstreamContract.js';
 import * as httpServer from '../transport/node/httpServer.js';
 
-/** Fault switches; all are off at first. */
+/** Fault switches; initially all off. */
 export interface UpstreamFaults {
   /** Added to the service time of each request. */
   delayMs: number;
-  /** So many of the next requests run and get no answer. */
+  /** This many of the next requests are executed, but get no answer. */
   loseAnswers: number;
 }
 
-/** What the stand-in needs. */
+/** Options of the stand-in. */
 export interface UpstreamOptions {
   readonly upstreamId: string;
   readonly slots: number;
   readonly connections: number;
-  /** Where the agent of its VM listens. */
+  /** Address of the agent on its VM. */
   readonly agentUrl: string;
   readonly serviceMs: number;
   readonly clock: clock.Clock;
   readonly call: http.HttpCall;
 }
 
-/** The stand-in, with what it executed. */
+/** The stand-in with its fault switches and recorded executions. */
 export interface Upstream extends disposable.Disposable {
   readonly faults: UpstreamFaults;
   /** Executions by request id. */
   readonly executions: () => ReadonlyMap<string, number>;
-  /** Most requests that it worked on at once. */
+  /** Peak number of concurrent requests. */
   readonly peak: () => number;
-  /** Announces that it leaves, and keeps serving what it has. */
+  /** Announces that it is leaving, and continues to serve requests. */
   readonly leave: () => void;
 }
 
-/** How often it announces itself. */
+/** Interval between announcements. */
 const ANNOUNCE_MS = 1000;
 
 const MAX_BODY_BYTES = 8_388_608;
 
 /**
- * @param options - what the stand-in needs
+ * @param options - options of the stand-in
  * @returns the upstream, listening on loopback and announced
  */
 export const startUpstream = async (options: UpstreamOptions): Promise<Upstream> => {
@@ -107,7 +107,7 @@
         timeoutMs: ANNOUNCE_MS,
       });
     } catch {
-      // The agent may not be up yet; the next announcement tells it.
+      // The agent may not be up yet; the announcement is repeated.
     }
   };
   const loop = (): void => {
--- a/src/standins/workerServer.ts
+++ b/src/standins/workerServer.ts
@@ -1,5 +1,5 @@
 /**
- * The stand-in worker behind HTTP, as the platform's worker is reached.
+ * Serves the in-memory worker over HTTP, with the paths of the platform's worker.
  */
 import * as errors from '../base/common/errors.js';
 import type * as workerContract from '../state/common/workerContract.js';
@@ -20,7 +20,7 @@
 });
 
 /**
- * @param target - the stand-in
+ * @param target - the worker to serve
  * @param port - 0 takes any free port
  * @returns the server, listening on loopback
  */
