--- a/src/standins/test/cellKit.ts
+++ b/src/standins/test/cellKit.ts
@@ -1,5 +1,5 @@
 /**
- * A cell for tests: leaders and agents in one process on one fake clock, with stand-ins for the store
+ * A cell for tests: leaders and agents in one process on a fake clock, with stand-ins for the store
  * and the workers, and links that a test can cut.
  */
 import * as clock from '../../base/common/clock.js';
@@ -34,11 +34,11 @@
   readonly info: worker.WorkerInfo;
   readonly worker: memoryWorker.MemoryWorker;
   readonly runtime: () => agentRuntime.AgentRuntime;
-  /** The agent's process is replaced; its worker runs on. */
+  /** Replaces the agent's process; its worker keeps running. */
   readonly restart: () => void;
 }
 
-/** A leader with its lease. */
+/** A leader with its leadership lease. */
 export interface TestLeader {
   readonly name: string;
   readonly leader: cellLeader.CellLeader;
@@ -46,16 +46,16 @@
   readonly isDeposed: () => boolean;
 }
 
-/** The cell. */
+/** A cell under test. */
 export interface TestCell extends disposable.Disposable {
   readonly clock: clock.FakeClock;
   readonly store: memoryStore.MemoryStore;
   readonly agents: readonly TestAgent[];
-  /** Links that are cut, as `leader agent`, or `leader store`. */
+  /** Links that are cut, as `leader workerId` or `leader store`. */
   readonly cut: Set<string>;
-  /** Takes the cell over; agents that the leader reaches report to it from then on. */
+  /** Starts a leader that takes over the cell; the agents that it reaches report to it from then on. */
   readonly lead: (name: string) => Promise<TestLeader>;
-  /** Starts of one job that really ran, over all workers. */
+  /** Runs of one job that were executed, over all workers. */
   readonly runsOf: (jobId: string) => readonly memoryWorker.RunRecord[];
 }
 
@@ -102,8 +102,8 @@
 };
 
 /**
- * @param jobId - id
- * @param change - what differs from one member with one accelerator that runs for an hour
+ * @param jobId - id of the job
+ * @param change - changes to a job of one member with one accelerator that runs for an hour
  * @returns a job
  */
 export const specOf = (jobId: string, change: Partial<job.JobSpec> = {}): job.JobSpec => ({
@@ -121,11 +121,11 @@
   ...change,
 });
 
-const lost = (): errors.AuburnliftError => errors.fail('peerUnreachable', 'the link is cut');
+const linkCut = (): errors.AuburnliftError => errors.fail('peerUnreachable', 'the link is cut');
 
 /**
- * @param workers - how many
- * @param acceleratorsPerWorker - how many each has
+ * @param workers - number of workers
+ * @param acceleratorsPerWorker - accelerators of each worker
  * @returns a cell without a leader
  */
 export const createCell = (workers = 3, acceleratorsPerWorker = 4): TestCell => {
@@ -151,7 +151,7 @@
   ): Promise<agentRuntime.ReportAnswer> => {
     const name = leadersOf.get(info.agentUrl);
     const held = leaders.find((it) => it.name === name);
-    if (held === undefined || cut.has(`${name} ${info.workerId}`)) throw lost();
+    if (held === undefined || cut.has(`${name} ${info.workerId}`)) throw linkCut();
     const answer = held.leader.report({
       ...report,
       stampMs: report.stampMs,
@@ -201,25 +201,25 @@
 
   const agentAt = (name: string, agentUrl: string): TestAgent => {
     const found = agents.find((it) => it.info.agentUrl === agentUrl);
-    if (found === undefined || cut.has(`${name} ${found.info.workerId}`)) throw lost();
+    if (found === undefined || cut.has(`${name} ${found.info.workerId}`)) throw linkCut();
     return found;
   };
-  /** The store as one leader reaches it. */
+  /** The store over the link of one leader, which fails while the link is cut. */
   const storeOf = (name: string): store.Store => {
-    const reach =
+    const overLink =
       <A extends unknown[], T>(call: (...args: A) => Promise<T>) =>
       async (...args: A): Promise<T> => {
         if (cut.has(`${name} store`)) throw errors.fail('storeUnavailable', 'the link is cut');
         return call(...args);
       };
     return {
-      get: reach(target.get),
-      list: reach(target.list),
-      compareAndSwap: reach(target.compareAndSwap),
-      grantLease: reach(target.grantLease),
-      renewLease: reach(target.renewLease),
-      revokeLease: reach(target.revokeLease),
-      watch: reach(target.watch),
+      get: overLink(target.get),
+      list: overLink(target.list),
+      compareAndSwap: overLink(target.compareAndSwap),
+      grantLease: overLink(target.grantLease),
+      renewLease: overLink(target.renewLease),
+      revokeLease: overLink(target.revokeLease),
+      watch: overLink(target.watch),
     };
   };
   const fence = (name: string, epoch: number, agentUrl: string): agentReports.AgentState => {
@@ -243,9 +243,9 @@
     runsOf: (jobId) =>
       agents.flatMap((it) => it.worker.runs()).filter((it) => it.key.startsWith(`${jobId}/`)),
     lead: async (name) => {
-      const reached = storeOf(name);
+      const linkedStore = storeOf(name);
       const won = await leadership.tryAcquireLeadership({
-        store: reached,
+        store: linkedStore,
         clock: time,
         cell: CELL,
         leaderId: name,
@@ -259,8 +259,8 @@
       const leader = cellLeader.createCellLeader({
         cell: CELL,
         epoch,
-        store: reached,
-        jobStore: jobStore.createJobStore({ store: reached, cell: CELL, epoch, newId }),
+        store: linkedStore,
+        jobStore: jobStore.createJobStore({ store: linkedStore, cell: CELL, epoch, newId }),
         clock: time,
         log: logging.silentLog,
         metrics: metrics.createMetrics(),
@@ -269,7 +269,7 @@
         fence: async (agentUrl) => Promise.resolve(fence(name, epoch, agentUrl)),
         sendCommands: async (agentUrl, bootId, commands) => {
           const { info, runtime } = agentAt(name, agentUrl);
-          if (boots.get(info.workerId) !== bootId) throw lost();
+          if (boots.get(info.workerId) !== bootId) throw linkCut();
           const results = await runtime().command(epoch, commands);
           return { bootId, commandCount: runtime().commandCount(), results };
         },
--- a/src/standins/test/cellLeadership.test.ts
+++ b/src/standins/test/cellLeadership.test.ts
@@ -1,6 +1,6 @@
 /**
- * Take-over, store outage, lost answers and lost workers, with leaders and agents as they run and
- * stand-ins for the platform. Time is a fake clock's.
+ * Takeovers, store outages, lost answers and lost workers of a cell, with production leaders and agents and
+ * stand-ins for the platform, on a fake clock.
  */
 import * as assert from 'node:assert/strict';
 import * as nodeTest from 'node:test';
@@ -11,7 +11,7 @@
 
 const isLive = (it: memoryWorker.RunRecord): boolean => it.endedAtMs === undefined;
 
-/** Starts of one member whose times overlap. */
+/** Number of runs that overlap in time with a later run of the same member. */
 const overlaps = (runs: readonly memoryWorker.RunRecord[]): number =>
   runs.filter((a, index) =>
     runs
@@ -26,8 +26,8 @@
 
 const SETTLE_MS = 3000;
 
-/** After this time the agents have been up long enough to vote. */
-const WARM_MS = 40_000;
+/** After this time the uptime of the agents is long enough for their votes to count. */
+const VOTING_UPTIME_MS = 40_000;
 
 const withCell = async (run: (cell: cellKit.TestCell) => Promise<void>): Promise<void> => {
   const cell = cellKit.createCell();
@@ -49,16 +49,16 @@
   return first;
 };
 
-const die = async (leader: cellKit.TestLeader): Promise<void> => {
+const kill = async (leader: cellKit.TestLeader): Promise<void> => {
   leader.won.lease.abandon();
   await leader.leader.dispose();
 };
 
-nodeTest.test('a gang runs on while its cell changes leaders', () =>
-  // The scheduler is killed. A few seconds later another one has the cell; users see their job
-  // running all the time, because its agents keep its leases until the new leader renews them.
+nodeTest.test('a gang keeps running while its cell changes leaders', () =>
+  // The scheduler is killed and another one takes over a few seconds later. The job stays running all the
+  // time, because its agents keep its leases until the new leader renews them.
   withCell(async (cell) => {
-    await die(await leadAndSubmit(cell));
+    await kill(await leadAndSubmit(cell));
     await cell.clock.advance(cellKit.STORE_LEASE_MS + 1000);
     const second = await cell.lead('second');
     await cell.clock.advance(60_000);
@@ -68,62 +68,62 @@
   }),
 );
 
+nodeTest.test('running tasks survive a long store outage and no new task starts', () =>
+  // The store is down for ten minutes, many times any lease. The running gang must not be affected, and a
+  // submitted job is refused without having run. After the outage the old lease is gone and a new leader takes over.
+  withCell(async (cell) => {
+    const first = await leadAndSubmit(cell);
+    await cell.clock.advance(VOTING_UPTIME_MS);
+    cell.store.faults.isDown = true;
+    await cell.clock.advance(cellKit.TASK_LEASE_MS);
+    await assert.rejects(first.leader.submit(cellKit.specOf('late')), {
+      kind: 'storeUnavailable',
+    });
+    await cell.clock.advance(600_000);
+    assert.equal(first.won.lease.isHeld(), false);
+    assert.equal(cell.runsOf('gang').filter(isLive).length, 3);
+    cell.store.faults.isDown = false;
+    await cell.clock.advance(SETTLE_MS);
+    assert.equal(first.won.lease.isLost(), true);
+    await kill(first);
+    const second = await cell.lead('second');
+    await cell.clock.advance(SETTLE_MS);
+    assert.equal(second.leader.show('gang').state, 'running');
+    assert.equal(cell.runsOf('gang').length, 3);
+    assert.equal(cell.runsOf('late').length, 0);
+  }),
+);
+
 nodeTest.test(
-  'running tasks live through a long time without the store and nothing new starts',
+  'a previous leader that is the only one to reach a worker can not make its job run twice',
   () =>
-    // The store is down for ten minutes, many times any lease. The running gang must not notice; a job that is submitted is
-    // refused as not run. When the store is back the old lease is gone and a new leader takes over.
+    // The first leader loses the store and two of three agents, but still serves the third. The second
+    // leader reaches the other two. If the first kept renewing leases, the job would run on the third
+    // worker while the second leader restarts it on another one.
     withCell(async (cell) => {
-      const first = await leadAndSubmit(cell);
-      await cell.clock.advance(WARM_MS);
-      cell.store.faults.isDown = true;
-      await cell.clock.advance(cellKit.TASK_LEASE_MS);
-      await assert.rejects(first.leader.submit(cellKit.specOf('late')), {
-        kind: 'storeUnavailable',
-      });
-      await cell.clock.advance(600_000);
-      assert.equal(first.won.lease.isHeld(), false);
-      assert.equal(cell.runsOf('gang').filter(isLive).length, 3);
-      cell.store.faults.isDown = false;
+      const first = await cell.lead('first');
       await cell.clock.advance(SETTLE_MS);
-      assert.equal(first.won.lease.isLost(), true);
-      await die(first);
+      await first.leader.submit(cellKit.specOf('job', { acceleratorsPerMember: 4 }));
+      await cell.clock.advance(VOTING_UPTIME_MS);
+      const workerId = first.leader.show('job').placement[0]?.workerId ?? '';
+      cell.cut.add('first store');
+      for (const { info } of cell.agents) {
+        cell.cut.add(`${info.workerId === workerId ? 'second' : 'first'} ${info.workerId}`);
+      }
+      await cell.clock.advance(cellKit.STORE_LEASE_MS + 1000);
       const second = await cell.lead('second');
-      await cell.clock.advance(SETTLE_MS);
-      assert.equal(second.leader.show('gang').state, 'running');
-      assert.equal(cell.runsOf('gang').length, 3);
-      assert.equal(cell.runsOf('late').length, 0);
+      await cell.clock.advance(10_000);
+      assert.equal(cell.runsOf('job').length, 1);
+      await cell.clock.advance(60_000);
+      assert.equal(second.leader.show('job').state, 'running');
+      assert.equal(cell.runsOf('job').length, 2);
+      assert.equal(overlaps(cell.runsOf('job')), 0);
     }),
 );
 
-nodeTest.test('a former leader that alone reaches a worker can not make its job run twice', () =>
-  // The first leader loses the store and two of three agents, but goes on serving the third. The
-  // second leader reaches the other two. If the first went on renewing, the job would run on the
-  // third worker while the second leader starts it again elsewhere.
-  withCell(async (cell) => {
-    const first = await cell.lead('first');
-    await cell.clock.advance(SETTLE_MS);
-    await first.leader.submit(cellKit.specOf('job', { acceleratorsPerMember: 4 }));
-    await cell.clock.advance(WARM_MS);
-    const place = first.leader.show('job').placement[0]?.workerId ?? '';
-    cell.cut.add('first store');
-    for (const { info } of cell.agents) {
-      cell.cut.add(`${info.workerId === place ? 'second' : 'first'} ${info.workerId}`);
-    }
-    await cell.clock.advance(cellKit.STORE_LEASE_MS + 1000);
-    const second = await cell.lead('second');
-    await cell.clock.advance(10_000);
-    assert.equal(cell.runsOf('job').length, 1);
-    await cell.clock.advance(60_000);
-    assert.equal(second.leader.show('job').state, 'running');
-    assert.equal(cell.runsOf('job').length, 2);
-    assert.equal(overlaps(cell.runsOf('job')), 0);
-  }),
-);
-
 nodeTest.test('a commit whose answer is lost starts the gang once', () =>
-  // The store applies the write that commits a placement and its answer is lost. The leader reads
-  // back and finds its own write id; taking it for a failure would start a second attempt.
+  // The store applies the write that commits a placement, but its answer is lost. The leader reads the
+  // record back and finds its own write id; treating the write as failed would start a second attempt.
   withCell(async (cell) => {
     const first = await cell.lead('first');
     await cell.clock.advance(SETTLE_MS);
@@ -135,7 +135,7 @@
   }),
 );
 
-nodeTest.test('a start whose answer is lost at the worker is one run', () =>
+nodeTest.test('a start whose answer from the worker is lost runs once', () =>
   withCell(async (cell) => {
     const first = await cell.lead('first');
     await cell.clock.advance(SETTLE_MS);
@@ -149,17 +149,17 @@
   }),
 );
 
-nodeTest.test('a gang that loses a machine stops whole and runs again whole', () =>
-  // A VM fails with its worker and its agent. Its leases run out, then the other members are
-  // stopped and the gang is placed anew; until a machine is back it waits, and no part of it runs.
+nodeTest.test('a gang that loses a machine stops completely and restarts completely', () =>
+  // A VM fails with its worker and its agent. When its leases have expired, the other members are stopped
+  // and the gang is placed again; until it has enough machines it waits, and no member of it runs.
   withCell(async (cell) => {
     const first = await cell.lead('first');
     await cell.clock.advance(SETTLE_MS);
     await first.leader.submit(cellKit.specOf('gang', { members: 2, acceleratorsPerMember: 4 }));
     await cell.clock.advance(SETTLE_MS);
-    const place = first.leader.show('gang').placement[0]?.workerId ?? '';
-    cell.cut.add(`first ${place}`);
-    cell.agents.find((it) => it.info.workerId === place)?.worker.crash();
+    const workerId = first.leader.show('gang').placement[0]?.workerId ?? '';
+    cell.cut.add(`first ${workerId}`);
+    cell.agents.find((it) => it.info.workerId === workerId)?.worker.crash();
     await cell.clock.advance(cellKit.TASK_LEASE_MS + 10_000);
     assert.equal(first.leader.show('gang').state, 'running');
     assert.equal(cell.runsOf('gang').filter(isLive).length, 2);
@@ -167,23 +167,21 @@
   }),
 );
 
-nodeTest.test(
-  'a worker that is alive but not reached stops its task before it runs elsewhere',
-  () =>
-    withCell(async (cell) => {
-      const first = await cell.lead('first');
-      await cell.clock.advance(SETTLE_MS);
-      await first.leader.submit(cellKit.specOf('job', { acceleratorsPerMember: 4 }));
-      await cell.clock.advance(SETTLE_MS);
-      cell.cut.add(`first ${first.leader.show('job').placement[0]?.workerId ?? ''}`);
-      await cell.clock.advance(40_000);
-      assert.equal(first.leader.show('job').state, 'running');
-      assert.equal(cell.runsOf('job').length, 2);
-      assert.equal(overlaps(cell.runsOf('job')), 0);
-    }),
+nodeTest.test('a live but unreachable worker stops its task before it runs on another worker', () =>
+  withCell(async (cell) => {
+    const first = await cell.lead('first');
+    await cell.clock.advance(SETTLE_MS);
+    await first.leader.submit(cellKit.specOf('job', { acceleratorsPerMember: 4 }));
+    await cell.clock.advance(SETTLE_MS);
+    cell.cut.add(`first ${first.leader.show('job').placement[0]?.workerId ?? ''}`);
+    await cell.clock.advance(40_000);
+    assert.equal(first.leader.show('job').state, 'running');
+    assert.equal(cell.runsOf('job').length, 2);
+    assert.equal(overlaps(cell.runsOf('job')), 0);
+  }),
 );
 
-nodeTest.test('a task runs on while its agent is replaced', () =>
+nodeTest.test('a task keeps running while its agent is replaced', () =>
   withCell(async (cell) => {
     const first = await leadAndSubmit(cell);
     cell.agents[0]?.restart();
@@ -193,36 +191,38 @@
   }),
 );
 
-nodeTest.test('a job that was being stopped when its leader died is stopped by the next', () =>
-  // An operator cancels; the leader writes that down and dies before any stop is sent. The next
-  // leader finds the members running and must send the stops itself.
-  withCell(async (cell) => {
-    const first = await leadAndSubmit(cell);
-    for (const { info } of cell.agents) cell.cut.add(`first ${info.workerId}`);
-    await first.leader.cancel(['gang']);
-    await die(first);
-    assert.equal(cell.runsOf('gang').filter(isLive).length, 3);
-    await cell.clock.advance(cellKit.STORE_LEASE_MS + 500);
-    const second = await cell.lead('second');
-    await cell.clock.advance(SETTLE_MS);
-    assert.equal(second.leader.show('gang').state, 'cancelled');
-    assert.equal(cell.runsOf('gang').filter(isLive).length, 0);
-  }),
+nodeTest.test(
+  'a job that was being stopped when its leader ended is stopped by the next leader',
+  () =>
+    // An operator cancels; the leader stores the cancellation and ends before any stop is sent. The next
+    // leader finds the members running and must send the stops itself.
+    withCell(async (cell) => {
+      const first = await leadAndSubmit(cell);
+      for (const { info } of cell.agents) cell.cut.add(`first ${info.workerId}`);
+      await first.leader.cancel(['gang']);
+      await kill(first);
+      assert.equal(cell.runsOf('gang').filter(isLive).length, 3);
+      await cell.clock.advance(cellKit.STORE_LEASE_MS + 500);
+      const second = await cell.lead('second');
+      await cell.clock.advance(SETTLE_MS);
+      assert.equal(second.leader.show('gang').state, 'cancelled');
+      assert.equal(cell.runsOf('gang').filter(isLive).length, 0);
+    }),
 );
 
-nodeTest.test('a member that finished counts as finished after its leader died', () =>
+nodeTest.test('a finished member still counts as finished after its leader has ended', () =>
   // One member of a gang is done and the other still runs when the leader is killed. The next leader
-  // must not take the finished member for lost, or the whole gang would run again.
+  // must not treat the finished member as lost, or the whole gang would run again.
   withCell(async (cell) => {
     const first = await leadAndSubmit(cell);
     await first.leader.cancel(['gang']);
     await cell.clock.advance(SETTLE_MS);
     await first.leader.submit(cellKit.specOf('pair', { members: 2, acceleratorsPerMember: 4 }));
     await cell.clock.advance(SETTLE_MS);
-    const place = first.leader.show('pair').placement[0]?.workerId ?? '';
-    cell.agents.find((it) => it.info.workerId === place)?.worker.finish('pair/1/0');
+    const workerId = first.leader.show('pair').placement[0]?.workerId ?? '';
+    cell.agents.find((it) => it.info.workerId === workerId)?.worker.finish('pair/1/0');
     await cell.clock.advance(30_000);
-    await die(first);
+    await kill(first);
     await cell.clock.advance(cellKit.STORE_LEASE_MS + 500);
     const second = await cell.lead('second');
     await cell.clock.advance(30_000);
--- a/src/standins/test/configurationFeed.test.ts
+++ b/src/standins/test/configurationFeed.test.ts
@@ -1,5 +1,5 @@
 /**
- * How a process follows the configuration while the store's answers are lost or long.
+ * Following the configuration while answers of the store are lost or slow to arrive.
  */
 import * as assert from 'node:assert/strict';
 import * as test from 'node:test';
@@ -18,22 +18,22 @@
   return { ...configured, feed };
 };
 
-/** A watch and the time until it is given up, in the stand-in. */
+/** Duration of a watch until its caller abandons it, in the stand-in. */
 const LOST_WATCH_MS = 2400;
 
 interface Case {
   readonly name: string;
   readonly act: (rig: Rig) => Promise<void>;
   readonly version: number;
-  /** Reads of the whole record, with the one at the start. */
+  /** Reads of the complete record, including the initial one. */
   readonly reads: number;
-  /** Oldest proof of what is held. */
+  /** Highest age of the last confirmation that the configuration is current. */
   readonly maxAgeMs: number;
 }
 
 const CASES: readonly Case[] = [
   {
-    name: 'a watch that is lost is followed by a watch, not by the whole record',
+    name: 'a lost watch is followed by a watch, not by a read of the complete record',
     act: async ({ clock: time, store }) => {
       store.faults.areWatchesLost = true;
       await time.advance(LOST_WATCH_MS);
@@ -45,7 +45,7 @@
     maxAgeMs: 1300,
   },
   {
-    name: 'what changed while a watch was lost is told by the next one',
+    name: 'a change during a lost watch is delivered by the next one',
     act: async ({ clock: time, store, configure }) => {
       store.faults.areWatchesLost = true;
       await time.advance(LOST_WATCH_MS);
@@ -58,7 +58,7 @@
     maxAgeMs: 1300,
   },
   {
-    name: 'the whole record is read where two watches are lost',
+    name: 'the complete record is read after two lost watches',
     act: async ({ clock: time, store, configure }) => {
       store.faults.areWatchesLost = true;
       await configure(2);
@@ -69,7 +69,7 @@
     maxAgeMs: LOST_WATCH_MS,
   },
   {
-    name: 'the whole record is read where the history is gone',
+    name: 'the complete record is read where the store reports a gap',
     act: async ({ clock: time, store, configure }) => {
       store.faults.skipNextWatch = true;
       await configure(2);
@@ -80,7 +80,7 @@
     maxAgeMs: 1300,
   },
   {
-    name: 'a change is proved to be the latest at once',
+    name: 'a change is immediately confirmed as current',
     act: async ({ clock: time, configure }) => {
       await time.advance(1000);
       await configure(2);
@@ -92,7 +92,7 @@
   },
 ];
 
-// Guards against a line that is kept full by reads of what is known, and against refusals for want of a proof.
+// Guards against a link saturated by reads of known data, and against refusals for lack of a confirmation.
 test.describe('following the configuration', () => {
   for (const { name, act, version, reads, maxAgeMs } of CASES) {
     test.it(name, async () => {
--- a/src/standins/test/configurationKit.ts
+++ b/src/standins/test/configurationKit.ts
@@ -1,5 +1,5 @@
 /**
- * A store with one configuration on a clock that tests move, and processes that follow it.
+ * A store with one configuration on a fake clock, and processes that follow it.
  */
 import * as clock from '../../base/common/clock.js';
 import * as logging from '../../base/common/logging.js';
@@ -7,15 +7,15 @@
 import type * as poolConfiguration from '../../state/common/pool/poolConfiguration.js';
 import * as memoryStore from '../memoryStore.js';
 
-/** Where the configuration stands. */
+/** Store key of the configuration. */
 export const KEY = 'configuration';
 
-/** A store whose configuration has version 1 at first. */
+/** A store whose configuration initially has version 1. */
 export interface ConfiguredStore {
   readonly clock: clock.FakeClock;
   readonly store: memoryStore.MemoryStore;
   readonly configure: (version: number) => Promise<void>;
-  /** @param source - what the process reads and watches */
+  /** @param source - the store that the process reads and watches */
   readonly follow: (
     source: configurationFeed.ConfigurationFeedOptions['store'],
   ) => configurationFeed.ConfigurationFeed;
--- a/src/standins/test/configurationShare.test.ts
+++ b/src/standins/test/configurationShare.test.ts
@@ -1,5 +1,5 @@
 /**
- * One read of the configuration for the two processes of a machine.
+ * Sharing one read of the configuration between the entry and the scheduler of a machine.
  */
 import * as assert from 'node:assert/strict';
 import * as test from 'node:test';
@@ -14,7 +14,7 @@
   readonly scheduler: configurationFeed.ConfigurationFeed;
   /** Whether the entry answers the scheduler. */
   readonly entryAnswers: (answers: boolean) => void;
-  /** Questions to the entry, and calls of the store by the scheduler. */
+  /** Requests of the scheduler to the entry, and its direct calls of the store. */
   readonly counts: { asks: number; storeCalls: number };
 }
 
@@ -59,13 +59,13 @@
   readonly name: string;
   readonly act: (rig: Rig) => Promise<void>;
   readonly version: number;
-  /** Whether the scheduler calls the store itself. */
+  /** Whether the scheduler calls the store directly. */
   readonly callsStore: boolean;
 }
 
 const CASES: readonly Case[] = [
   {
-    name: 'a change reaches the scheduler by way of the entry',
+    name: 'a change reaches the scheduler through the entry',
     act: async ({ clock: time, configure }) => {
       await time.advance(3000);
       await configure(2);
@@ -75,7 +75,7 @@
     callsStore: false,
   },
   {
-    name: 'an entry that does not answer is passed by',
+    name: 'an entry that does not answer is bypassed',
     act: async ({ clock: time, configure, entryAnswers }) => {
       entryAnswers(false);
       await configure(2);
@@ -85,7 +85,7 @@
     callsStore: true,
   },
   {
-    name: 'an entry that answers again is asked again',
+    name: 'an entry that answers again is used again',
     act: async ({ clock: time, configure, entryAnswers, counts }) => {
       entryAnswers(false);
       await time.advance(3000);
@@ -99,7 +99,7 @@
     callsStore: false,
   },
   {
-    name: 'an entry without a way to the store is passed by',
+    name: 'an entry that can not reach the store is bypassed',
     act: async ({ clock: time, store, configure }) => {
       store.faults.isDown = true;
       store.faults.areWatchesLost = true;
@@ -113,7 +113,7 @@
     callsStore: true,
   },
   {
-    name: 'an entry that lost the history tells no record twice',
+    name: 'an entry whose watch had a gap sends no record twice',
     act: async ({ clock: time, store, configure }) => {
       store.faults.skipNextWatch = true;
       await configure(2);
@@ -124,10 +124,10 @@
   },
 ];
 
-/** Questions of a quiet scheduler are long waits; more would be a loop. */
+/** An idle scheduler sends long-polling requests; a higher rate would be a busy loop. */
 const MAX_ASKS_PER_S = 4;
 
-// Guards against a line that carries a large configuration twice, and against a scheduler that depends on its entry.
+// Guards against a link that carries a large configuration twice, and a scheduler that depends on its entry.
 test.describe('a configuration shared on one machine', () => {
   for (const { name, act, version, callsStore } of CASES) {
     test.it(name, async () => {
@@ -137,7 +137,7 @@
       assert.equal(rig.scheduler.current()?.configuration.version, version);
       assert.equal(rig.counts.storeCalls > 0, callsStore);
       const seconds = (rig.clock.monotonicMs() - startedAtMs) / 1000;
-      assert.ok(rig.counts.asks <= 10 + seconds * MAX_ASKS_PER_S, `${rig.counts.asks} questions`);
+      assert.ok(rig.counts.asks <= 10 + seconds * MAX_ASKS_PER_S, `${rig.counts.asks} requests`);
       await rig.scheduler.dispose();
       await rig.entry.dispose();
     });
--- a/src/standins/test/configurationStore.test.ts
+++ b/src/standins/test/configurationStore.test.ts
@@ -1,5 +1,5 @@
 /**
- * The write protocol under lost answers, late answers, races, crashes and restored stores.
+ * The write protocol of the configuration under lost and late answers, races, crashes and restored stores.
  */
 import * as assert from 'node:assert/strict';
 import * as test from 'node:test';
@@ -58,21 +58,21 @@
   throw new store.StoreOutcomeUnknown('lost');
 };
 
-const inForce = async (target: store.Store) => {
+const readActive = async (target: store.Store) => {
   const entry = await target.get(storeKeys.CONFIGURATION_KEY);
   return entry && configurationHistory.decodeRecord(entry.value);
 };
 
 interface FaultCase {
   readonly name: string;
-  /** Wraps the swap of the second version; `other` writes the third on top of what stands. */
+  /** Wraps the swap of the second version; `other` writes a version on top of the stored one. */
   readonly swap: (swap: Swap, other: () => Promise<unknown>, down: () => void) => Swap;
   readonly verdict: string;
-  /** Write ids in the store at the end, newest first. */
+  /** Final write ids in the store, newest first. */
   readonly kept: readonly string[];
 }
 
-const inTurn = (steps: readonly Swap[]): Swap => {
+const inSequence = (steps: readonly Swap[]): Swap => {
   let turn = 0;
   return (it) => {
     const step = steps[Math.min(turn, steps.length - 1)];
@@ -83,39 +83,40 @@
 
 const FAULTS: readonly FaultCase[] = [
   {
-    name: 'it takes effect and the answer is lost',
-    swap: (swap) => inTurn([async (it) => swap(it).then(lost), swap]),
+    name: 'it takes effect and its answer is lost',
+    swap: (swap) => inSequence([async (it) => swap(it).then(lost), swap]),
     verdict: 'accepted',
     kept: ['second', 'first'],
   },
   {
     name: 'it never arrives',
-    swap: (swap) => inTurn([() => Promise.resolve().then(lost), swap]),
+    swap: (swap) => inSequence([() => Promise.resolve().then(lost), swap]),
     verdict: 'accepted',
     kept: ['second', 'first'],
   },
   {
-    name: 'it takes effect, the answer is lost, and somebody writes on top',
-    swap: (swap, other) => inTurn([async (it) => swap(it).then(other).then(lost), swap]),
+    name: 'it takes effect, its answer is lost, and another writer adds a version',
+    swap: (swap, other) => inSequence([async (it) => swap(it).then(other).then(lost), swap]),
     verdict: 'accepted',
     kept: ['other', 'second', 'first'],
   },
   {
-    name: 'it never arrives and somebody else writes the version',
-    swap: (swap, other) => inTurn([async () => other().then(lost), swap]),
+    name: 'it never arrives and another writer writes the version',
+    swap: (swap, other) => inSequence([async () => other().then(lost), swap]),
     verdict: 'conflict',
     kept: ['other', 'first'],
   },
   {
     name: 'every answer is lost, the first swap took effect',
-    swap: (swap) => inTurn([async (it) => swap(it).then(lost), () => Promise.resolve().then(lost)]),
+    swap: (swap) =>
+      inSequence([async (it) => swap(it).then(lost), () => Promise.resolve().then(lost)]),
     verdict: 'outcomeUnknown',
     kept: ['second', 'first'],
   },
   {
-    name: 'the answer is lost and the store goes away before anybody can read back',
+    name: 'its answer is lost and the store goes down before it can be read back',
     swap: (swap, _other, down) =>
-      inTurn([
+      inSequence([
         async (it) => {
           await swap(it);
           down();
@@ -129,7 +130,7 @@
   {
     name: 'the store is down before the swap',
     swap: (swap, _other, down) =>
-      inTurn([
+      inSequence([
         (it) => {
           down();
           return swap(it);
@@ -141,7 +142,7 @@
 ];
 
 const historyOf = async (target: store.Store): Promise<readonly string[]> => {
-  const current = await inForce(target);
+  const current = await readActive(target);
   assert.ok(current !== undefined);
   const versions = await configurationHistory.listVersions(target, current);
   return versions.map((it) => it.writeId);
@@ -152,7 +153,7 @@
     const target = create();
     await write(target, change('first', 0));
     const other = async (): Promise<unknown> => {
-      const current = await inForce(target);
+      const current = await readActive(target);
       return write(target, change('other', current?.version ?? 0, 7));
     };
     const down = (): void => {
@@ -162,21 +163,21 @@
     assert.equal(await kindOf(write(faulty, change('second', 1))), it.verdict);
     target.faults.isDown = false;
     assert.deepEqual(await historyOf(target), it.kept);
-    // The operator sends the same change again: whatever was accepted once is accepted again.
+    // The operator sends the same change again: a change that was accepted is accepted again.
     const again = await kindOf(write(target, change('second', 1)));
     const wasTaken = it.kept.includes('second');
     assert.equal(again, wasTaken || it.verdict === 'storeUnavailable' ? 'accepted' : 'conflict');
   });
 }
 
-test.test('a swap that arrives after somebody else has written changes nothing', async () => {
-  // An operator is told of a conflict. Minutes later the first try, stuck on a dead line, reaches
-  // the store. If it took effect, an accepted version would be undone by a change that was refused.
+test.test('a swap that arrives after the write of another writer changes nothing', async () => {
+  // An operator receives a conflict. Minutes later the first attempt, delayed on a broken connection, reaches
+  // the store. If it took effect, a refused change would overwrite an accepted version.
   const target = create();
   await write(target, change('first', 0));
   const stuck: (() => Promise<unknown>)[] = [];
   const faulty = withSwap(target, (swap) =>
-    inTurn([
+    inSequence([
       async (it) => {
         stuck.push(() => swap(it));
         await write(target, change('other', 1, 7));
@@ -191,7 +192,7 @@
 });
 
 test.test(
-  'two operators race: the second sees both changes and nothing of hers is written',
+  'of two concurrent operators the second receives both changes and writes nothing',
   async () => {
     const target = create();
     await write(target, change('first', 0));
@@ -210,16 +211,16 @@
 );
 
 test.test('a write id that was accepted is not accepted for another document', async () => {
-  // A form is sent, the back button pressed, a number changed and the form sent again. The second
-  // document would be reported as accepted although only the first one was written.
+  // A form is sent, and sent again with another number after the back button. The second document would
+  // be reported as accepted although only the first one was written.
   const target = create();
   await write(target, change('first', 0));
   assert.equal(await kindOf(write(target, change('first', 0, 5))), 'conflict');
 });
 
-test.test('a writer that dies at any store call loses no version', async () => {
-  // The entry VM is replaced in the middle of a write. Auditors later miss the version that was in
-  // force before, because its copy was to be written after the swap. Here the copy goes first.
+test.test('no version is lost when a writer ends at any store call', async () => {
+  // The entry VM is replaced in the middle of a write. If the copy of the previously active version were
+  // written after the swap, that version would be missing from the history, so the copy is written first.
   const calls = async (limit: number): Promise<{ target: store.Store; made: number }> => {
     const target = create();
     await write(target, change('first', 0));
@@ -244,31 +245,28 @@
     const { target } = await calls(limit);
     const kept = await historyOf(target);
     assert.deepEqual(kept.slice(-2), ['second', 'first']);
-    assert.equal(kept.length, (await inForce(target))?.version);
+    assert.equal(kept.length, (await readActive(target))?.version);
     assert.equal(await kindOf(write(target, change('third', 2))), 'accepted');
   }
 });
 
-test.test(
-  'nothing is written on top of a store that was restored from an older state',
-  async () => {
-    // The platform restores a backup. An operator's next change would take a version number that is
-    // in force already with another content, and processes would differ for good.
-    const cases = [
-      { known: { version: 5, writeId: 'later' }, verdict: 'conflict' },
-      { known: { version: 1, writeId: 'elsewhere' }, verdict: 'conflict' },
-      { known: { version: 1, writeId: 'first' }, verdict: 'accepted' },
-      { known: undefined, verdict: 'accepted' },
-    ];
-    for (const { known, verdict } of cases) {
-      const target = create();
-      await write(target, change('first', 0));
-      assert.equal(await kindOf(write(target, change('second', 1), known)), verdict);
-    }
-  },
-);
+test.test('no version is written on a store that was restored from an older state', async () => {
+  // The platform restores a backup. An operator's next change would reuse a version number that is already
+  // active with other content, and processes would differ permanently.
+  const cases = [
+    { known: { version: 5, writeId: 'later' }, verdict: 'conflict' },
+    { known: { version: 1, writeId: 'elsewhere' }, verdict: 'conflict' },
+    { known: { version: 1, writeId: 'first' }, verdict: 'accepted' },
+    { known: undefined, verdict: 'accepted' },
+  ];
+  for (const { known, verdict } of cases) {
+    const target = create();
+    await write(target, change('first', 0));
+    assert.equal(await kindOf(write(target, change('second', 1), known)), verdict);
+  }
+});
 
-test.test('the history is kept within its bound', async () => {
+test.test('the history stays within its bound', async () => {
   const target = create();
   const { HISTORY_VERSIONS } = configurationHistory;
   const last = HISTORY_VERSIONS + 3;
--- a/src/standins/test/contractKit.ts
+++ b/src/standins/test/contractKit.ts
@@ -1,6 +1,6 @@
 /**
- * What the contract tests of the store and the worker share: each subject is run once as the
- * stand-in itself and once through the client over HTTP.
+ * Subjects shared by the contract tests of the store and the worker: each contract is tested on the
+ * stand-in itself and on the HTTP client in front of it.
  */
 import * as timers from 'node:timers/promises';
 
@@ -19,10 +19,10 @@
 import * as storeServer from '../storeServer.js';
 import * as workerServer from '../workerServer.js';
 
-/** A call that gets no answer ends after this time. */
+/** Timeout of a call. */
 const TIMEOUT_MS = 150;
 
-/** A subject under test with the switches of the stand-in behind it. */
+/** A subject under test with the stand-in behind it, whose fault switches tests set. */
 export interface Subject<T, S> {
   readonly subject: T;
   readonly standIn: S;
@@ -30,7 +30,7 @@
   readonly owned: disposable.DisposableStore;
 }
 
-/** Makes a fresh subject. */
+/** Creates a new subject. */
 export type CreateSubject<T, S> = () => Promise<Subject<T, S>>;
 
 const createClient = (owned: disposable.DisposableStore): httpClient.HttpClient =>
@@ -43,7 +43,7 @@
     }),
   );
 
-/** The two ways to the store. */
+/** The store as stand-in and through the HTTP client. */
 export const STORES: readonly [string, CreateSubject<store.Store, memoryStore.MemoryStore>][] = [
   [
     'stand-in',
@@ -73,7 +73,7 @@
   ],
 ];
 
-/** The two ways to the worker. */
+/** The worker as stand-in and through the HTTP client. */
 export const WORKERS: readonly [
   string,
   CreateSubject<workerContract.Worker, memoryWorker.MemoryWorker>,
@@ -106,7 +106,7 @@
 ];
 
 /**
- * @param isTrue - what to wait for, without regard to time
+ * @param isTrue - condition to wait for, without a timeout
  */
 export const until = async (isTrue: () => boolean): Promise<void> => {
   while (!isTrue()) await timers.setImmediate();
--- a/src/standins/test/jobDesk.test.ts
+++ b/src/standins/test/jobDesk.test.ts
@@ -1,5 +1,5 @@
 /**
- * Taking jobs in at an entry: what is stored, and that a refusal is true.
+ * Accepting jobs at an entry: what is stored, and that a refused job is never stored.
  */
 import * as assert from 'node:assert/strict';
 import * as test from 'node:test';
@@ -46,7 +46,7 @@
   readonly feed: configurationFeed.ConfigurationFeed;
   readonly desk: jobRequestHandler.JobRequestHandler;
   readonly configure: (text: string) => Promise<void>;
-  /** The store is heard though it tells nothing new: a long answer is on its way. */
+  /** Records contact with the store without new data, as while a long answer is arriving. */
   readonly hear: () => void;
 }
 
@@ -66,7 +66,7 @@
     decode: (text) => JSON.parse(text) as poolConfiguration.PoolConfiguration,
   });
   await time.advance(100);
-  let heardAtMs = Number.NEGATIVE_INFINITY;
+  let contactAtMs = Number.NEGATIVE_INFINITY;
   const desk = jobRequestHandler.createJobRequestHandler({
     store,
     clock: time,
@@ -74,11 +74,11 @@
     metrics: metrics.createMetrics(),
     feed,
     configurationKey: CONFIGURATION_KEY,
-    storeAgeMs: () => Math.min(feed.ageMs(), time.monotonicMs() - heardAtMs),
+    storeAgeMs: () => Math.min(feed.ageMs(), time.monotonicMs() - contactAtMs),
     revokeMs: 5000,
   });
   const hear = (): void => {
-    heardAtMs = time.monotonicMs();
+    contactAtMs = time.monotonicMs();
   };
   return { clock: time, store, feed, desk, configure, hear };
 };
@@ -98,9 +98,9 @@
   schedule: undefined,
 };
 
-/** The outcome of a call, while the clock runs on. */
-const outcomeOf = async (rig: Rig, deed: () => Promise<unknown>): Promise<unknown> => {
-  const settled = deed().then(
+/** The outcome of an action after 3 seconds of the fake clock. */
+const outcomeOf = async (rig: Rig, action: () => Promise<unknown>): Promise<unknown> => {
+  const settled = action().then(
     (value) => value ?? 'accepted',
     (thrown: unknown) => errors.normalize(thrown).kind,
   );
@@ -108,8 +108,8 @@
   return settled;
 };
 
-const submit = (rig: Rig, its = call()): Promise<unknown> =>
-  outcomeOf(rig, async () => rig.desk.submit(its, rig.desk.admit(its), DRAFT));
+const submit = (rig: Rig, request = call()): Promise<unknown> =>
+  outcomeOf(rig, async () => rig.desk.submit(request, rig.desk.admit(request), DRAFT));
 
 const isStored = async (rig: Rig): Promise<boolean> =>
   (await rig.store.get(poolKeys.jobKey(ID, poolKeys.JobPart.spec))) !== undefined;
@@ -118,14 +118,14 @@
   readonly name: string;
   readonly act: (rig: Rig) => Promise<unknown>;
   readonly outcome: unknown;
-  /** Whether the job is stored in the end. */
+  /** Whether the job is stored at the end. */
   readonly isStored: boolean;
 }
 
 const SUBMIT_CASES: readonly Case[] = [
   { name: 'a job is stored', act: submit, outcome: 'accepted', isStored: true },
   {
-    name: 'the same job again is the same job',
+    name: 'a repeated submission is accepted as the same job',
     act: async (rig) => {
       await submit(rig);
       return submit(rig);
@@ -152,21 +152,21 @@
     isStored: false,
   },
   {
-    name: 'a step that refers forward',
+    name: 'a step that depends on itself',
     act: (rig) => {
-      const its = call();
+      const request = call();
       const steps = [fixtures.makeStep({ after: [0] })];
       return outcomeOf(rig, async () =>
-        rig.desk.submit(its, rig.desk.admit(its), { ...DRAFT, steps }),
+        rig.desk.submit(request, rig.desk.admit(request), { ...DRAFT, steps }),
       );
     },
     outcome: 'invalidRequest',
     isStored: false,
   },
   {
-    // The store does the write and its answer is lost. Told that it was refused, the caller would see
-    // its job run all the same.
-    name: 'a lost answer does not make a refusal',
+    // The store applies the write and request answer is lost. If the caller received a refusal, request job would
+    // run nevertheless.
+    name: 'a lost answer is not reported as a refusal',
     act: (rig) => {
       rig.store.faults.loseWriteAnswers = 1;
       return submit(rig);
@@ -175,8 +175,8 @@
     isStored: true,
   },
   {
-    // No answer comes at all while the caller waits, and the write takes effect afterwards.
-    name: 'a write that is still open is never called a refusal',
+    // No answer arrives while the caller waits, and the write takes effect afterwards.
+    name: 'a write in flight is never reported as a refusal',
     act: async (rig) => {
       rig.store.faults.delayTransactions = 20;
       const outcome = await submit(rig);
@@ -187,7 +187,7 @@
     isStored: true,
   },
   {
-    name: 'a store that is down refuses, and nothing was stored',
+    name: 'a job is refused and not stored while the store is down',
     act: async (rig) => {
       rig.store.faults.isDown = true;
       const outcome = await submit(rig);
@@ -198,35 +198,35 @@
     isStored: false,
   },
   {
-    // The credential is withdrawn and a job with it comes before this entry has heard: the write is
-    // conditional on the configuration by which the call was judged.
-    name: 'a credential that was withdrawn a moment ago is not taken',
+    // The credential is revoked, and a job with it arrives before this entry has received the change: the
+    // write is conditional on the configuration with which the call was admitted.
+    name: 'a credential that was just revoked is not accepted',
     act: (rig) =>
       outcomeOf(rig, async () => {
-        const its = call();
-        const admitted = rig.desk.admit(its);
+        const request = call();
+        const admitted = rig.desk.admit(request);
         await rig.configure(makeConfiguration(2, ['another']));
-        return rig.desk.submit(its, admitted, DRAFT);
+        return rig.desk.submit(request, admitted, DRAFT);
       }),
     outcome: 'unauthenticated',
     isStored: false,
   },
   {
-    name: 'a change that leaves the call allowed does not refuse it',
+    name: 'a configuration change that still allows the call does not refuse it',
     act: (rig) =>
       outcomeOf(rig, async () => {
-        const its = call();
-        const admitted = rig.desk.admit(its);
+        const request = call();
+        const admitted = rig.desk.admit(request);
         await rig.configure(makeConfiguration(2, ['key', 'another']));
-        return rig.desk.submit(its, admitted, DRAFT);
+        return rig.desk.submit(request, admitted, DRAFT);
       }),
     outcome: 'accepted',
     isStored: true,
   },
   {
-    // An entry is cut off from the store. Its copy of the configuration gets old, and a credential may
-    // have been withdrawn since.
-    name: 'without proof of a fresh configuration no credential is taken',
+    // An entry is cut off from the store. Its copy of the configuration becomes stale, and a credential may
+    // have been revoked since.
+    name: 'no credential is accepted without a recent confirmation of the configuration',
     act: async (rig) => {
       rig.store.faults.isDown = true;
       await rig.clock.advance(6000);
@@ -239,7 +239,7 @@
     isStored: false,
   },
   {
-    name: 'a proof that waits for a long answer refuses no job',
+    name: 'a confirmation delayed by a long answer refuses no job',
     act: async (rig) => {
       rig.store.faults.areWatchesLost = true;
       await rig.clock.advance(2000);
@@ -250,14 +250,14 @@
     isStored: true,
   },
   {
-    name: 'a configuration that does not arrive in time is a true refusal',
+    name: 'a job is refused and not stored where a new configuration does not arrive in time',
     act: async (rig) => {
       rig.store.faults.areWatchesLost = true;
       await rig.clock.advance(2000);
-      const its = call();
-      const admitted = rig.desk.admit(its);
+      const request = call();
+      const admitted = rig.desk.admit(request);
       await rig.configure(makeConfiguration(2, ['key']));
-      const outcome = await outcomeOf(rig, () => rig.desk.submit(its, admitted, DRAFT));
+      const outcome = await outcomeOf(rig, () => rig.desk.submit(request, admitted, DRAFT));
       rig.store.faults.areWatchesLost = false;
       return outcome;
     },
@@ -265,19 +265,19 @@
     isStored: false,
   },
   {
-    name: 'a change under a call costs no read of the whole configuration',
+    name: 'a configuration change during a call costs no read of the complete configuration',
     act: async (rig) => {
-      const its = call();
-      const admitted = rig.desk.admit(its);
+      const request = call();
+      const admitted = rig.desk.admit(request);
       await rig.configure(makeConfiguration(2, ['key']));
-      await outcomeOf(rig, () => rig.desk.submit(its, admitted, DRAFT));
+      await outcomeOf(rig, () => rig.desk.submit(request, admitted, DRAFT));
       return rig.store.calls().list;
     },
     outcome: 1,
     isStored: true,
   },
   {
-    name: 'no older configuration is taken',
+    name: 'an older configuration is not adopted',
     act: async (rig) => {
       await rig.configure(makeConfiguration(5, ['key']));
       await rig.clock.advance(200);
@@ -300,13 +300,13 @@
     });
   }
 
-  test.it('a caller is told within a second while the store is silent', async () => {
+  test.it('a caller gets an answer within a second while the store is down', async () => {
     const rig = await createRig();
     rig.store.faults.isDown = true;
     const startedAtMs = rig.clock.monotonicMs();
     let answeredAtMs = Infinity;
-    const its = call();
-    const settled = rig.desk.submit(its, rig.desk.admit(its), DRAFT).catch(() => {
+    const request = call();
+    const settled = rig.desk.submit(request, rig.desk.admit(request), DRAFT).catch(() => {
       answeredAtMs = rig.clock.monotonicMs();
     });
     await rig.clock.advance(1000);
@@ -317,20 +317,20 @@
 });
 
 const state = (rig: Rig): Promise<unknown> => {
-  const its = call();
-  return outcomeOf(rig, async () => rig.desk.state(its, rig.desk.admit(its)));
+  const request = call();
+  return outcomeOf(rig, async () => rig.desk.state(request, rig.desk.admit(request)));
 };
 
 const cancel = (rig: Rig): Promise<unknown> => {
-  const its = call();
-  return outcomeOf(rig, async () => rig.desk.cancel(its, rig.desk.admit(its)));
+  const request = call();
+  return outcomeOf(rig, async () => rig.desk.cancel(request, rig.desk.admit(request)));
 };
 
 const STATE_CASES: readonly [string, (rig: Rig) => Promise<unknown>, unknown][] = [
-  ['a job that nobody submitted is gone', state, 'gone'],
-  ['cancelling it says the same', cancel, 'gone'],
+  ['a job that was never submitted is gone', state, 'gone'],
+  ['cancelling a job that was never submitted reports it as gone', cancel, 'gone'],
   [
-    'a job that has not begun is queued',
+    'a job that has not started is queued',
     async (rig) => {
       await submit(rig);
       return state(rig);
@@ -338,7 +338,7 @@
     'queued',
   ],
   [
-    'a cancelled job is cancelled before the leader has heard of it',
+    'a cancelled job is cancelled before the leader has received the cancellation',
     async (rig) => {
       await submit(rig);
       await cancel(rig);
@@ -347,7 +347,7 @@
     'cancelled',
   ],
   [
-    'what the leader stored goes first',
+    'the state that the leader stored takes precedence',
     async (rig) => {
       await submit(rig);
       await cancel(rig);
@@ -359,7 +359,7 @@
     'complete',
   ],
   [
-    'a store that does not answer says nothing of the job',
+    'the state of a job is unavailable while the store is down',
     async (rig) => {
       await submit(rig);
       rig.store.faults.isDown = true;
--- a/src/standins/test/jobDeskWait.test.ts
+++ b/src/standins/test/jobDeskWait.test.ts
@@ -1,5 +1,5 @@
 /**
- * How long a caller is held while the store is slow.
+ * How long a caller waits while the store is slow.
  */
 import * as assert from 'node:assert/strict';
 import * as test from 'node:test';
@@ -15,14 +15,14 @@
 import * as memoryStore from '../memoryStore.js';
 
 const ID = '5c0e7a21d94b36f8';
-const MOST_HELD_MS = 900;
+const MAX_WAIT_MS = 900;
 
-/** Times that a read and a write take. */
-const WAITS: readonly [name: string, readMs: number, writeMs: number][] = [
-  ['reads that are slow one after the other', 600, 10],
-  ['a write that begins late', 300, 2000],
+/** Durations of a read and of a write. */
+const DELAYS: readonly [name: string, readMs: number, writeMs: number][] = [
+  ['consecutive slow reads', 600, 10],
+  ['a slow write after a read', 300, 2000],
   ['a write after slow reads', 500, 500],
-  ['a store that answers nothing', 5000, 5000],
+  ['a store that does not answer in time', 5000, 5000],
 ];
 
 const CALL: jobRequestHandler.Call = {
@@ -53,7 +53,7 @@
   };
 };
 
-const createDesk = (
+const createHandler = (
   time: clock.Clock,
   readMs: number,
   writeMs: number,
@@ -91,34 +91,39 @@
   });
 };
 
-const DEEDS = {
-  submit: (desk: jobRequestHandler.JobRequestHandler, admitted: jobRequestHandler.AdmittedCall) =>
-    desk.submit(CALL, admitted, {
+const ACTIONS = {
+  submit: (
+    handler: jobRequestHandler.JobRequestHandler,
+    admitted: jobRequestHandler.AdmittedCall,
+  ) =>
+    handler.submit(CALL, admitted, {
       payload: 'text',
       steps: [fixtures.makeStep()],
       schedule: undefined,
     }),
-  cancel: (desk: jobRequestHandler.JobRequestHandler, admitted: jobRequestHandler.AdmittedCall) =>
-    desk.cancel(CALL, admitted),
-  state: (desk: jobRequestHandler.JobRequestHandler, admitted: jobRequestHandler.AdmittedCall) =>
-    desk.state(CALL, admitted),
+  cancel: (
+    handler: jobRequestHandler.JobRequestHandler,
+    admitted: jobRequestHandler.AdmittedCall,
+  ) => handler.cancel(CALL, admitted),
+  state: (handler: jobRequestHandler.JobRequestHandler, admitted: jobRequestHandler.AdmittedCall) =>
+    handler.state(CALL, admitted),
 } as const;
 
-// Guards against a caller that is held for the sum of several calls of the store.
-test.describe('a caller is told in time', () => {
-  for (const [name, readMs, writeMs] of WAITS) {
-    for (const [deedName, deed] of Object.entries(DEEDS)) {
-      test.it(`${deedName}: ${name}`, async () => {
+// Guards against a caller that waits for the sum of several calls of the store.
+test.describe('a caller is answered in time', () => {
+  for (const [name, readMs, writeMs] of DELAYS) {
+    for (const [actionName, action] of Object.entries(ACTIONS)) {
+      test.it(`${actionName}: ${name}`, async () => {
         const time = clock.createFakeClock(1000);
-        const desk = createDesk(time, readMs, writeMs);
-        let heldMs = Number.POSITIVE_INFINITY;
+        const handler = createHandler(time, readMs, writeMs);
+        let waitedMs = Number.POSITIVE_INFINITY;
         const end = (): void => {
-          heldMs = time.monotonicMs() - 1000;
+          waitedMs = time.monotonicMs() - 1000;
         };
-        const settled = deed(desk, desk.admit(CALL)).then(end, end);
+        const settled = action(handler, handler.admit(CALL)).then(end, end);
         await time.advance(20_000);
         await settled;
-        assert.ok(heldMs <= MOST_HELD_MS, `held ${heldMs} ms`);
+        assert.ok(waitedMs <= MAX_WAIT_MS, `waited ${waitedMs} ms`);
       });
     }
   }
--- a/src/standins/test/poolCancelExploration.test.ts
+++ b/src/standins/test/poolCancelExploration.test.ts
@@ -1,5 +1,5 @@
 /**
- * Cancellations around the ends of outages, every seed the same run. More by hand with `POOL_SEEDS`.
+ * Cancellations around the ends of outages; a seed always gives the same run. `POOL_SEEDS` runs more seeds.
  */
 import * as test from 'node:test';
 
--- a/src/standins/test/poolCancelExploration.ts
+++ b/src/standins/test/poolCancelExploration.ts
@@ -1,6 +1,6 @@
 /**
- * Random outages of the store with cancellations around their ends, from one seed: nothing of a cancelled job
- * is started or works later than callers are promised.
+ * Random store outages with cancellations around their ends, generated from one seed: no task of a cancelled job
+ * starts or runs later than the pool's time limits allow.
  */
 import * as assert from 'node:assert/strict';
 
@@ -14,25 +14,25 @@
 const MIN_JOBS = 6;
 const MORE_JOBS = 20;
 
-/** Changes of faults, and then moments without any. */
+/** Steps that change faults, followed by steps without faults. */
 const FAULT_STEPS = 12;
 const CALM_STEPS = 20;
 const MAX_PAUSE_MS = 1200;
 const MAX_CALM_PAUSE_MS = 600;
 
-/** Everything that was cancelled has ended by then. */
+/** Time after the last step by which all tasks of cancelled jobs have ended. */
 const SETTLE_MS = 12_000;
 
-/** Short first steps are followed by others while the faults last. */
+/** Short first steps end, and the next steps start, while faults are active. */
 const SHORT_MS = 1500;
 const LONG_MS = 60_000;
 
-/** A pool with what has happened to it. */
-interface Scene {
+/** A pool with its jobs and the cancellations so far. */
+interface Scenario {
   readonly pool: poolKit.Pool;
   readonly next: random.Random;
   readonly jobIds: readonly string[];
-  /** When each cancellation was stored. */
+  /** Time at which each cancellation was stored, by job id. */
   readonly cancelledAtMs: Map<string, number>;
 }
 
@@ -45,24 +45,24 @@
     { jobId, attempts: 50 },
   );
 
-const cancelAny = async ({ pool, next, jobIds, cancelledAtMs }: Scene): Promise<void> => {
+const cancelAny = async ({ pool, next, jobIds, cancelledAtMs }: Scenario): Promise<void> => {
   const jobId = random.pick(next, jobIds);
   const { faults } = pool.store;
   const { loseWriteAnswers, delayTransactions } = faults;
-  // The faults of answers are for the leader's writes.
+  // Lost and delayed answers apply to the leader's writes only.
   Object.assign(faults, { loseWriteAnswers: 0, delayTransactions: 0 });
   try {
     await pool.cancel(jobId);
     if (!cancelledAtMs.has(jobId)) cancelledAtMs.set(jobId, pool.clock.monotonicMs());
   } catch {
-    // The store is down: nobody is told that the job is cancelled.
+    // The store is down, so the cancellation was not acknowledged.
   }
   Object.assign(faults, { loseWriteAnswers, delayTransactions });
 };
 
-const crashAny = ({ pool, next }: Scene): void => random.pick(next, pool.sites).worker.crash();
+const crashAny = ({ pool, next }: Scenario): void => random.pick(next, pool.sites).worker.crash();
 
-const FAULTS: readonly ((scene: Scene) => void)[] = [
+const FAULTS: readonly ((scenario: Scenario) => void)[] = [
   ({ pool: { store } }) => {
     store.faults.isDown = !store.faults.isDown;
   },
@@ -85,30 +85,30 @@
   },
 ];
 
-const makeFaults = async (scene: Scene): Promise<void> => {
-  const { pool, next } = scene;
+const makeFaults = async (scenario: Scenario): Promise<void> => {
+  const { pool, next } = scenario;
   pool.store.faults.pausesLeases = next() < 0.5;
   for (let step = 0; step < FAULT_STEPS; step += 1) {
-    random.pick(next, FAULTS)(scene);
-    if (next() < 0.6) await cancelAny(scene);
+    random.pick(next, FAULTS)(scenario);
+    if (next() < 0.6) await cancelAny(scenario);
     await pool.clock.advance(next() * MAX_PAUSE_MS);
   }
-  // The watch that is open when the store is back was mostly sent while it was away.
+  // In most outages the watch in flight at the end was sent while the store was down.
   if (next() < 0.7) pool.store.faults.areWatchesLost = true;
   await pool.clock.advance(next() * 2 * MAX_PAUSE_MS);
 };
 
-const goOn = async (scene: Scene): Promise<void> => {
+const runWithoutFaults = async (scenario: Scenario): Promise<void> => {
   for (let step = 0; step < CALM_STEPS; step += 1) {
-    if (scene.next() < 0.4) await cancelAny(scene);
-    // Its tasks are due to be started again, unless their job is known to be cancelled.
-    if (scene.next() < 0.15) crashAny(scene);
-    await scene.pool.clock.advance(scene.next() * MAX_CALM_PAUSE_MS);
+    if (scenario.next() < 0.4) await cancelAny(scenario);
+    // The worker's tasks are restarted, unless the leader has received the cancellation of their job.
+    if (scenario.next() < 0.15) crashAny(scenario);
+    await scenario.pool.clock.advance(scenario.next() * MAX_CALM_PAUSE_MS);
   }
-  await scene.pool.clock.advance(SETTLE_MS);
+  await scenario.pool.clock.advance(SETTLE_MS);
 };
 
-const assertCancelled = ({ pool, cancelledAtMs }: Scene, healedAtMs: number): void => {
+const assertCancelled = ({ pool, cancelledAtMs }: Scenario, healedAtMs: number): void => {
   for (const run of pool.runs().filter((it) => !it.isLate)) {
     const atMs = cancelledAtMs.get(poolKit.jobIdOf(run)) ?? Infinity;
     const name = `${run.task}#${run.run}`;
@@ -116,15 +116,21 @@
       atMs + poolPromises.CANCEL_MS,
       healedAtMs + poolPromises.STABLE_MS,
     );
-    assert.ok(run.startedAtMs <= lastStartMs, `${name} began ${run.startedAtMs - atMs} ms after`);
+    assert.ok(
+      run.startedAtMs <= lastStartMs,
+      `${name} started ${run.startedAtMs - atMs} ms after the cancellation`,
+    );
     const endedAtMs = run.endedAtMs ?? pool.clock.monotonicMs();
     const lastEndMs = Math.max(atMs, healedAtMs) + poolPromises.CANCEL_MS + poolPromises.STOP_MS;
-    assert.ok(endedAtMs <= lastEndMs, `${name} worked until ${endedAtMs - atMs} ms after`);
+    assert.ok(
+      endedAtMs <= lastEndMs,
+      `${name} ran until ${endedAtMs - atMs} ms after the cancellation`,
+    );
   }
 };
 
 /**
- * @param seed - decides the jobs, the faults and the cancellations
+ * @param seed - seed of the jobs, the faults and the cancellations
  */
 export const explore = async (seed: number): Promise<void> => {
   const next = random.createRandom(seed);
@@ -139,14 +145,14 @@
   const count = MIN_JOBS + random.integerBelow(next, MORE_JOBS);
   const jobIds = Array.from({ length: count }, (_, index) => `j${index}`);
   for (const jobId of jobIds) await pool.submit(makeJob(jobId, next));
-  const scene = { pool, next, jobIds, cancelledAtMs: new Map<string, number>() };
+  const scenario = { pool, next, jobIds, cancelledAtMs: new Map<string, number>() };
   await pool.clock.advance(1000 + next() * 2 * MAX_PAUSE_MS);
-  await makeFaults(scene);
+  await makeFaults(scenario);
   poolKit.heal(pool);
   pool.store.faults.skipNextWatch = false;
   const healedAtMs = pool.clock.monotonicMs();
-  await goOn(scene);
-  assertCancelled(scene, healedAtMs);
+  await runWithoutFaults(scenario);
+  assertCancelled(scenario, healedAtMs);
   poolKit.assertAtMostOnce(pool.runs());
   pool.dispose();
 };
--- a/src/standins/test/poolCancelFaults.test.ts
+++ b/src/standins/test/poolCancelFaults.test.ts
@@ -1,5 +1,5 @@
 /**
- * A whole pool whose leader does not hear of what callers ask for: what runs on, and what begins anew.
+ * End-to-end tests of a pool whose leader receives requests late: which tasks keep running and which start.
  */
 import * as assert from 'node:assert/strict';
 
@@ -9,10 +9,10 @@
 import * as poolKit from './poolKit.js';
 import * as poolPromises from './poolPromises.js';
 
-/** Every watch that is open after this time was sent under the fault. */
+/** After this time, every watch in flight was sent while the fault was active. */
 const WATCH_OVER_MS = 5500;
 
-/** Ends between a renewal of the leadership and a write that the leader repeats. */
+/** Ends between a renewal of the leadership lease and a retried write of the leader. */
 const OUTAGE_MS = 4050;
 
 const isSecondStepStored = async (pool: poolKit.Pool): Promise<boolean> => {
@@ -28,12 +28,11 @@
 
 const CASES: readonly poolCases.Case[] = [
   {
-    // A caller cancels a job, and four seconds after the acknowledgement its tasks are started again on
-    // another worker. The store had been away, and the leader's watch that was sent meanwhile is never
-    // answered, while everything else is: the leader went on with its picture of before. Its log had
-    // `placed run=2` at 15.67, `watchFailed waited 6000 ms` at 16.85 and `cancelLearnt` at 17.06 for a
-    // cancellation of 12.01. A start was stored under the condition that the leader still leads, and
-    // not under the one that the job is still wanted.
+    // Guards against restarting tasks of a cancelled job on another worker four seconds after the cancellation
+    // was acknowledged. The watch that the leader sent during a store outage was never answered while all other
+    // calls were, so the leader planned with stale state: it logged `placed run=2` at 15.67, `watchFailed waited
+    // 6000 ms` at 16.85 and `cancelLearnt` at 17.06 for a cancellation at 12.01. Storing a start was conditional
+    // on the leadership, but not on the job not being cancelled.
     name: 'a cancelled job is not started again',
     options: { workers: 2, workMs: () => 60_000 },
     jobs: [[[{ count: 2 }], { jobId: 'a' }]],
@@ -49,9 +48,9 @@
     runs: 2,
   },
   {
-    // A caller cancels a job just after an outage of the store, and its tasks run on for five seconds. The
-    // leader's watch was sent in the outage and waited five seconds for a change and one for the answer:
-    // `cancelLearnt` came at 17.06 for a cancellation of 12.01, with two others that were as old.
+    // Guards against tasks that run on for five seconds after a cancellation right after a store outage. The
+    // leader's watch, sent during the outage, waited five seconds for a change and one for the answer:
+    // `cancelLearnt` was logged at 17.06 for a cancellation at 12.01, with two more of the same age.
     name: 'a cancelled job stops soon after an outage',
     options: { workers: 2, workMs: () => 60_000 },
     jobs: [[[{ count: 2 }], { jobId: 'a' }]],
@@ -69,8 +68,8 @@
     runs: 2,
   },
   {
-    // A caller hands in an urgent job just after an outage, and for five seconds nothing of it begins.
-    name: 'a new job begins soon after an outage',
+    // Guards against an urgent job, submitted right after an outage, that does not start for five seconds.
+    name: 'a new job starts soon after an outage',
     options: { workers: 1 },
     jobs: [],
     act: async (pool) => {
@@ -84,9 +83,9 @@
     runs: 1,
   },
   {
-    // The store has been away and is back, leases stand as before. The leader stores the start of a
-    // second step, and may send it only once its own lease is renewed; the caller cancels between the two.
-    name: 'a start that waits for the leadership is not sent after a cancellation',
+    // The store is back after an outage during which leases did not run down. The leader stores the start of
+    // a second step, but may send it only after renewing its own lease; the caller cancels in between.
+    name: 'a start that is held until the leadership is renewed is not sent after a cancellation',
     options: { workers: 1, workMs: () => 2000 },
     jobs: [[[{}, { after: [0] }], { jobId: 'a' }]],
     act: async (pool) => {
@@ -108,9 +107,9 @@
     runs: 1,
   },
   {
-    // The leader's process ends for good just after an outage, while the watches of those that could follow it
-    // were sent in the outage and are never answered. Six seconds nobody leads, and nothing begins or stops.
-    name: 'a leader that ends after an outage is followed soon',
+    // Guards against six seconds without a leader, in which no task starts or stops: the leader's process ends
+    // right after an outage, and the other candidates' watches, sent during the outage, are never answered.
+    name: 'a leader that ends after an outage is soon succeeded',
     options: { workers: 1 },
     jobs: [],
     act: async (pool, first) => {
@@ -128,9 +127,9 @@
     runs: 1,
   },
   {
-    // A caller asks how many jobs of its queue wait, and is told of none, although one was accepted before. The
-    // leader's watch was lost in an outage; an entry that gets no figure from the leader counts in the store.
-    name: 'a leader with old knowledge does not tell how many jobs wait',
+    // Guards against reporting an empty queue after a job of it was accepted: the leader's watch was lost in an
+    // outage. An entry that gets no count from the leader counts the records in the store.
+    name: 'a leader with stale state reports no count of waiting jobs',
     options: { workers: 1 },
     jobs: [],
     act: async (pool, first) => {
@@ -149,9 +148,9 @@
     runs: 1,
   },
   {
-    // A record of an agent can't be read. The leader threw at each answer of its watch that had it, asked again
-    // from before, and heard of nothing that came after.
-    name: 'a record that nobody can read hides nothing else',
+    // Guards against an unreadable agent record that blocks all later changes: the leader threw on every watch
+    // answer that contained it, and repeated the watch from the same revision.
+    name: 'an unreadable record does not block later changes',
     options: { workers: 1 },
     jobs: [],
     act: async (pool) => {
@@ -166,8 +165,8 @@
     runs: 1,
   },
   {
-    // Stores that answer in a quarter of a second are slow, not away: the leader's figure is fresh enough.
-    name: 'a leader tells how many jobs wait while the store is slow',
+    // A store that answers within a quarter of a second is slow, not down: the leader's count is fresh enough.
+    name: 'a leader reports how many jobs wait while the store is slow',
     options: { workers: 1 },
     jobs: [],
     act: async (pool, first) => {
@@ -184,4 +183,4 @@
   },
 ];
 
-poolCases.describeCases('a pool whose leader does not hear of what callers ask for', CASES);
+poolCases.describeCases('a pool whose leader receives requests late', CASES);
--- a/src/standins/test/poolCases.ts
+++ b/src/standins/test/poolCases.ts
@@ -1,5 +1,5 @@
 /**
- * Single faults on a whole pool as tables: what happens, and what callers see in the end.
+ * Runner for tables of end-to-end cases with single faults: the events of each case and the expected final state.
  */
 import * as assert from 'node:assert/strict';
 import * as test from 'node:test';
@@ -7,29 +7,29 @@
 import * as fixtures from '../../coordination/common/pool/test/poolFixtures.js';
 import * as poolKit from './poolKit.js';
 
-/** One fault. */
+/** One fault scenario. */
 export interface Case {
   readonly name: string;
   readonly options: poolKit.PoolOptions;
-  /** Jobs that are there at the start. */
+  /** Arguments of the jobs that are submitted before the first candidate starts. */
   readonly jobs: Parameters<typeof fixtures.makeJob>[];
-  /** What happens, and when. */
+  /** Injects the events of the case. */
   readonly act: (pool: poolKit.Pool, first: poolKit.Candidate) => Promise<void>;
-  /** State of each job in the end. */
+  /** Expected final state of each job. */
   readonly states: Readonly<Record<string, string>>;
-  /** Number of runs in the end, where it is certain. */
+  /** Expected total number of runs, where it is deterministic. */
   readonly runs?: number;
-  /** How each run ended, worker by worker, where it is certain. */
+  /** Expected end of each run, ordered by worker, where it is deterministic. */
   readonly hows?: readonly string[];
-  /** A known fault that stands in `KNOWN-RED.txt`: the test runs, is told, and does not fail the run. */
+  /** A known fault listed in `KNOWN-RED.txt`: the test runs and is reported, but does not fail the test run. */
   readonly todo?: string;
 }
 
-/** Long enough for any lease to lapse and the work to be done again. */
+/** Long enough for any lease to expire and for the work to be repeated. */
 const SETTLE_MS = 30_000;
 
 /**
- * @param title - what the cases are about
+ * @param title - title of the group
  * @param cases - the cases
  */
 export const describeCases = (title: string, cases: readonly Case[]): void => {
--- a/src/standins/test/poolExploration.test.ts
+++ b/src/standins/test/poolExploration.test.ts
@@ -1,11 +1,11 @@
 /**
- * Random faults on a whole pool: the product's own leader, agents and writer, every seed the same run.
+ * Random faults on a complete pool with the production leader, agents and writer; a seed always gives the same run.
  */
 import * as test from 'node:test';
 
 import * as poolExploration from './poolExploration.js';
 
-/** Enough that each kind of fault meets each other kind; more by hand, see CONTRIBUTING.md. */
+/** Enough seeds for every pair of fault kinds to occur together; CONTRIBUTING.md says how to run more. */
 const SEEDS = Number(process.env.POOL_SEEDS ?? 25);
 
 const FIRST_SEED = Number(process.env.POOL_FIRST_SEED ?? 1);
--- a/src/standins/test/poolExploration.ts
+++ b/src/standins/test/poolExploration.ts
@@ -1,5 +1,5 @@
 /**
- * Random faults on a whole pool, from one seed, and what must hold whatever happens.
+ * Random faults on a complete pool, generated from one seed, and the invariants that must always hold.
  */
 import * as assert from 'node:assert/strict';
 
@@ -15,13 +15,13 @@
 const STEPS = 40;
 const MAX_PAUSE_MS = 1500;
 
-/** Time without faults in which everything has to come to its end. */
+/** Time without faults within which every job must reach a final state. */
 const SETTLE_MS = 90_000;
 
-/** When each job's cancellation was stored. */
+/** Time at which each job's cancellation was stored, by job id. */
 type Cancellations = Map<string, number>;
 
-type Act = (
+type FaultAction = (
   pool: poolKit.Pool,
   next: random.Random,
   cancelled: Cancellations,
@@ -46,17 +46,17 @@
     attempts: 3,
   });
 
-const cancelAny: Act = async (pool, next, cancelled) => {
+const cancelAny: FaultAction = async (pool, next, cancelled) => {
   const jobId = `j${random.integerBelow(next, JOBS)}`;
   try {
     await pool.cancel(jobId);
     if (!cancelled.has(jobId)) cancelled.set(jobId, pool.clock.monotonicMs());
   } catch {
-    // Nobody was told that the job is cancelled: the store is down or its answer was lost.
+    // The cancellation was not acknowledged: the store is down or its answer was lost.
   }
 };
 
-const ACTS: readonly Act[] = [
+const FAULT_ACTIONS: readonly FaultAction[] = [
   (pool, next) => random.pick(next, pool.sites).worker.crash(),
   (pool, next) => random.pick(next, pool.sites).worker.crash(`w-${Math.floor(next() * 1e9)}`),
   (pool, next) => random.pick(next, pool.sites).restartAgent(),
@@ -90,16 +90,16 @@
   cancelAny,
 ];
 
-/** Beside the others: watches that are never answered, and more cancellations to be missed by them. */
-const WATCH_ACTS: readonly Act[] = [
-  ...ACTS,
+/** Adds watches that are never answered, and more cancellations that such watches miss. */
+const WATCH_FAULT_ACTIONS: readonly FaultAction[] = [
+  ...FAULT_ACTIONS,
   (pool) => {
     pool.store.faults.areWatchesLost = !pool.store.faults.areWatchesLost;
   },
   cancelAny,
 ];
 
-/** No worker ever ran more than it has accelerators for. */
+/** Asserts that the runs of a worker never needed more accelerators than it has. */
 const assertWithinCapacity = (pool: poolKit.Pool, jobs: readonly poolJob.PoolJob[]): void => {
   const neededBy = new Map(jobs.map((it) => [it.jobId, it]));
   const acceleratorsOf = ({ task }: memoryPoolWorker.RecordedRun): number => {
@@ -112,23 +112,26 @@
         (it) => it.startedAtMs <= run.startedAtMs && (it.endedAtMs ?? Infinity) > run.startedAtMs,
       );
       const used = beside.reduce((sum, it) => sum + acceleratorsOf(it), 0);
-      assert.ok(used <= 8, `${run.task}#${run.run} brings its worker to ${used} accelerators`);
+      assert.ok(
+        used <= 8,
+        `${run.task}#${run.run} raises the use of its worker to ${used} accelerators`,
+      );
     }
   }
 };
 
-/** Orders that a worker carries out late are its own. */
+/** Asserts that no task starts long after its cancellation, except by orders that the worker executes late. */
 const assertNoneAfterCancel = (pool: poolKit.Pool, cancelled: Cancellations): void => {
   for (const run of pool.runs().filter((it) => !it.isLate)) {
     const cancelledAtMs = cancelled.get(poolKit.jobIdOf(run)) ?? Infinity;
     assert.ok(
       run.startedAtMs <= cancelledAtMs + poolPromises.CANCEL_MS,
-      `${run.task}#${run.run} began ${run.startedAtMs - cancelledAtMs} ms after the cancellation`,
+      `${run.task}#${run.run} started ${run.startedAtMs - cancelledAtMs} ms after the cancellation`,
     );
   }
 };
 
-/** What is shown as complete has been done, every task of it. */
+/** Asserts that every task of a complete job was done. */
 const assertDone = (pool: poolKit.Pool, job: poolJob.PoolJob): void => {
   job.steps.forEach((step, stepIndex) => {
     for (let index = 0; index < step.count; index += 1) {
@@ -139,19 +142,19 @@
   });
 };
 
-/** One exploration. */
+/** Options of an exploration. */
 export interface Exploration {
-  /** Decides the jobs, the faults and their order. */
+  /** Seed of the jobs, the faults and their order. */
   readonly seed: number;
-  /** Whether watches of the store are lost as well. */
+  /** Whether watches of the store can be lost as well. */
   readonly losesWatches: boolean;
 }
 
 /**
- * @param exploration - what is explored
+ * @param exploration - the seed and the kinds of faults
  */
 export const explore = async ({ seed, losesWatches }: Exploration): Promise<void> => {
-  const acts = losesWatches ? WATCH_ACTS : ACTS;
+  const actions = losesWatches ? WATCH_FAULT_ACTIONS : FAULT_ACTIONS;
   const next = random.createRandom(seed);
   const pool = poolKit.createPool({
     workers: WORKERS,
@@ -177,8 +180,8 @@
       leader = pool.addCandidate();
       if (next() < 0.5) pool.addCandidate();
     }
-    const act = random.pick(next, acts);
-    await act(pool, next, cancelled);
+    const action = random.pick(next, actions);
+    await action(pool, next, cancelled);
     await pool.clock.advance(next() * MAX_PAUSE_MS);
   }
   poolKit.heal(pool);
--- a/src/standins/test/poolFaults.test.ts
+++ b/src/standins/test/poolFaults.test.ts
@@ -1,5 +1,5 @@
 /**
- * A whole pool whose workers are at fault: what callers see, and that no task runs twice.
+ * End-to-end tests of a pool under worker faults: the final state of jobs, and that no task runs twice.
  */
 import * as assert from 'node:assert/strict';
 
@@ -10,7 +10,7 @@
 
 const CASES: readonly poolCases.Case[] = [
   {
-    name: 'steps run in their order',
+    name: 'steps run in order',
     options: { workers: 2 },
     jobs: [[[{ count: 3 }, { count: 2, after: [0] }], { jobId: 'a' }]],
     act: () => Promise.resolve(),
@@ -18,7 +18,7 @@
     runs: 5,
   },
   {
-    name: 'a gang over two workers runs once, with all its members',
+    name: 'a gang on two workers runs once, with all its members',
     options: { workers: 3 },
     jobs: [
       [
@@ -31,8 +31,8 @@
     runs: 2,
   },
   {
-    // A caller cancels; two seconds later its tasks still held their accelerators, because the leader
-    // looked at cancellations only when it planned something else.
+    // Guards against tasks that hold their accelerators two seconds after the cancellation, because the
+    // leader handled cancellations only while planning other work.
     name: 'a cancelled job stops',
     options: { workers: 1, workMs: () => 60_000 },
     jobs: [[[{ count: 2 }], { jobId: 'a' }]],
@@ -49,9 +49,9 @@
     runs: 2,
   },
   {
-    // An order gets no answer and is carried out three seconds later, on a sound worker. Given to
-    // another worker meanwhile, the task would run on both.
-    name: 'an order that is carried out late does not run beside its successor',
+    // An order gets no answer and is executed three seconds later by a healthy worker. If the task were
+    // started on another worker in the meantime, it would run on both.
+    name: 'a delayed order does not run a task concurrently with its next run',
     options: { workers: 2, workMs: () => 8000 },
     jobs: [[[{}], { jobId: 'a' }]],
     act: async (pool) => {
@@ -63,9 +63,9 @@
     states: { a: 'complete' },
   },
   {
-    // The worker crashes and comes back under the same id with nothing in it, while an order to its
-    // former life is still on the way.
-    name: 'a reborn worker does not carry out what its former life was told',
+    // The worker crashes and restarts with the same id and no state, while an order to its previous
+    // incarnation is still in flight.
+    name: 'a restarted worker does not execute an order to its previous incarnation',
     options: { workers: 1, workMs: () => 4000 },
     jobs: [[[{}], { jobId: 'a' }]],
     act: async (pool) => {
@@ -79,10 +79,10 @@
     states: { a: 'complete' },
   },
   {
-    // The first copy of an order gets no answer, the second is carried out and its task is done. The
-    // worker crashes and comes back under the same id, and only then the first copy arrives: nothing in
-    // the new life knows the run, and the task runs again after its end.
-    name: 'an order to a former life does not run a task again that is done',
+    // The first copy of an order gets no answer, the retry is executed and its task is done. The worker
+    // crashes and restarts with the same id, and only then the first copy arrives: the new incarnation
+    // does not know the run, and would run the task again after its end.
+    name: 'an order to a previous incarnation does not run a task again that is done',
     options: { workers: 1, workMs: () => 500 },
     jobs: [[[{}], { jobId: 'a' }]],
     act: async (pool) => {
@@ -98,8 +98,8 @@
     runs: 1,
   },
   {
-    // As before, and the agent is restarted with its worker: it does not know that there was a former life.
-    name: 'an order to a former life does not run in a new life beside a new agent',
+    // As before, but the agent restarts with its worker and does not know of the previous incarnation.
+    name: 'an order to a previous incarnation does not run after the agent has restarted too',
     options: { workers: 1, workMs: () => 500 },
     jobs: [[[{}], { jobId: 'a' }]],
     act: async (pool) => {
@@ -116,9 +116,9 @@
     runs: 1,
   },
   {
-    // As before, and the new life answers nobody until the late copy has come: it can't be told the
-    // fence that would refuse it, and the task that is done elsewhere begins again there.
-    name: 'an order to a former life does not run in a new life that answers nobody',
+    // As before, but the new incarnation is unreachable until the delayed duplicate arrives: it can't receive
+    // the fence that would refuse the order, and would start a task that is already done on another worker.
+    name: 'an order to a previous incarnation does not run in an unreachable new incarnation',
     options: { workers: 2, workMs: () => 500 },
     jobs: [[[{}], { jobId: 'a' }]],
     act: async (pool) => {
@@ -143,10 +143,10 @@
     runs: 1,
   },
   {
-    // One job's end is stored and acknowledged. The worker is born again under the same id, carries out
-    // late what its former life was told, and its work is done before anybody has reached it. Told of the
-    // former life's acknowledged ends, it forgets this one unheard, and the task runs again.
-    name: 'a new life does not forget an end because its former life was told to',
+    // One job's end is stored and acknowledged. The worker restarts with the same id, executes a delayed order
+    // to its previous incarnation, and finishes that task before it is reachable. If it received the
+    // previous incarnation's acknowledgements, it would drop this end unreported, and the task would run again.
+    name: 'a new incarnation does not drop an end because of an acknowledgement to the previous one',
     options: { workers: 1, workMs: () => 500 },
     jobs: [[[{}], { jobId: 'a' }]],
     act: async (pool) => {
@@ -168,8 +168,8 @@
     runs: 2,
   },
   {
-    // A worker is cut off and runs on. Its task may start elsewhere only when its lease has lapsed.
-    name: 'a worker that is cut off keeps its task until the lease has lapsed',
+    // A worker is cut off and keeps running. Its task may start on another worker only when its lease has expired.
+    name: 'a worker that is cut off keeps its task until its lease expires',
     options: { workers: 2, workMs: () => 20_000 },
     jobs: [[[{}], { jobId: 'a' }]],
     act: async (pool) => {
@@ -186,9 +186,9 @@
     runs: 2,
   },
   {
-    // Guards against an end that counts though its worker's lease has lapsed since: the task is at work
-    // elsewhere by then, and what it has done there would be thrown away.
-    name: 'an end that a worker lists after its lease has lapsed changes nothing',
+    // Guards against accepting an end after the worker's lease has expired: by then the task runs on another
+    // worker, and the work done there would be discarded.
+    name: 'an end that a worker reports after its lease has expired is ignored',
     options: { workers: 2, workMs: () => 5000 },
     jobs: [[[{}], { jobId: 'a' }]],
     act: async (pool) => {
@@ -205,7 +205,7 @@
     hows: ['done', 'done'],
   },
   {
-    // The policy service consents to one worker only, and refuses the first call.
+    // The policy service allows one worker only, and refuses the first call.
     name: 'a step that needs consent runs where the policy service allows it',
     options: {
       workers: 3,
@@ -232,7 +232,7 @@
     runs: 2,
   },
   {
-    name: 'a restarted agent finds its tasks again',
+    name: 'a restarted agent recovers its tasks',
     options: { workers: 1, workMs: () => 5000 },
     jobs: [[[{}], { jobId: 'a' }]],
     act: async (pool) => {
@@ -243,8 +243,8 @@
     runs: 1,
   },
   {
-    // Every task fails on one worker whose health looks good. It must not eat the attempts of all.
-    name: 'a worker that fails everything is left alone',
+    // Every task fails on one worker that reports itself healthy. It must not use up the attempts of all jobs.
+    name: 'a worker on which every task fails is avoided',
     options: { workers: 3, acceleratorsPerWorker: 2 },
     jobs: Array.from({ length: 8 }, (_, index) => [
       [{ count: 1 }],
@@ -259,9 +259,9 @@
     states: Object.fromEntries(Array.from({ length: 8 }, (_, index) => [`j${index}`, 'complete'])),
   },
   {
-    // An urgent task begins on a worker that has turned slow and would be done after eight times its
-    // work. Its caller gets it late, though the worker beside it stands idle.
-    name: 'a task on a slow worker is done in time elsewhere',
+    // An urgent task starts on a worker that has become slow, and would take eight times its normal
+    // duration. Its caller would get the result late although another worker is idle.
+    name: 'a task on a slow worker is done in time on another worker',
     options: { workers: 2, workMs: (task) => (task.startsWith('known') ? 1000 : 3000) },
     jobs: ['known-1', 'known-2', 'known-3'].map((jobId) => [[{}], { jobId }]),
     act: async (pool) => {
@@ -277,7 +277,7 @@
     states: { 'known-1': 'complete', a: 'complete' },
   },
   {
-    name: 'a job that fails on every worker is given up after its attempts',
+    name: 'a job that fails on every worker fails after its attempts',
     options: { workers: 3 },
     jobs: [[[{}], { jobId: 'a', attempts: 2 }]],
     act: (pool) => {
@@ -290,8 +290,8 @@
     runs: 2,
   },
   {
-    // A customer claims its guarantee while a lower priority holds every accelerator.
-    name: 'a claim stops what borrows its room and starts',
+    // A customer claims its guarantee while a job of lower priority holds every accelerator.
+    name: 'a guaranteed job preempts the job that borrows its capacity and starts',
     options: {
       workers: 1,
       workMs: (task) => (task.startsWith('low') ? 20_000 : 1000),
@@ -313,9 +313,9 @@
     states: { claim: 'complete', low: 'complete' },
   },
   {
-    // The first call to the policy service is swallowed. Every step that needs consent waited fifteen seconds
-    // behind it. The service takes a second or so for an answer.
-    name: 'a call for consent that is never answered does not hold up the others',
+    // The first call to the policy service is never answered. Every step that needs consent was blocked for
+    // fifteen seconds behind it, while the service normally answers in about a second.
+    name: 'an unanswered call for consent does not delay the others',
     options: {
       workers: 2,
       askAdvice: (() => {
@@ -343,4 +343,4 @@
   },
 ];
 
-poolCases.describeCases('a pool under a fault of workers', CASES);
+poolCases.describeCases('a pool with worker faults', CASES);
--- a/src/standins/test/poolKit.ts
+++ b/src/standins/test/poolKit.ts
@@ -108,12 +108,12 @@
 
 /** Looks up the gang size of a task in the jobs that the test submits. */
 const gangSizes = (): {
-  readonly record: (job: poolJob.PoolJob) => void;
+  readonly note: (job: poolJob.PoolJob) => void;
   readonly of: (task: string) => number;
 } => {
   const jobs = new Map<string, poolJob.PoolJob>();
   return {
-    record: (job) => jobs.set(job.jobId, job),
+    note: (job) => jobs.set(job.jobId, job),
     of: (task) => {
       const name = poolWorker.parseTaskName(task);
       const step = jobs.get(name?.jobId ?? '')?.steps[name?.step ?? 0];
@@ -299,7 +299,7 @@
     addCandidate,
     submit: async (job) => {
       await ready;
-      gangs.record(job);
+      gangs.note(job);
       await put(poolKeys.jobKey(job.jobId, poolKeys.JobPart.spec), JSON.stringify(job));
     },
     cancel: (jobId) => put(poolKeys.jobKey(jobId, poolKeys.JobPart.cancel), '{}'),
--- a/src/standins/test/poolLeaderFaults.test.ts
+++ b/src/standins/test/poolLeaderFaults.test.ts
@@ -1,5 +1,5 @@
 /**
- * A whole pool whose leader or store is at fault: what callers see, and that no task runs twice.
+ * End-to-end tests of a pool under leader and store faults: the final state of jobs, and that no task runs twice.
  */
 import * as assert from 'node:assert/strict';
 
@@ -9,9 +9,9 @@
 
 const CASES: readonly poolCases.Case[] = [
   {
-    // The leader is killed while a task works. The next one finds it in the agents' lists and must not
-    // start it again.
-    name: 'a task outlives its leader',
+    // The leader is killed while a task runs. The next leader finds the run in the agents' reports and must not
+    // start the task again.
+    name: 'a task keeps running after its leader ends',
     options: { workers: 2, workMs: () => 6000 },
     jobs: [[[{ count: 2 }], { jobId: 'a' }]],
     act: async (pool, first) => {
@@ -24,17 +24,17 @@
     runs: 2,
   },
   {
-    // The leader's process is killed and comes back within a second. It found its own record in the
-    // store and waited for that lease to lapse, and urgent work of a second came late.
-    name: 'a leader that comes back at once leads at once',
+    // Guards against a leader that restarts within a second but waits for the lease of its own record in the
+    // store to expire, so that urgent work of one second is late.
+    name: 'a leader that restarts quickly leads again immediately',
     options: { workers: 1, workMs: () => 500 },
     jobs: [],
     act: async (pool, first) => {
       const place = { holderId: 'scheduler-1', url: 'http://scheduler-1:1' };
       first.kill();
-      const former = pool.addCandidate(place);
+      const previous = pool.addCandidate(place);
       await pool.clock.advance(3000);
-      former.kill();
+      previous.kill();
       await pool.submit(fixtures.makeJob([{}], { jobId: 'a' }));
       pool.addCandidate(place);
       await pool.clock.advance(1200);
@@ -44,9 +44,9 @@
     runs: 1,
   },
   {
-    // The leader is killed while a worker that it served is cut off. The next leader knows nothing of
-    // the leases that stand there, and may start the task elsewhere only after the longest of them.
-    name: 'a new leader waits for the leases of the former',
+    // The leader is killed while one of its workers is cut off. The next leader does not know the leases
+    // granted there, and may start the task on another worker only after the longest possible lease.
+    name: 'a new leader waits for the leases of the previous leader',
     options: { workers: 2, workMs: () => 20_000 },
     jobs: [[[{}], { jobId: 'a' }]],
     act: async (pool, first) => {
@@ -65,9 +65,9 @@
     runs: 2,
   },
   {
-    // A new leader hears of a worker once, and the line is cut before it has granted anything there.
-    // The former leader's leases still stand: taken as lapsed, the task would run on two workers.
-    name: 'a new leader waits for the former leases of a worker that it has heard of',
+    // A new leader receives one report of a worker, and the link is cut before it has granted a lease there.
+    // The previous leader's leases are still valid: treated as expired, the task would run on two workers.
+    name: 'a new leader waits for the previous leases of a worker that has reported to it',
     options: { workers: 2, workMs: () => 20_000 },
     jobs: [[[{}], { jobId: 'a' }]],
     act: async (pool, first) => {
@@ -85,10 +85,10 @@
     runs: 2,
   },
   {
-    // The first copy of an order gets no answer, the second is carried out and its task is done. Then the
-    // leader is killed, and the worker crashes and comes back under the same id. Until another leads only
-    // the agent reaches the new life, and the first copy comes under the fence that the agent has.
-    name: 'an order to a former life does not run in a new life while nobody leads',
+    // The first copy of an order gets no answer, the retry is executed and its task is done. Then the leader
+    // is killed, and the worker crashes and restarts with the same id. Until there is a new leader only the
+    // agent reaches the new incarnation, and the first copy arrives with the fence that the agent has.
+    name: 'an order to a previous incarnation does not run in a new one while there is no leader',
     options: { workers: 1, workMs: () => 500 },
     jobs: [[[{}], { jobId: 'a' }]],
     act: async (pool, first) => {
@@ -106,9 +106,9 @@
     runs: 1,
   },
   {
-    // Guards against work that is done twice because the store was away at its end, its leader's term lapsed, and its
-    // worker was lost before the store was back.
-    name: 'what is done while the store is away is not forgotten with the term',
+    // Guards against running a task twice because the store was down when it ended, its leader's term expired, and
+    // its worker was lost before the store was back.
+    name: 'a task that is done during a store outage is still known after the term has expired',
     options: { workers: 2, workMs: () => 1000 },
     jobs: [[[{}], { jobId: 'a' }]],
     act: async (pool) => {
@@ -123,8 +123,8 @@
     runs: 1,
   },
   {
-    // A scheduler that starts takes the leading one for its own former life and ends its leadership.
-    name: 'a process that starts leaves the leading one alone',
+    // Guards against a scheduler that at its start takes the leader for its own previous incarnation and ends its term.
+    name: 'a process that starts does not take over from a live leader',
     options: { workers: 1 },
     jobs: [[[{}], { jobId: 'a' }]],
     act: async (pool, first) => {
@@ -139,8 +139,8 @@
     runs: 1,
   },
   {
-    // The store does the writes and loses the answers: the leader sends them again.
-    name: 'lost answers of the store lose no start and no end',
+    // The store applies the writes but their answers are lost, so the leader retries them.
+    name: 'no start and no end is lost when answers of the store are lost',
     options: { workers: 1 },
     jobs: [[[{ count: 3 }], { jobId: 'a' }]],
     act: async (pool) => {
@@ -151,9 +151,9 @@
     runs: 3,
   },
   {
-    // A write of progress takes effect two seconds later than a newer one. Conditional on leadership
-    // alone it would put the older progress back.
-    name: 'a write that takes effect late overwrites nothing newer',
+    // A write of progress takes effect two seconds late, after a newer one. If it were conditional on the
+    // leadership only, it would restore the older progress.
+    name: 'a delayed write does not overwrite newer progress',
     options: { workers: 1, workMs: () => 500 },
     jobs: [[[{ count: 1 }, { count: 1, after: [0] }], { jobId: 'a' }]],
     act: async (pool) => {
@@ -165,10 +165,10 @@
     runs: 2,
   },
   {
-    // A gang ends as done while the store is down, then everything loses power, and the gang runs
-    // again: the end of its second member had been acknowledged, and so forgotten by the worker,
-    // because the first member's end had already made the whole gang done in the leader's memory.
-    name: 'no end of a gang is acknowledged before the job is stored',
+    // A gang is done while the store is down, then all processes are lost, and the gang would run again:
+    // the end of its second member was acknowledged, and so dropped by the worker, because the first
+    // member's end had already marked the whole gang as done in the leader's in-memory state.
+    name: 'no end of a gang member is acknowledged before the job is stored',
     options: { workers: 2, workMs: () => 2000 },
     jobs: [
       [
@@ -194,7 +194,7 @@
     runs: 2,
   },
   {
-    name: 'tasks live through an outage of the store that is shorter than their lease',
+    name: 'tasks survive a store outage that is shorter than their lease',
     options: { workers: 1, workMs: () => 8000 },
     jobs: [[[{}], { jobId: 'a' }]],
     act: async (pool) => {
@@ -207,9 +207,9 @@
     runs: 1,
   },
   {
-    // Sound work is stopped just after it began, and its worker avoided. Its start had waited nine seconds
-    // for the store, and it was taken to stand still since it had been placed.
-    name: 'a start that waited for the store is not taken to stand still',
+    // Guards against stopping a healthy task right after its start and avoiding its worker: the start had
+    // waited nine seconds for the store, and the task was taken as stalled since its placement.
+    name: 'a start that waited for the store is not treated as stalled',
     options: { workers: 2, workMs: (task) => (task === 'a.0.0.0' ? 1500 : 10_000) },
     jobs: [[[{ estimatedMs: 1500 }, { after: [0], estimatedMs: 10_000 }], { jobId: 'a' }]],
     act: async (pool) => {
@@ -224,4 +224,4 @@
   },
 ];
 
-poolCases.describeCases('a pool under a fault of its leader or the store', CASES);
+poolCases.describeCases('a pool with faults of its leader or the store', CASES);
--- a/src/standins/test/poolLostWatches.test.ts
+++ b/src/standins/test/poolLostWatches.test.ts
@@ -1,8 +1,8 @@
 /**
- * Lost watches of any age: news reach the leader in time whenever an outage ends.
+ * Lost watches of any age: changes reach the leader in time, whenever an outage ends.
  *
- * In an outage of the store each process sent a watch that is never answered. How long it is still open when the
- * store is back depends on when it was sent, so each bound is checked at many moments of that.
+ * In a store outage each process sent a watch that is never answered. How long it stays in flight after the
+ * outage depends on when it was sent, so each bound is checked for many end times of the outage.
  */
 import * as assert from 'node:assert/strict';
 import * as test from 'node:test';
@@ -11,7 +11,7 @@
 import * as poolKit from './poolKit.js';
 import * as poolPromises from './poolPromises.js';
 
-/** Ends of the outage, over more than the longest time that a lost watch may be open. */
+/** End times of the outage, spanning more than the longest time that a lost watch is in flight. */
 const ENDS_MS = Array.from({ length: 35 }, (_, index) => 6500 + index * 170);
 
 const loseWatchesFor = async (pool: poolKit.Pool, durationMs: number): Promise<void> => {
@@ -22,7 +22,7 @@
 const runsOf = (pool: poolKit.Pool, jobId: string) =>
   pool.runs().filter((it) => poolKit.jobIdOf(it) === jobId);
 
-const checkNews = async (endMs: number): Promise<void> => {
+const checkUpdates = async (endMs: number): Promise<void> => {
   const pool = poolKit.createPool({ workers: 2, workMs: () => 60_000 });
   await pool.submit(fixtures.makeJob([{ count: 2 }], { jobId: 'a' }));
   pool.addCandidate();
@@ -32,14 +32,22 @@
   await pool.cancel('a');
   await pool.submit(fixtures.makeJob([{}], { jobId: 'b' }));
   await pool.clock.advance(poolPromises.RECLAIM_MS);
-  assert.equal(runsOf(pool, 'b').length, 1, `the new job has not begun, end ${endMs}`);
+  assert.equal(
+    runsOf(pool, 'b').length,
+    1,
+    `the new job has not started, outage ended at ${endMs}`,
+  );
   await pool.clock.advance(poolPromises.CANCEL_MS + poolPromises.STOP_MS - poolPromises.RECLAIM_MS);
   const ends = runsOf(pool, 'a').map((it) => it.how);
-  assert.deepEqual(ends, ['stopped', 'stopped'], `the cancelled job works on, end ${endMs}`);
+  assert.deepEqual(
+    ends,
+    ['stopped', 'stopped'],
+    `the cancelled job is still running, outage ended at ${endMs}`,
+  );
   pool.dispose();
 };
 
-const checkVacancy = async (endMs: number): Promise<void> => {
+const checkTakeover = async (endMs: number): Promise<void> => {
   const pool = poolKit.createPool({ workers: 1 });
   await pool.ready;
   const first = pool.addCandidate();
@@ -51,12 +59,12 @@
   pool.store.faults.areWatchesLost = false;
   await pool.submit(fixtures.makeJob([{}], { jobId: 'a' }));
   await pool.clock.advance(poolPromises.RECLAIM_MS);
-  assert.equal(pool.runs().length, 1, `nobody leads, end ${endMs}`);
+  assert.equal(pool.runs().length, 1, `there is no leader, outage ended at ${endMs}`);
   pool.dispose();
 };
 
-/** Guards against a watch that hears nothing while all other calls are answered. */
-const checkTold = async (): Promise<void> => {
+/** Guards against a watch that reports no changes while all other calls are answered. */
+const checkNotified = async (): Promise<void> => {
   const pool = poolKit.createPool({ workers: 2, workMs: () => 60_000 });
   await pool.ready;
   const candidate = pool.addCandidate();
@@ -65,7 +73,7 @@
   await pool.submit(fixtures.makeJob([{}], { jobId: 'a' }));
   void candidate.leader()?.handleStoredRecord('a', 'spec');
   await pool.clock.advance(200);
-  assert.equal(pool.runs().length, 1, 'the job has not begun');
+  assert.equal(pool.runs().length, 1, 'the job has not started');
   await pool.cancel('a');
   void candidate.leader()?.handleStoredRecord('a', 'cancel');
   await pool.clock.advance(200 + poolPromises.STOP_MS);
@@ -73,11 +81,14 @@
   pool.dispose();
 };
 
-test.test('what an entry has stored begins, and stops, without the watch', checkTold);
+test.test(
+  'jobs and cancellations reported by an entry take effect without the watch',
+  checkNotified,
+);
 
 const CASES = [
-  { name: 'a cancelled job stops and a new one begins', check: checkNews },
-  { name: 'a leader that has ended is followed', check: checkVacancy },
+  { name: 'a cancelled job stops and a new one starts', check: checkUpdates },
+  { name: 'a leader that has ended is succeeded', check: checkTakeover },
 ];
 
 test.describe('in time after an outage, whenever it ends', () => {
--- a/src/standins/test/poolParts.test.ts
+++ b/src/standins/test/poolParts.test.ts
@@ -1,5 +1,5 @@
 /**
- * Parts of a pool on their own, where the whole would hide that a guard is missing.
+ * Tests of single parts of a pool, for checks whose absence an end-to-end test would not reveal.
  */
 import * as assert from 'node:assert/strict';
 import * as test from 'node:test';
@@ -22,9 +22,9 @@
   store.transact({ conditions: [], puts: [{ key, value }], removes: [] });
 
 test.describe('progressWriter', () => {
-  // A former leader has not noticed that another leads. Its write of a job that the new leader has not
-  // touched yet would start the job a second time.
-  test.it('writes nothing once another leads', async () => {
+  // A previous leader has not noticed the takeover. Its write of a job that the new leader has not written
+  // yet would start the job a second time.
+  test.it('writes nothing after a takeover by another leader', async () => {
     const time = clock.createFakeClock();
     const store = memoryStore.createMemoryStore(time);
     await put(store, 'leader', 'first');
@@ -38,8 +38,8 @@
       metrics: metrics.createMetrics(),
       leadership: { key: 'leader', revision },
       recordOf: (jobId) => ({ key: jobId, value: 'progress', revision: 0 }),
-      onDidWrite: () => assert.fail('nothing may be written'),
-      onDidFindCancel: () => assert.fail('nothing is cancelled'),
+      onDidWrite: () => assert.fail('no write may succeed'),
+      onDidFindCancel: () => assert.fail('no job is cancelled'),
       onDidConflict: (reason) => conflicts.push(reason),
     });
     void writer.save('job');
@@ -52,9 +52,9 @@
 
 test.describe('viewIntake', () => {
   const CASES: readonly [name: string, viewFence: number, isGone: boolean][] = [
-    // The worker does not list the run, but its order may still be on the way.
-    ['a list under the order’s own fence says nothing', 4, false],
-    ['a list under the next one says that the run is gone', 5, true],
+    // The worker does not list the run, but the order that starts it may still be in flight.
+    ['a report with the fence of the order itself does not show that the run is gone', 4, false],
+    ['a report with the next fence shows that the run is gone', 5, true],
   ];
   for (const [name, viewFence, isGone] of CASES) {
     test.it(name, () => {
@@ -126,7 +126,7 @@
   readonly name: string;
   readonly answers: readonly agentContract.WorkerAnswer[];
   readonly before?: (agent: poolAgent.PoolAgent) => void;
-  /** While the worker has the start. */
+  /** Called while the worker handles the start. */
   readonly meanwhile?: (agent: poolAgent.PoolAgent) => void;
   readonly order?: Partial<agentContract.OrderRequest>;
   readonly outcome: agentContract.OrderOutcome;
@@ -134,32 +134,32 @@
 }
 
 const AGENT_CASES: readonly AgentCase[] = [
-  { name: 'a start is given', answers: [], outcome: 'accepted', starts: 1 },
-  { name: 'a refusal is told', answers: [REFUSED], outcome: 'refused', starts: 1 },
+  { name: 'a start is sent', answers: [], outcome: 'accepted', starts: 1 },
+  { name: 'a refusal is reported', answers: [REFUSED], outcome: 'refused', starts: 1 },
   {
-    name: 'an order without an answer is given again',
+    name: 'an order without an answer is sent again',
     answers: [UNKNOWN],
     outcome: 'accepted',
     starts: 2,
   },
   {
-    // The first copy got no answer and may come late; that the second was refused for want of room
-    // says nothing about it.
-    name: 'a refusal after that settles nothing',
+    // The first copy got no answer and may arrive late; the refusal of the second for lack of capacity
+    // does not show whether the first is executed.
+    name: 'a refusal after an attempt without an answer leaves the outcome unknown',
     answers: [UNKNOWN, REFUSED],
     outcome: 'unknown',
     starts: 2,
   },
   {
-    name: 'three attempts without an answer stay open',
+    name: 'after three attempts without an answer the outcome is unknown',
     answers: [UNKNOWN, UNKNOWN, UNKNOWN],
     outcome: 'unknown',
     starts: 3,
   },
   {
-    // The first copy may have been carried out and its task be done. Given again to a new life under the
-    // same id, which knows nothing of that, the task would run once more.
-    name: 'an order without an answer is not given again to another life',
+    // The first copy may have been executed and its task be done. If the order were sent again to a new
+    // incarnation with the same id, which does not know the run, the task would run once more.
+    name: 'an order without an answer is not sent again to another incarnation',
     answers: [UNKNOWN],
     meanwhile: (agent) => {
       agent.recordHeartbeat({ info: { ...INFO, incarnationMs: 6 }, sequence: 1 });
@@ -168,14 +168,14 @@
     starts: 1,
   },
   {
-    name: 'another life of the worker is meant',
+    name: 'the order addresses another incarnation of the worker',
     answers: [],
     order: { incarnationMs: 4 },
     outcome: 'refused',
     starts: 0,
   },
   {
-    name: 'the worker is leaving',
+    name: 'the worker is draining',
     answers: [],
     before: (agent) => {
       agent.recordHeartbeat({ info: { ...INFO, state: 'draining' }, sequence: 2 });
@@ -184,9 +184,9 @@
     starts: 0,
   },
   {
-    // A heartbeat that was held up by a cut comes after its sender has crashed and another life has
-    // registered: it must not take the present life's place.
-    name: 'a heartbeat of an earlier life changes nothing',
+    // A heartbeat delayed by a cut link arrives after its sender has crashed and a new incarnation has
+    // registered: it must not replace the current incarnation.
+    name: 'a heartbeat of a previous incarnation changes nothing',
     answers: [],
     before: (agent) => {
       agent.recordHeartbeat({
@@ -198,7 +198,7 @@
     starts: 1,
   },
   {
-    name: 'an older heartbeat of the same life changes nothing',
+    name: 'an older heartbeat of the same incarnation changes nothing',
     answers: [],
     before: (agent) => {
       agent.recordHeartbeat({ info: { ...INFO, state: 'draining' }, sequence: 1 });
@@ -220,8 +220,8 @@
     });
   }
 
-  // A leader that was followed by another still sends an order.
-  test.it('a leader that has been followed is refused', async () => {
+  // A previous leader still sends an order after a takeover.
+  test.it('an order of a previous leader is refused', async () => {
     const { agent, starts } = createAgent([]);
     await agent.order({ ...ORDER, starts: [] });
     await assert.rejects(
--- a/src/standins/test/poolPromises.ts
+++ b/src/standins/test/poolPromises.ts
@@ -1,15 +1,15 @@
 /**
- * What callers of a pool are promised, as the tests of whole pools check it.
+ * Time limits that a pool guarantees to callers, as end-to-end tests check them.
  */
 
-/** Nothing of a job is started later than this after its cancellation was stored. */
+/** No task of a job starts later than this after its cancellation was stored. */
 export const CANCEL_MS = 3000;
 
-/** Longest time that a stop may take: by then nothing of a cancelled job works. */
+/** Longest duration of a stop: after it no task of a cancelled job runs. */
 export const STOP_MS = 400;
 
-/** An urgent job of a customer with a guarantee has begun after this time. */
+/** Time within which an urgent job of a customer with a guarantee starts. */
 export const RECLAIM_MS = 2900;
 
-/** Promises on starts hold from this long after the last fault. */
+/** The limits on starts hold from this long after the last fault. */
 export const STABLE_MS = 4000;
