--- a/src/standins/test/keptRecords.test.ts
+++ b/src/standins/test/keptRecords.test.ts
@@ -1,5 +1,5 @@
 /**
- * The archive of ended jobs and the counts of service levels, on the stand-in of the store.
+ * The archive of ended jobs and the counts of service levels, on the in-memory store.
  */
 import * as assert from 'node:assert/strict';
 import * as test from 'node:test';
@@ -18,21 +18,21 @@
 const HOUR_MS = 3_600_000;
 const START_MS = 20_000 * DAY_MS;
 
-const createBench = () => {
+const createHarness = () => {
   const time = clock.createFakeClock(START_MS);
   const store = memoryStore.createMemoryStore(time);
-  const counted = metrics.createMetrics();
+  const counters = metrics.createMetrics();
   return {
     time,
     store,
-    counted,
+    counters,
     archive: () =>
       jobArchive.createJobArchive({
         cell: 'zone-a',
         store,
         clock: time,
         log: logging.silentLog,
-        metrics: counted,
+        metrics: counters,
       }),
     levels: (writerId: string) =>
       serviceLevelRecorder.createServiceLevelRecorder({
@@ -49,35 +49,38 @@
   endedAtMs,
 });
 
-test.test('an ended job is found after its segment has dropped it, for 30 days', async () => {
-  const bench = createBench();
-  const archive = bench.archive();
-  archive.add(endedJob('a', START_MS));
-  await bench.time.advance(60_000);
-  const found = (atMs: number) => jobArchive.findArchivedJob(bench.store, 'zone-a', 'a', atMs);
-  assert.equal((await found(START_MS))?.state, 'done');
-  assert.equal((await found(START_MS + 30 * DAY_MS))?.state, 'done');
-  assert.equal(await found(START_MS + 31 * DAY_MS), undefined);
-  // The record itself goes with a later write.
-  await bench.time.advance(32 * DAY_MS);
-  archive.add(endedJob('b', bench.time.wallMs()));
-  await bench.time.advance(60_000);
-  const { entries } = await bench.store.list('cells/zone-a/job-archive/');
-  assert.equal(entries.length, 1);
-});
+test.test(
+  'an ended job is found in the archive for 30 days after its segment has dropped it',
+  async () => {
+    const harness = createHarness();
+    const archive = harness.archive();
+    archive.add(endedJob('a', START_MS));
+    await harness.time.advance(60_000);
+    const found = (atMs: number) => jobArchive.findArchivedJob(harness.store, 'zone-a', 'a', atMs);
+    assert.equal((await found(START_MS))?.state, 'done');
+    assert.equal((await found(START_MS + 30 * DAY_MS))?.state, 'done');
+    assert.equal(await found(START_MS + 31 * DAY_MS), undefined);
+    // A later write deletes the record itself.
+    await harness.time.advance(32 * DAY_MS);
+    archive.add(endedJob('b', harness.time.wallMs()));
+    await harness.time.advance(60_000);
+    const { entries } = await harness.store.list('cells/zone-a/job-archive/');
+    assert.equal(entries.length, 1);
+  },
+);
 
-test.test('a job that two leaders archive stands there once', async () => {
-  // A leader archives a job and dies. The next one cannot know and archives what ended lately
-  // again; explain must not tell two stories.
-  const bench = createBench();
-  const first = bench.archive();
+test.test('a job that two leaders archive is stored once', async () => {
+  // A leader archives a job and ends. The next leader does not know that, and archives the recently ended
+  // jobs again; explain must not show a job twice.
+  const harness = createHarness();
+  const first = harness.archive();
   first.add(endedJob('a', START_MS));
   await first.flush();
-  const second = bench.archive();
+  const second = harness.archive();
   const long = endedJob('long-ago', START_MS - 2 * DAY_MS);
   second.addRecent([endedJob('a', START_MS), endedJob('b', START_MS), long]);
   await second.flush();
-  const { entries } = await bench.store.list('cells/zone-a/job-archive/');
+  const { entries } = await harness.store.list('cells/zone-a/job-archive/');
   const jobs = entries.flatMap((it) => (JSON.parse(it.value) as { jobs: job.JobRecord[] }).jobs);
   assert.deepEqual(
     jobs.map((it) => it.spec.jobId),
@@ -85,39 +88,46 @@
   );
 });
 
-test.test('a lost answer or an outage costs the archive no job', async () => {
-  const bench = createBench();
-  const archive = bench.archive();
-  bench.store.faults.loseWriteAnswers = 1;
+test.test('no job is missing from the archive after a lost answer or an outage', async () => {
+  const harness = createHarness();
+  const archive = harness.archive();
+  harness.store.faults.loseWriteAnswers = 1;
   archive.add(endedJob('a', START_MS));
-  await bench.time.advance(60_000);
-  bench.store.faults.isDown = true;
+  await harness.time.advance(60_000);
+  harness.store.faults.isDown = true;
   archive.add(endedJob('b', START_MS));
-  await bench.time.advance(180_000);
-  bench.store.faults.isDown = false;
-  await bench.time.advance(60_000);
-  const { entries } = await bench.store.list('cells/zone-a/job-archive/');
+  await harness.time.advance(180_000);
+  harness.store.faults.isDown = false;
+  await harness.time.advance(60_000);
+  const { entries } = await harness.store.list('cells/zone-a/job-archive/');
   const jobs = entries.flatMap((it) => (JSON.parse(it.value) as { jobs: job.JobRecord[] }).jobs);
   assert.deepEqual(jobs.map((it) => it.spec.jobId).sort(), ['a', 'b']);
 });
 
-test.test('a day of too many jobs stays within its parts and says what it dropped', async () => {
-  const bench = createBench();
-  const archive = bench.archive();
-  const long = { atMs: 0, what: 'placed', why: 'x'.repeat(400), configVersion: 1 };
-  for (let index = 0; index < 500; index += 1) {
-    const record = endedJob(`job-${index}`, START_MS);
-    archive.add({ ...record, decisions: Array.from({ length: 24 }, () => long) });
-  }
-  await archive.flush();
-  const { entries } = await bench.store.list('cells/zone-a/job-archive/');
-  assert.equal(entries.length, jobArchive.MAX_PARTS);
-  assert.ok(entries.every((it) => it.value.length <= 524_288));
-  const kept = entries.flatMap((it) => (JSON.parse(it.value) as { jobs: unknown[] }).jobs).length;
-  const dropped = bench.counted.read('auburnlift_job_archive_dropped_total', { cell: 'zone-a' });
-  assert.equal(kept + dropped, 500);
-  assert.ok(dropped > 0);
-});
+test.test(
+  'a day with too many jobs stays within its parts and counts the jobs that it dropped',
+  async () => {
+    const harness = createHarness();
+    const archive = harness.archive();
+    const long = { atMs: 0, what: 'placed', why: 'x'.repeat(400), configVersion: 1 };
+    for (let index = 0; index < 500; index += 1) {
+      const record = endedJob(`job-${index}`, START_MS);
+      archive.add({ ...record, decisions: Array.from({ length: 24 }, () => long) });
+    }
+    await archive.flush();
+    const { entries } = await harness.store.list('cells/zone-a/job-archive/');
+    assert.equal(entries.length, jobArchive.MAX_PARTS);
+    assert.ok(entries.every((it) => it.value.length <= 524_288));
+    const stored = entries.flatMap(
+      (it) => (JSON.parse(it.value) as { jobs: unknown[] }).jobs,
+    ).length;
+    const dropped = harness.counters.read('auburnlift_job_archive_dropped_total', {
+      cell: 'zone-a',
+    });
+    assert.equal(stored + dropped, 500);
+    assert.ok(dropped > 0);
+  },
+);
 
 const GOOD = [{ objectiveId: 'fast', isGood: true }];
 
@@ -129,40 +139,40 @@
     .reduce((sum, it) => sum + it, 0);
 };
 
-test.test('counts survive the process, a lost answer and an outage', async () => {
-  // An entry counts, the answer of its write is lost, the store goes down for ten minutes, and the
-  // entry is started again under its old id: the report must show each event once.
-  const bench = createBench();
-  const first = bench.levels('entry-1.boot-1');
+test.test('counts survive a restart of the process, a lost answer and an outage', async () => {
+  // An entry counts events, the answer of its write is lost, the store is down for ten minutes, and the
+  // entry restarts with the same id: the report must show each event once.
+  const harness = createHarness();
+  const first = harness.levels('entry-1.boot-1');
   first.note(GOOD);
-  bench.store.faults.loseWriteAnswers = 1;
-  await bench.time.advance(60_000);
+  harness.store.faults.loseWriteAnswers = 1;
+  await harness.time.advance(60_000);
   first.note(GOOD);
-  bench.store.faults.isDown = true;
-  await bench.time.advance(600_000);
-  bench.store.faults.isDown = false;
-  await bench.time.advance(60_000);
+  harness.store.faults.isDown = true;
+  await harness.time.advance(600_000);
+  harness.store.faults.isDown = false;
+  await harness.time.advance(60_000);
   await first.dispose();
-  const second = bench.levels('entry-1.boot-2');
+  const second = harness.levels('entry-1.boot-2');
   second.note(GOOD);
   await second.flush();
-  assert.equal(await goodOf(bench.store, bench.time.wallMs()), 3);
+  assert.equal(await goodOf(harness.store, harness.time.wallMs()), 3);
 });
 
-test.test('an hour of events costs few calls, and old hours go', async () => {
-  const bench = createBench();
-  const keeper = bench.levels('entry-1.boot-1');
+test.test('an hour of events costs few calls, and old hours are deleted', async () => {
+  const harness = createHarness();
+  const recorder = harness.levels('entry-1.boot-1');
   for (let minute = 0; minute < 60; minute += 1) {
-    for (let index = 0; index < 100; index += 1) keeper.note(GOOD);
-    await bench.time.advance(60_000);
+    for (let index = 0; index < 100; index += 1) recorder.note(GOOD);
+    await harness.time.advance(60_000);
   }
-  const { cas = 0, list = 0 } = bench.store.calls();
+  const { cas = 0, list = 0 } = harness.store.calls();
   assert.ok(cas <= 61, `${cas} writes`);
   assert.ok(list <= 6, `${list} listings`);
-  assert.equal(await goodOf(bench.store, bench.time.wallMs()), 6000);
-  await bench.time.advance(74 * HOUR_MS);
-  keeper.note(GOOD);
-  await keeper.flush();
-  const { entries } = await bench.store.list(storeKeys.serviceLevelPrefix(START_MS / HOUR_MS));
+  assert.equal(await goodOf(harness.store, harness.time.wallMs()), 6000);
+  await harness.time.advance(74 * HOUR_MS);
+  recorder.note(GOOD);
+  await recorder.flush();
+  const { entries } = await harness.store.list(storeKeys.serviceLevelPrefix(START_MS / HOUR_MS));
   assert.deepEqual(entries, []);
 });
--- a/src/standins/test/leasedRecord.test.ts
+++ b/src/standins/test/leasedRecord.test.ts
@@ -1,5 +1,5 @@
 /**
- * The leased record by which a process is found, while the store misbehaves.
+ * The leased record by which other processes find a process, under faults of the store.
  */
 import * as assert from 'node:assert/strict';
 import * as test from 'node:test';
@@ -14,24 +14,24 @@
 
 interface Case {
   readonly name: string;
-  /** What the store does when the record is written first. */
+  /** Sets the faults of the store for the first write of the record. */
   readonly prepare: (store: memoryStore.MemoryStore) => void;
   readonly later?: (store: memoryStore.MemoryStore) => void;
 }
 
 const CASES: readonly Case[] = [
-  { name: 'a sound store', prepare: () => undefined },
+  { name: 'writes without faults', prepare: () => undefined },
   {
-    // The first write of an agent's address gets no answer and is written again under another lease.
-    // Then the first copy takes effect and puts its own lease back, which nobody renews: the address goes
-    // away for good, and the next leader never hears of the agent or its worker.
-    name: 'a write that takes effect after its repetition',
+    // The first write of an agent's address gets no answer and is retried with another lease. Then the
+    // first copy takes effect and restores its own lease, which is not renewed: the address is removed
+    // permanently, and the next leader never discovers the agent or its worker.
+    name: 'a write that takes effect after its retry',
     prepare: (store) => {
       store.faults.delayTransactions = 1;
     },
   },
   {
-    name: 'two writes that take effect after their repetition',
+    name: 'two writes that take effect after their retry',
     prepare: (store) => {
       store.faults.delayTransactions = 2;
     },
@@ -43,7 +43,7 @@
     },
   },
   {
-    name: 'an outage that is longer than the lease',
+    name: 'an outage longer than the lease',
     prepare: () => undefined,
     later: (store) => {
       store.faults.isDown = !store.faults.isDown;
@@ -51,7 +51,7 @@
   },
 ];
 
-test.describe('a leased record stands for good after', () => {
+test.describe('a leased record stays stored after', () => {
   for (const it of CASES) {
     test.it(it.name, async () => {
       const time = clock.createFakeClock();
--- a/src/standins/test/ledgerKeeper.test.ts
+++ b/src/standins/test/ledgerKeeper.test.ts
@@ -1,5 +1,5 @@
 /**
- * The ledger of a cell, on the stand-in of the store, over changes of leader, outages, lost answers and clocks that jump.
+ * The ledger of a cell, on the in-memory store, under leader changes, outages, lost answers and clock jumps.
  */
 import * as assert from 'node:assert/strict';
 import * as test from 'node:test';
@@ -23,30 +23,30 @@
 const START_MS = 500_000 * HOUR_MS;
 const ACCELERATORS = 4;
 
-interface Bench {
+interface Harness {
   readonly clock: clock.FakeClock;
   readonly store: memoryStore.MemoryStore;
   readonly metrics: metrics.Metrics;
   jobs: job.JobRecord[];
   workers: ledgerAllocations.LedgerWorker[];
-  /** Error of the wall clock. */
-  wallOffMs: number;
+  /** Offset of the wall clock from the true time. */
+  wallOffsetMs: number;
   readonly deposed: number[];
   readonly lead: () => ledgerRecorder.LedgerRecorder;
   readonly hours: () => Promise<ledgerEntry.LedgerHour[]>;
 }
 
-const createBench = (): Bench => {
+const createHarness = (): Harness => {
   const time = clock.createFakeClock(START_MS);
   const store = memoryStore.createMemoryStore(time);
   let epoch = 0;
-  const bench: Bench = {
+  const harness: Harness = {
     clock: time,
     store,
     metrics: metrics.createMetrics(),
     jobs: [],
     workers: [ledgerFixtures.workerOf('w1', ACCELERATORS)],
-    wallOffMs: 0,
+    wallOffsetMs: 0,
     deposed: [],
     lead: () => {
       epoch += 1;
@@ -55,11 +55,11 @@
         cell: 'zone-a',
         epoch: own,
         store,
-        clock: { ...time, wallMs: () => time.wallMs() + bench.wallOffMs },
+        clock: { ...time, wallMs: () => time.wallMs() + harness.wallOffsetMs },
         log: logging.silentLog,
-        metrics: bench.metrics,
-        allocations: () => ({ workers: bench.workers, jobs: bench.jobs, configVersion: 1 }),
-        onLeadershipLost: () => bench.deposed.push(own),
+        metrics: harness.metrics,
+        allocations: () => ({ workers: harness.workers, jobs: harness.jobs, configVersion: 1 }),
+        onLeadershipLost: () => harness.deposed.push(own),
       });
     },
     hours: async () => {
@@ -67,7 +67,7 @@
       return entries.map((it) => JSON.parse(it.value) as ledgerEntry.LedgerHour);
     },
   };
-  return bench;
+  return harness;
 };
 
 const bookedMs = (hours: readonly ledgerEntry.LedgerHour[]): number =>
@@ -79,115 +79,115 @@
     .filter((it) => it.reason === reason)
     .reduce((sum, it) => sum + it.acceleratorMs, 0);
 
-const assertWhole = async (bench: Bench, untilMs: number): Promise<void> => {
-  const hours = await bench.hours();
+const assertBookedUntil = async (harness: Harness, untilMs: number): Promise<void> => {
+  const hours = await harness.hours();
   assert.deepEqual(ledgerCheck.checkHours(hours), []);
   assert.equal(hours.at(-1)?.bookedUntilMs, untilMs);
   assert.equal(bookedMs(hours), untilMs - START_MS);
 };
 
-test.test('the time between two leaders is booked once, across the hour', async () => {
-  // A leader dies at 10:58 and the next one takes over at 11:03. The creditors see 300 s of that
-  // cell missing, as the new leader read only the record of its own hour and began at 11:03.
-  const bench = createBench();
-  const first = bench.lead();
+test.test('the time between two leaders is booked once, across an hour boundary', async () => {
+  // A leader ends at 10:58 and the next one takes over at 11:03. Guards against 300 s missing from the ledger
+  // of the cell, where the new leader reads only the record of its own hour and starts booking at 11:03.
+  const harness = createHarness();
+  const first = harness.lead();
   await first.load();
-  bench.jobs = [ledgerFixtures.jobOf('a', [['w1', [0, 1]]], { startedAtMs: START_MS })];
-  await bench.clock.advance(HOUR_MS - 120_000);
+  harness.jobs = [ledgerFixtures.jobOf('a', [['w1', [0, 1]]], { startedAtMs: START_MS })];
+  await harness.clock.advance(HOUR_MS - 120_000);
   await first.flush();
   await first.dispose();
-  await bench.clock.advance(300_000);
-  await bench.lead().load();
-  await assertWhole(bench, START_MS + HOUR_MS + 180_000);
-  const hours = await bench.hours();
+  await harness.clock.advance(300_000);
+  await harness.lead().load();
+  await assertBookedUntil(harness, START_MS + HOUR_MS + 180_000);
+  const hours = await harness.hours();
   assert.equal(timeOf(hours, 'guarantee'), 2 * (HOUR_MS + 180_000));
   assert.equal(timeOf(hours, 'unreachable'), 2 * 300_000);
 });
 
-test.test('a lost answer does not end the writing', async () => {
-  // The write of an hour takes effect and its answer is lost. The keeper went on with the revision
-  // that it knew before, and each later write was refused: the hour stayed as it was.
-  const bench = createBench();
-  const keeper = bench.lead();
-  await keeper.load();
-  bench.store.faults.loseWriteAnswers = 1;
-  await bench.clock.advance(1000);
-  await keeper.flush();
-  await bench.clock.advance(1000);
-  await keeper.flush();
-  await assertWhole(bench, START_MS + 2000);
+test.test('writing continues after a lost answer', async () => {
+  // The write of an hour takes effect and its answer is lost. Guards against a recorder that continues with
+  // the previous revision, so that each later write is refused and the hour is never updated.
+  const harness = createHarness();
+  const recorder = harness.lead();
+  await recorder.load();
+  harness.store.faults.loseWriteAnswers = 1;
+  await harness.clock.advance(1000);
+  await recorder.flush();
+  await harness.clock.advance(1000);
+  await recorder.flush();
+  await assertBookedUntil(harness, START_MS + 2000);
 });
 
-test.test('a lost answer followed by an outage does not end the writing either', async () => {
-  // The answer is lost because the store goes away: reading back fails as well, so that the keeper
-  // meets its own record later, with more time in its books than the record has.
-  const bench = createBench();
-  const keeper = bench.lead();
-  await keeper.load();
-  await bench.clock.advance(1000);
-  bench.store.faults.loseWriteAnswers = 1;
-  const { get } = bench.store;
+test.test('writing continues after a lost answer followed by an outage', async () => {
+  // The answer is lost because the store goes down. Reading back fails as well, so the recorder finds its
+  // own record later, when it has booked more time than the record contains.
+  const harness = createHarness();
+  const recorder = harness.lead();
+  await recorder.load();
+  await harness.clock.advance(1000);
+  harness.store.faults.loseWriteAnswers = 1;
+  const { get } = harness.store;
   let isDown = true;
-  Object.assign(bench.store, {
+  Object.assign(harness.store, {
     get: (key: string) => (isDown ? Promise.reject(new Error('down')) : get(key)),
   });
-  await assert.rejects(keeper.flush());
+  await assert.rejects(recorder.flush());
   isDown = false;
-  await bench.clock.advance(1000);
-  await keeper.flush();
-  await assertWhole(bench, START_MS + 2000);
+  await harness.clock.advance(1000);
+  await recorder.flush();
+  await assertBookedUntil(harness, START_MS + 2000);
 });
 
-test.test('a deposed leader writes nothing more, also in a new hour', async () => {
-  // A leader is paused, another takes the cell, and the first wakes up and books the same time
-  // again: its customers would pay twice. Its first write meets the higher epoch and ends it.
-  const bench = createBench();
-  const old = bench.lead();
+test.test('a deposed leader writes nothing, even in a new hour', async () => {
+  // A leader is paused, another takes over, and the first resumes and books the same time again, so that
+  // customers would pay twice. Its first write finds the higher epoch and ends its recording.
+  const harness = createHarness();
+  const old = harness.lead();
   await old.load();
-  await bench.clock.advance(HOUR_MS - 1000);
+  await harness.clock.advance(HOUR_MS - 1000);
   await old.flush();
-  const next = bench.lead();
+  const next = harness.lead();
   await next.load();
-  await bench.clock.advance(2000);
+  await harness.clock.advance(2000);
   await assert.rejects(old.flush(), /later keeper/);
   await assert.rejects(old.flush(), /later keeper/);
   await next.flush();
-  assert.deepEqual(bench.deposed, [1]);
-  await assertWhole(bench, START_MS + HOUR_MS + 1000);
-  const hours = await bench.hours();
+  assert.deepEqual(harness.deposed, [1]);
+  await assertBookedUntil(harness, START_MS + HOUR_MS + 1000);
+  const hours = await harness.hours();
   assert.deepEqual([...new Set(hours.map((it) => it.epoch))], [2]);
 });
 
 test.test('hours of a long store outage are written when the store is back', async () => {
-  // The store is down for three hours. The keeper kept only the current hour's revision in mind
-  // and must not lose the two whole hours in between.
-  const bench = createBench();
-  const keeper = bench.lead();
-  await keeper.load();
-  bench.store.faults.isDown = true;
-  await bench.clock.advance(3 * HOUR_MS);
-  bench.store.faults.isDown = false;
-  await keeper.flush();
-  await assertWhole(bench, START_MS + 3 * HOUR_MS);
+  // The store is down for three hours. The recorder remembers only the revision of the current hour
+  // and must not lose the two complete hours in between.
+  const harness = createHarness();
+  const recorder = harness.lead();
+  await recorder.load();
+  harness.store.faults.isDown = true;
+  await harness.clock.advance(3 * HOUR_MS);
+  harness.store.faults.isDown = false;
+  await recorder.flush();
+  await assertBookedUntil(harness, START_MS + 3 * HOUR_MS);
 });
 
-test.test('a wall clock that jumps books no time twice and leaves no hole', async () => {
-  // The clock steps forward by ten minutes and later back: the ten minutes are booked once, as
-  // time of which nobody can say, and booking waits until the clock has caught up.
-  const bench = createBench();
-  const keeper = bench.lead();
-  await keeper.load();
-  await bench.clock.advance(60_000);
-  bench.wallOffMs = 600_000;
-  await keeper.flush();
-  bench.wallOffMs = 0;
-  await bench.clock.advance(60_000);
-  await keeper.flush();
-  await assertWhole(bench, START_MS + 660_000);
-  await bench.clock.advance(600_000);
-  await keeper.flush();
-  await assertWhole(bench, START_MS + 720_000);
-  assert.equal(timeOf(await bench.hours(), 'unreachable'), ACCELERATORS * 600_000);
+test.test('a clock jump books no time twice and leaves no gap', async () => {
+  // The clock jumps forward by ten minutes and later back: the ten minutes are booked once, as unreachable
+  // time, and booking pauses until the clock has caught up.
+  const harness = createHarness();
+  const recorder = harness.lead();
+  await recorder.load();
+  await harness.clock.advance(60_000);
+  harness.wallOffsetMs = 600_000;
+  await recorder.flush();
+  harness.wallOffsetMs = 0;
+  await harness.clock.advance(60_000);
+  await recorder.flush();
+  await assertBookedUntil(harness, START_MS + 660_000);
+  await harness.clock.advance(600_000);
+  await recorder.flush();
+  await assertBookedUntil(harness, START_MS + 720_000);
+  assert.equal(timeOf(await harness.hours(), 'unreachable'), ACCELERATORS * 600_000);
 });
 
 for (const [bytes, delayMs] of [
@@ -201,42 +201,42 @@
   });
 }
 
-test.test('two jobs on one accelerator are reported loudly', async () => {
-  const bench = createBench();
-  const keeper = bench.lead();
-  await keeper.load();
-  bench.jobs = ['a', 'b'].map((id) => ledgerFixtures.jobOf(id, [['w1', [0]]]));
-  await bench.clock.advance(1000);
-  await keeper.flush();
+test.test('two jobs on one accelerator are counted as a ledger fault', async () => {
+  const harness = createHarness();
+  const recorder = harness.lead();
+  await recorder.load();
+  harness.jobs = ['a', 'b'].map((id) => ledgerFixtures.jobOf(id, [['w1', [0]]]));
+  await harness.clock.advance(1000);
+  await recorder.flush();
   const labels = { cell: 'zone-a', kind: 'doubleHeld' };
-  assert.equal(bench.metrics.read('auburnlift_ledger_faults_total', labels), 1);
+  assert.equal(harness.metrics.read('auburnlift_ledger_faults_total', labels), 1);
 });
 
-test.test('old hours become days once, also when rolling up is cut off halfway', async () => {
-  // The process that rolls a day up dies after writing the day, before deleting its hours. The
-  // next one must neither add the hours a second time nor leave them for ever.
-  const bench = createBench();
-  const keeper = bench.lead();
-  await keeper.load();
-  await keeper.dispose();
+test.test('old hours are rolled up into days once, even when a rollup is interrupted', async () => {
+  // The process that rolls up a day ends after writing the day, before deleting its hours. The next
+  // rollup must neither add the hours a second time nor leave them stored forever.
+  const harness = createHarness();
+  const recorder = harness.lead();
+  await recorder.load();
+  await recorder.dispose();
   for (let hour = 0; hour < 30; hour += 1) {
-    await bench.clock.advance(HOUR_MS);
-    await keeper.flush();
+    await harness.clock.advance(HOUR_MS);
+    await recorder.flush();
   }
-  const before = await bench.hours();
+  const before = await harness.hours();
   const nowMs = START_MS + 240 * HOUR_MS;
-  const options = { store: bench.store, cell: 'zone-a', epoch: 1, nowMs };
-  const { compareAndSwap } = bench.store;
-  Object.assign(bench.store, {
+  const options = { store: harness.store, cell: 'zone-a', epoch: 1, nowMs };
+  const { compareAndSwap } = harness.store;
+  Object.assign(harness.store, {
     compareAndSwap: (swap: Parameters<typeof compareAndSwap>[0]) =>
       swap.value === null ? Promise.reject(new Error('died')) : compareAndSwap(swap),
   });
   await assert.rejects(ledgerRollup.rollUp(options));
-  Object.assign(bench.store, { compareAndSwap });
+  Object.assign(harness.store, { compareAndSwap });
   await ledgerRollup.rollUp(options);
-  const { entries } = await bench.store.list(storeKeys.ledgerDaysPrefix('zone-a'));
+  const { entries } = await harness.store.list(storeKeys.ledgerDaysPrefix('zone-a'));
   const days = entries.map((it) => JSON.parse(it.value) as ledgerEntry.LedgerDay);
-  const left = await bench.hours();
+  const left = await harness.hours();
   const sum = (list: readonly ledgerEntry.LedgerEntry[]): number =>
     list.reduce((total, it) => total + it.acceleratorMs, 0);
   const rolled = sum(days.flatMap((it) => it.entries));
@@ -245,8 +245,8 @@
   assert.equal(days.flatMap((it) => it.hours).length + left.length, before.length);
 });
 
-/** One thing that happens to a cell. */
-type Happening =
+/** One event in a cell. */
+type CellEvent =
   | { readonly type: 'start'; readonly accelerators: number }
   | { readonly type: 'stop'; readonly cause: job.StopCause }
   | { readonly type: 'end' }
@@ -258,7 +258,7 @@
   | { readonly type: 'clock'; readonly offMs: number }
   | { readonly type: 'wait'; readonly durationMs: number };
 
-const happening: fc.Arbitrary<Happening> = fc.oneof(
+const cellEvent: fc.Arbitrary<CellEvent> = fc.oneof(
   fc.record({ type: fc.constant('start' as const), accelerators: fc.integer({ min: 1, max: 4 }) }),
   fc.record({
     type: fc.constant('stop' as const),
@@ -283,77 +283,77 @@
   }),
 );
 
-const startJob = (bench: Bench, accelerators: number, index: number): void => {
+const startJob = (harness: Harness, accelerators: number, index: number): void => {
   const used = new Set(
-    bench.jobs.flatMap((it) =>
+    harness.jobs.flatMap((it) =>
       it.placement.flatMap((place) => place.accelerators.map((at) => `${place.workerId}/${at}`)),
     ),
   );
-  const free = bench.workers.flatMap(({ workerId }) =>
+  const free = harness.workers.flatMap(({ workerId }) =>
     Array.from({ length: ACCELERATORS }, (_unused, at) => ({ workerId, at })).filter(
       (it) => !used.has(`${it.workerId}/${it.at}`),
     ),
   );
   if (free.length < accelerators) return;
   const places = free.slice(0, accelerators).map((it) => [it.workerId, [it.at]] as const);
-  const startedAtMs = bench.clock.wallMs() + bench.wallOffMs;
-  bench.jobs.push(ledgerFixtures.jobOf(`job-${index}`, places, { startedAtMs }));
+  const startedAtMs = harness.clock.wallMs() + harness.wallOffsetMs;
+  harness.jobs.push(ledgerFixtures.jobOf(`job-${index}`, places, { startedAtMs }));
 };
 
-const happen = async (
-  bench: Bench,
-  keepers: ledgerRecorder.LedgerRecorder[],
-  it: Happening,
+const applyEvent = async (
+  harness: Harness,
+  recorders: ledgerRecorder.LedgerRecorder[],
+  it: CellEvent,
   index: number,
 ): Promise<void> => {
-  keepers.at(-1)?.settle();
-  const [last, ...others] = [...bench.jobs].reverse();
-  if (it.type === 'start') startJob(bench, it.accelerators, index);
-  if (it.type === 'end') bench.jobs = others.reverse();
+  recorders.at(-1)?.settle();
+  const [last, ...others] = [...harness.jobs].reverse();
+  if (it.type === 'start') startJob(harness, it.accelerators, index);
+  if (it.type === 'end') harness.jobs = others.reverse();
   if (it.type === 'stop' && last !== undefined) {
-    bench.jobs = [...others.reverse(), { ...last, state: 'stopping', stopCause: it.cause }];
+    harness.jobs = [...others.reverse(), { ...last, state: 'stopping', stopCause: it.cause }];
   }
   if (it.type === 'health') {
-    bench.workers = bench.workers.map((worker) => ({ ...worker, health: it.health }));
+    harness.workers = harness.workers.map((worker) => ({ ...worker, health: it.health }));
   }
   if (it.type === 'worker') {
-    bench.workers = Array.from({ length: it.count }, (_unused, at) =>
+    harness.workers = Array.from({ length: it.count }, (_unused, at) =>
       ledgerFixtures.workerOf(`w${at}`, ACCELERATORS),
     );
   }
-  if (it.type === 'outage') bench.store.faults.isDown = it.isDown;
-  if (it.type === 'loseAnswers') bench.store.faults.loseWriteAnswers = it.count;
-  if (it.type === 'clock') bench.wallOffMs = it.offMs;
-  if (it.type === 'wait') await bench.clock.advance(it.durationMs);
+  if (it.type === 'outage') harness.store.faults.isDown = it.isDown;
+  if (it.type === 'loseAnswers') harness.store.faults.loseWriteAnswers = it.count;
+  if (it.type === 'clock') harness.wallOffsetMs = it.offMs;
+  if (it.type === 'wait') await harness.clock.advance(it.durationMs);
   if (it.type === 'changeLeader') {
-    const next = bench.lead();
-    // A leader that cannot read or fence gives the cell up; the old one stays until it is fenced.
+    const next = harness.lead();
+    // A leader that can not read or fence abandons the cell; the old one stays until it is fenced.
     await next.load().then(
-      () => keepers.push(next),
+      () => recorders.push(next),
       () => next.dispose(),
     );
   }
 };
 
-test.test('the books balance over random histories', async () => {
-  const history = fc.array(happening, { minLength: 1, maxLength: 40 });
-  const property = fc.asyncProperty(history, async (happenings) => {
-    const bench = createBench();
-    const keepers = [bench.lead()];
-    await keepers[0]?.load();
-    for (const [index, it] of happenings.entries()) await happen(bench, keepers, it, index);
-    bench.store.faults.isDown = false;
-    bench.store.faults.loseWriteAnswers = 0;
-    // Deposed keepers wake up first and must do no harm.
-    const current = keepers.at(-1);
-    for (const it of keepers) if (it !== current) await it.flush().catch(() => undefined);
+test.test('the ledger balances over random histories', async () => {
+  const history = fc.array(cellEvent, { minLength: 1, maxLength: 40 });
+  const property = fc.asyncProperty(history, async (events) => {
+    const harness = createHarness();
+    const recorders = [harness.lead()];
+    await recorders[0]?.load();
+    for (const [index, it] of events.entries()) await applyEvent(harness, recorders, it, index);
+    harness.store.faults.isDown = false;
+    harness.store.faults.loseWriteAnswers = 0;
+    // Deposed recorders flush first and must not change the ledger.
+    const current = recorders.at(-1);
+    for (const it of recorders) if (it !== current) await it.flush().catch(() => undefined);
     await current?.flush();
-    const hours = await bench.hours();
+    const hours = await harness.hours();
     assert.deepEqual(ledgerCheck.checkHours(hours), []);
     const untilMs = hours.at(-1)?.bookedUntilMs ?? 0;
     assert.equal(bookedMs(hours), untilMs - START_MS);
-    assert.ok(untilMs >= bench.clock.wallMs() + bench.wallOffMs);
-    for (const it of keepers) await it.dispose();
+    assert.ok(untilMs >= harness.clock.wallMs() + harness.wallOffsetMs);
+    for (const it of recorders) await it.dispose();
   });
   await fc.assert(property, { numRuns: 150, seed: 6 });
 });
--- a/src/standins/test/liveWatch.test.ts
+++ b/src/standins/test/liveWatch.test.ts
@@ -1,5 +1,5 @@
 /**
- * The live watch over a store that is restored from an older state.
+ * The live watch on a store that is restored from an older state.
  */
 import * as assert from 'node:assert/strict';
 import * as test from 'node:test';
@@ -12,10 +12,10 @@
 
 const KEY = storeKeys.leaderKey('north');
 
-test.test('a watch goes on over a store whose revisions began again', async () => {
-  // The store is restored from a backup. Its revisions are lower than those seen before, so every
-  // watch waits in vain and every listing looks late: leaders and processes would stay as they were
-  // until the process restarts. A listing that began after the higher revision was seen counts.
+test.test('a watch continues on a store whose revisions have restarted', async () => {
+  // The store is restored from a backup with lower revisions than those seen before, so every watch waits
+  // without result and every listing looks stale: the known leaders and processes would not change until
+  // the process restarts. A listing that started after the higher revision was seen is accepted.
   const timeSource = clock.createFakeClock();
   const before = memoryStore.createMemoryStore(timeSource);
   const after = memoryStore.createMemoryStore(timeSource);
--- a/src/standins/test/longAnswers.test.ts
+++ b/src/standins/test/longAnswers.test.ts
@@ -1,5 +1,5 @@
 /**
- * What depends on answers of the store that are long on their way.
+ * Behaviour while answers of the store take long to arrive.
  */
 import * as assert from 'node:assert/strict';
 import * as test from 'node:test';
@@ -37,7 +37,7 @@
   return JSON.stringify({ version, queues: [queue], services: [], customers, maxBodyBytes: 1000 });
 };
 
-const away = (): Promise<never> =>
+const unavailable = (): Promise<never> =>
   Promise.reject(errors.fail('storeUnavailable', 'the store does not answer'));
 
 const CALL: jobRequestHandler.Call = {
@@ -54,15 +54,15 @@
   schedule: undefined,
 };
 
-interface DeskRig {
+interface HandlerRig {
   readonly clock: clock.FakeClock;
-  readonly desk: jobRequestHandler.JobRequestHandler;
+  readonly handler: jobRequestHandler.JobRequestHandler;
   readonly store: memoryStore.MemoryStore;
   readonly failGets: () => void;
   readonly submit: () => Promise<unknown>;
 }
 
-const createDeskRig = async (): Promise<DeskRig> => {
+const createHandlerRig = async (): Promise<HandlerRig> => {
   const time = clock.createFakeClock(1_000_000);
   const store = memoryStore.createMemoryStore(time);
   const puts = [{ key: KEY, value: makeConfiguration(1) }];
@@ -78,9 +78,9 @@
   let areGetsFailing = false;
   const subject: recordStore.RecordStore = {
     ...store,
-    get: (key) => (areGetsFailing ? away() : store.get(key)),
+    get: (key) => (areGetsFailing ? unavailable() : store.get(key)),
   };
-  const desk = jobRequestHandler.createJobRequestHandler({
+  const handler = jobRequestHandler.createJobRequestHandler({
     store: subject,
     clock: time,
     log: logging.silentLog,
@@ -91,8 +91,8 @@
     revokeMs: 5000,
   });
   const submit = async (): Promise<unknown> => {
-    let outcome: unknown = 'no answer in the time of the caller';
-    void desk.submit(CALL, desk.admit(CALL), DRAFT).then(
+    let outcome: unknown = 'no answer before the deadline of the caller';
+    void handler.submit(CALL, handler.admit(CALL), DRAFT).then(
       () => {
         outcome = 'accepted';
       },
@@ -106,13 +106,13 @@
   const failGets = (): void => {
     areGetsFailing = true;
   };
-  return { clock: time, desk, store, failGets, submit };
+  return { clock: time, handler, store, failGets, submit };
 };
 
-// A refusal promises that the job never runs; a job that is stored runs.
-test.describe('a submit whose record was refused without the records', () => {
-  test.it('is not refused where its own first write took effect', async () => {
-    const rig = await createDeskRig();
+// A refusal guarantees that the job never runs, but a stored job runs.
+test.describe('a submit whose write was refused while the record can not be read', () => {
+  test.it('is not refused where its first write took effect', async () => {
+    const rig = await createHandlerRig();
     rig.store.faults.loseWriteAnswers = 1;
     rig.failGets();
     const outcome = await rig.submit();
@@ -120,61 +120,61 @@
     assert.notEqual(outcome, 'storeUnavailable');
   });
 
-  test.it('is not refused where the job was accepted before', async () => {
-    const rig = await createDeskRig();
+  test.it('is not refused where the job was already accepted', async () => {
+    const rig = await createHandlerRig();
     assert.equal(await rig.submit(), 'accepted');
     rig.failGets();
     assert.notEqual(await rig.submit(), 'storeUnavailable');
   });
 });
 
-// Guards against a caller that is held, and cut at the end of a process, for an answer that comes too late for it.
-test.describe('a call whose answer of the store is long', () => {
-  test.it('is answered within the time of its caller', async () => {
-    const rig = await createDeskRig();
+// Guards against a caller that waits, until the end of the process cuts it off, for an answer past its deadline.
+test.describe('a call for which the store answers slowly', () => {
+  test.it('is answered within the deadline of its caller', async () => {
+    const rig = await createHandlerRig();
     rig.store.faults.delayMs = 6000;
     assert.equal(await rig.submit(), 'outcomeUnknown');
   });
 });
 
 const outcomeOfAdmit = (
-  desk: jobRequestHandler.JobRequestHandler,
+  handler: jobRequestHandler.JobRequestHandler,
   call: jobRequestHandler.Call,
 ): string => {
   try {
-    desk.admit(call);
+    handler.admit(call);
     return 'admitted';
   } catch (thrown) {
     return errors.normalize(thrown).kind;
   }
 };
 
-/** An entry tells what a configuration says for 2.5 s after that one was replaced, and no longer. */
+/** An entry applies a configuration for at peak 2.5 s after it was replaced. */
 const APPLY_MS = 2500;
 
-/** The watch that waits when answers begin to take long still proves the configuration at its end. */
+/** The watch in flight when answers become slow still confirms the configuration when it ends. */
 const WAITING_WATCH_MS = 1200;
 
-const UNKNOWN: readonly [name: string, changes: Partial<jobRequestHandler.Call>][] = [
+const UNKNOWN_ITEMS: readonly [name: string, changes: Partial<jobRequestHandler.Call>][] = [
   ['a queue', { path: `/later/${ID}` }],
   ['a key', { apiKey: 'later' }],
 ];
 
-// Guards against answers by a configuration that was replaced long ago, while the next one is on its way.
-test.describe('an entry that waits for a long configuration', () => {
-  for (const [name, changes] of UNKNOWN) {
-    test.it(`does not deny ${name} that the next one may have`, async () => {
-      const rig = await createDeskRig();
+// Guards against answers based on a configuration replaced long ago, while the next one is arriving.
+test.describe('an entry that waits for a large configuration', () => {
+  for (const [name, changes] of UNKNOWN_ITEMS) {
+    test.it(`does not reject ${name} that the next one may contain`, async () => {
+      const rig = await createHandlerRig();
       rig.store.faults.delayMs = 8000;
       await rig.clock.advance(WAITING_WATCH_MS + APPLY_MS);
-      assert.equal(outcomeOfAdmit(rig.desk, { ...CALL, ...changes }), 'storeUnavailable');
+      assert.equal(outcomeOfAdmit(rig.handler, { ...CALL, ...changes }), 'storeUnavailable');
     });
   }
 });
 
-// Guards against a line that is full of what is known at the end of each outage.
-test.describe('a configuration that did not change in a short outage', () => {
-  test.it('is not read whole again where the store refuses at once', async () => {
+// Guards against a link saturated by known data at the end of each outage.
+test.describe('a configuration that did not change during a short outage', () => {
+  test.it('is not read again completely where the store refuses immediately', async () => {
     const time = clock.createFakeClock(1_000_000);
     const store = memoryStore.createMemoryStore(time);
     const puts = [{ key: KEY, value: makeConfiguration(1) }];
@@ -184,13 +184,13 @@
     const feed = configurationFeed.startConfigurationFeed({
       store: {
         list: async (prefix) => {
-          if (isRefusing) return away();
+          if (isRefusing) return unavailable();
           reads += 1;
           return store.list(prefix);
         },
         watch: async (...watched) => {
           const seen = await store.watch(...watched);
-          return isRefusing ? away() : seen;
+          return isRefusing ? unavailable() : seen;
         },
       },
       clock: time,
@@ -208,75 +208,78 @@
   });
 });
 
-// Guards against a loop without a pause, in which the scheduler never reads what the store has.
-test.describe('a scheduler beside an entry without a fresh configuration', () => {
-  test.it('reads the store where that no longer remembers what the entry saw', async () => {
-    const time = clock.createFakeClock(1_000_000);
-    const store = memoryStore.createMemoryStore(time);
-    const configure = async (version: number): Promise<void> => {
-      const puts = [{ key: KEY, value: makeConfiguration(version) }];
-      await store.transact({ conditions: [], puts, removes: [] });
-    };
-    await configure(1);
-    const common = { clock: time, log: logging.silentLog, key: KEY, decode };
-    let isEntryAway = false;
-    const entry = configurationFeed.startConfigurationFeed({
-      ...common,
-      store: {
-        list: (prefix) => (isEntryAway ? away() : store.list(prefix)),
-        watch: async (...watched) => {
-          const seen = await store.watch(...watched);
-          return isEntryAway ? away() : seen;
-        },
-      },
-    });
-    let forgottenRevision = 0;
-    let calls = 0;
-    const shared = configurationShare.createSharedConfigurationStore({
-      ask: configurationShare.shareConfiguration({
-        feed: entry,
-        clock: time,
-        storeAgeMs: entry.ageMs,
-      }),
-      store: {
-        list: (prefix) => {
-          calls += 1;
-          return store.list(prefix);
+// Guards against a busy loop in which the scheduler never reads the record from the store.
+test.describe('a scheduler whose entry has a stale configuration', () => {
+  test.it(
+    'reads the store where its history no longer reaches the revision of the entry',
+    async () => {
+      const time = clock.createFakeClock(1_000_000);
+      const store = memoryStore.createMemoryStore(time);
+      const configure = async (version: number): Promise<void> => {
+        const puts = [{ key: KEY, value: makeConfiguration(version) }];
+        await store.transact({ conditions: [], puts, removes: [] });
+      };
+      await configure(1);
+      const common = { clock: time, log: logging.silentLog, key: KEY, decode };
+      let isEntryCutOff = false;
+      const entry = configurationFeed.startConfigurationFeed({
+        ...common,
+        store: {
+          list: (prefix) => (isEntryCutOff ? unavailable() : store.list(prefix)),
+          watch: async (...watched) => {
+            const seen = await store.watch(...watched);
+            return isEntryCutOff ? unavailable() : seen;
+          },
         },
-        watch: async (prefix, afterRevision, ...rest) => {
-          calls += 1;
-          if (afterRevision >= forgottenRevision) {
-            return store.watch(prefix, afterRevision, ...rest);
-          }
-          return { entries: [], deletedKeys: [], revision: afterRevision, isGap: true };
+      });
+      let forgottenRevision = 0;
+      let calls = 0;
+      const shared = configurationShare.createSharedConfigurationStore({
+        ask: configurationShare.shareConfiguration({
+          feed: entry,
+          clock: time,
+          storeAgeMs: entry.ageMs,
+        }),
+        store: {
+          list: (prefix) => {
+            calls += 1;
+            return store.list(prefix);
+          },
+          watch: async (prefix, afterRevision, ...rest) => {
+            calls += 1;
+            if (afterRevision >= forgottenRevision) {
+              return store.watch(prefix, afterRevision, ...rest);
+            }
+            return { entries: [], deletedKeys: [], revision: afterRevision, isGap: true };
+          },
         },
-      },
-      key: KEY,
-      log: logging.silentLog,
-    });
-    const scheduler = configurationFeed.startConfigurationFeed({ ...common, store: shared });
-    await time.advance(5000);
-    isEntryAway = true;
-    await configure(2);
-    forgottenRevision = (await store.list(KEY)).revision;
-    await time.advance(10_000);
-    await scheduler.dispose();
-    await entry.dispose();
-    assert.equal(scheduler.current()?.configuration.version, 2, `after ${calls} calls`);
-    assert.ok(calls < 60, `${calls} calls of the store`);
-  });
+        key: KEY,
+        log: logging.silentLog,
+      });
+      const scheduler = configurationFeed.startConfigurationFeed({ ...common, store: shared });
+      await time.advance(5000);
+      isEntryCutOff = true;
+      await configure(2);
+      forgottenRevision = (await store.list(KEY)).revision;
+      await time.advance(10_000);
+      await scheduler.dispose();
+      await entry.dispose();
+      assert.equal(scheduler.current()?.configuration.version, 2, `after ${calls} calls`);
+      assert.ok(calls < 60, `${calls} calls of the store`);
+    },
+  );
 });
 
-// Guards against loads that fill a line beside each other, each making the others longer.
+// Guards against concurrent loads that saturate a link and slow each other down.
 test.describe('counts of waiting jobs without a leader', () => {
-  test.it('are loaded once at a time, however long that takes', async () => {
+  test.it('are loaded by one load at a time, however long it takes', async () => {
     const time = clock.createFakeClock(1_000_000);
     const store = memoryStore.createMemoryStore(time);
     let running = 0;
-    let most = 0;
+    let peak = 0;
     const list: recordStore.RecordStore['list'] = async (prefix) => {
       running += 1;
-      most = Math.max(most, running);
+      peak = Math.max(peak, running);
       await clock.sleep(time, 3000);
       running -= 1;
       return store.list(prefix);
@@ -285,23 +288,23 @@
       store: { ...store, list },
       clock: time,
       log: logging.silentLog,
-      askLeader: away,
+      askLeader: unavailable,
     });
-    for (let asked = 0; asked < 40; asked += 1) {
+    for (let request = 0; request < 40; request += 1) {
       counts.ofQueue('q').catch(() => undefined);
       await time.advance(250);
     }
-    assert.equal(most, 1);
+    assert.equal(peak, 1);
   });
 });
 
-// Guards against a leader that asks for ever for changes that are too long to arrive.
-test.describe('the leader beside changes that never arrive whole', () => {
-  test.it('reads its records anew', async () => {
+// Guards against a leader that forever requests changes that are too large to arrive.
+test.describe('a leader whose changes never arrive completely', () => {
+  test.it('reads all its records again', async () => {
     const time = clock.createFakeClock(1_000_000);
     const store = memoryStore.createMemoryStore(time);
     const key = poolKeys.jobKey(ID, poolKeys.JobPart.spec);
-    const told: string[] = [];
+    const receivedKeys: string[] = [];
     let watches = 0;
     const feed = recordFeed.startRecordFeed({
       store: {
@@ -309,13 +312,13 @@
         watch: async () => {
           watches += 1;
           await clock.sleep(time, 8000);
-          return away();
+          return unavailable();
         },
       },
       clock: time,
       log: logging.silentLog,
       onRecord: (record) => {
-        told.push(record.key);
+        receivedKeys.push(record.key);
       },
       onRemoved: () => undefined,
       onProgress: () => undefined,
@@ -325,6 +328,6 @@
     await store.transact({ conditions: [], puts: [{ key, value: '{}' }], removes: [] });
     await time.advance(60_000);
     await feed.dispose();
-    assert.ok(told.includes(key), `not told within a minute, in ${watches} watches`);
+    assert.ok(receivedKeys.includes(key), `not received within a minute, in ${watches} watches`);
   });
 });
--- a/src/standins/test/pendingCounts.test.ts
+++ b/src/standins/test/pendingCounts.test.ts
@@ -1,5 +1,5 @@
 /**
- * How many jobs wait, as an entry tells it while leader or store are slow.
+ * Counts of waiting jobs that an entry reports while the leader is unavailable and the store is slow.
  */
 import * as assert from 'node:assert/strict';
 import * as test from 'node:test';
@@ -17,44 +17,44 @@
 interface Case {
   readonly name: string;
   readonly storeDelayMs: number;
-  /** Callers ask one after the other at this distance. */
-  readonly everyMs: number;
+  /** Interval between the requests of consecutive callers. */
+  readonly intervalMs: number;
   readonly callers: number;
   readonly outcomes: readonly unknown[];
-  /** Lists of records that were begun; one count takes two. */
+  /** Limit on list calls of the store; one count takes two. */
   readonly maxLists: number;
 }
 
 const CASES: readonly Case[] = [
   {
-    name: 'a quick count is told, and used again for half a second',
+    name: 'a quick count is reported, and reused for half a second',
     storeDelayMs: 10,
-    everyMs: 100,
+    intervalMs: 100,
     callers: 4,
     outcomes: [1, 1, 1, 1],
     maxLists: 2,
   },
   {
-    name: 'a count that takes long is begun once, and callers are told in time',
+    name: 'a slow count is started once, and callers are answered in time',
     storeDelayMs: 3000,
-    everyMs: 600,
+    intervalMs: 600,
     callers: 5,
     outcomes: Array<unknown>(5).fill('storeUnavailable'),
     maxLists: 2,
   },
   {
-    name: 'a count that is too old by its end is not told',
+    name: 'a count that is stale when it completes is not reported',
     storeDelayMs: 800,
-    everyMs: 1700,
+    intervalMs: 1700,
     callers: 2,
     outcomes: ['storeUnavailable', 'storeUnavailable'],
     maxLists: 2,
   },
 ];
 
-// Guards against counts that begin beside unfinished ones until the line carries nothing else.
-test.describe('jobs that wait', () => {
-  for (const { name, storeDelayMs, everyMs, callers, outcomes, maxLists } of CASES) {
+// Guards against counts started while others are in flight, until they saturate the link.
+test.describe('counts of waiting jobs', () => {
+  for (const { name, storeDelayMs, intervalMs, callers, outcomes, maxLists } of CASES) {
     test.it(name, async () => {
       const time = clock.createFakeClock(1_000_000);
       const store = memoryStore.createMemoryStore(time);
@@ -67,16 +67,16 @@
         store,
         clock: time,
         log: logging.silentLog,
-        askLeader: () => Promise.reject(new Error('nobody leads')),
+        askLeader: () => Promise.reject(new Error('there is no leader')),
       });
-      const told: Promise<unknown>[] = [];
+      const results: Promise<unknown>[] = [];
       for (let caller = 0; caller < callers; caller += 1) {
-        const asked = counts.ofQueue(job.policy.queue);
-        told.push(asked.catch((thrown: unknown) => errors.normalize(thrown).kind));
-        await time.advance(everyMs);
+        const count = counts.ofQueue(job.policy.queue);
+        results.push(count.catch((thrown: unknown) => errors.normalize(thrown).kind));
+        await time.advance(intervalMs);
       }
       await time.advance(10_000);
-      assert.deepEqual(await Promise.all(told), outcomes);
+      assert.deepEqual(await Promise.all(results), outcomes);
       assert.ok((store.calls().list ?? 0) <= maxLists, `${store.calls().list} lists`);
     });
   }
--- a/src/standins/test/portBlock.ts
+++ b/src/standins/test/portBlock.ts
@@ -1,13 +1,13 @@
 /**
- * Ports for real programs. Settings files name ports before the programs listen on them, and a port that is
- * free now may be taken by the next connection or by another test: a listener on the first port of a block
- * keeps the block, below the ports that the machine gives to connections.
+ * Reserves ports for real programs. Settings files name ports before the programs listen on them, and a free
+ * port may meanwhile be taken by a connection or by another test. A listener on the first port of a block
+ * reserves the block, and all blocks lie below the ephemeral ports of the machine.
  */
 import * as net from 'node:net';
 
 import type * as disposable from '../../base/common/disposable.js';
 
-/** Ports that one test or soak may use. */
+/** A reserved block of ports for one test or soak run. */
 export interface PortBlock extends disposable.Disposable {
   readonly firstPort: number;
 }
@@ -16,28 +16,28 @@
 const BLOCKS = 90;
 const BLOCK_PORTS = 220;
 
-const tryToHold = (port: number): Promise<net.Server | undefined> =>
+const tryToListen = (port: number): Promise<net.Server | undefined> =>
   new Promise((resolve) => {
-    const holder = net.createServer();
-    holder.once('error', () => resolve(undefined));
-    holder.listen(port, '127.0.0.1', () => resolve(holder));
+    const listener = net.createServer();
+    listener.once('error', () => resolve(undefined));
+    listener.listen(port, '127.0.0.1', () => resolve(listener));
   });
 
 /**
- * @param preference - which block is tried first
- * @returns a block that nobody else has
- * @throws Error where all are taken
+ * @param preference - index of the block that is tried first
+ * @returns a block that no other test has reserved
+ * @throws Error if all blocks are taken
  */
 export const takePorts = async (preference: number): Promise<PortBlock> => {
   for (let offset = 0; offset < BLOCKS; offset += 1) {
     const port = LOWEST_PORT + ((preference + offset) % BLOCKS) * BLOCK_PORTS;
-    const holder = await tryToHold(port);
-    if (holder !== undefined) {
+    const listener = await tryToListen(port);
+    if (listener !== undefined) {
       return {
         firstPort: port + 1,
         dispose: () =>
           new Promise<void>((resolve) => {
-            holder.close(() => resolve());
+            listener.close(() => resolve());
           }),
       };
     }
--- a/src/standins/test/requestClaims.test.ts
+++ b/src/standins/test/requestClaims.test.ts
@@ -1,5 +1,5 @@
 /**
- * Claims on callers' keys against the stand-in of the store, with its faults.
+ * Claims on callers' idempotency keys, on the in-memory store with its faults.
  */
 import * as assert from 'node:assert/strict';
 import * as test from 'node:test';
@@ -21,7 +21,7 @@
   return { time, store, claims: requestClaims.createRequestClaims(store, time) };
 };
 
-test.test('a key is taken once, and passes on only from the revision that was seen', async () => {
+test.test('a key is claimed once, and claimed again only from the current revision', async () => {
   const { claims } = create();
   const first = await claims.take('festivals/r1', 0, claimOf('x'));
   assert.equal(first.type, 'taken');
@@ -32,7 +32,7 @@
   assert.equal(late.type === 'held' && late.claim.attemptId, 'y');
 });
 
-test.test('a claim whose answer was lost is found again and not taken twice', async () => {
+test.test('a claim whose answer was lost is recognized and not made twice', async () => {
   const { store, claims } = create();
   await claims.take('festivals/r0', 0, claimOf('w'));
   store.faults.loseWriteAnswers = 1;
@@ -40,7 +40,7 @@
   assert.equal((await claims.take('festivals/r1', 0, claimOf('y'))).type, 'held');
 });
 
-test.test('without the store nothing is claimed, and afterwards it works again', async () => {
+test.test('no key is claimed during a store outage, and claims work again afterwards', async () => {
   const { store, claims } = create();
   store.faults.isDown = true;
   await assert.rejects(claims.take('festivals/r1', 0, claimOf('x')), { kind: 'storeUnavailable' });
--- a/src/standins/test/storeContract.test.ts
+++ b/src/standins/test/storeContract.test.ts
@@ -1,5 +1,5 @@
 /**
- * The contract with the platform's store, run by the stand-in and by the HTTP client alike.
+ * Contract tests of the platform's store, run against both the stand-in and the HTTP client.
  */
 import * as assert from 'node:assert/strict';
 import * as nodeTest from 'node:test';
@@ -21,7 +21,7 @@
 
 const CASES: readonly [string, Run][] = [
   [
-    'a key is written once by two that saw it absent',
+    'of two writers that saw a key absent only one writes it',
     async ({ subject }) => {
       const first = await subject.compareAndSwap(put('a', '1'));
       assert.equal(first.isSwapped, true);
@@ -31,7 +31,7 @@
     },
   ],
   [
-    'a stale revision is refused and a deletion follows the same rule',
+    'a write or deletion with a stale revision is refused',
     async ({ subject }) => {
       const first = await subject.compareAndSwap(put('a', '1'));
       const revision = first.isSwapped ? first.revision : 0;
@@ -45,7 +45,7 @@
     },
   ],
   [
-    'a list has the keys of its prefix in order',
+    'a list returns the keys of its prefix in order',
     async ({ subject }) => {
       for (const key of ['p/b', 'q/x', 'p/a']) await subject.compareAndSwap(put(key, key));
       const { entries } = await subject.list('p/');
@@ -64,7 +64,7 @@
     },
   ],
   [
-    'a key goes away with its lease unless the lease is renewed',
+    'a key is removed with its lease unless the lease is renewed',
     async ({ subject, clock }) => {
       const leaseId = await subject.grantLease(1000);
       await subject.compareAndSwap({ ...put('a', '1'), leaseId });
@@ -77,7 +77,7 @@
     },
   ],
   [
-    'a lease that lapsed while its holder was paused is gone for good',
+    'a lease that expired while its holder was paused can not be renewed',
     async ({ subject, clock }) => {
       const leaseId = await subject.grantLease(1000);
       await clock.advance(1001);
@@ -87,7 +87,7 @@
     },
   ],
   [
-    'a revoked lease takes its keys along',
+    'revoking a lease removes its keys',
     async ({ subject }) => {
       const leaseId = await subject.grantLease(1000);
       await subject.compareAndSwap({ ...put('a', '1'), leaseId });
@@ -119,7 +119,7 @@
     },
   ],
   [
-    'a watch that skips says so',
+    'a watch that misses changes reports a gap',
     async ({ subject, standIn }) => {
       standIn.faults.skipNextWatch = true;
       const result = await subject.watch('p/', 0, 1000, new AbortController().signal);
@@ -127,7 +127,7 @@
     },
   ],
   [
-    'a watch that is silent ends empty at its own revision, so that nothing is missed',
+    'a watch without changes ends empty at its own revision, so that no change is missed',
     async ({ subject, standIn, clock }) => {
       standIn.faults.areWatchesSilent = true;
       const seen = subject.watch('p/', 0, 1000, new AbortController().signal);
@@ -139,7 +139,7 @@
     },
   ],
   [
-    'while the store is down nothing is read or written, and the caller knows',
+    'while the store is down reads and writes fail with an error',
     async ({ subject, standIn }) => {
       standIn.faults.isDown = true;
       await assert.rejects(subject.get('a'), isUnavailable);
@@ -152,7 +152,7 @@
     },
   ],
   [
-    'a write whose answer is lost took effect and is never called a failure',
+    'a write whose answer is lost has taken effect and is never reported as failed',
     async ({ subject, standIn }) => {
       standIn.faults.loseWriteAnswers = 1;
       await assert.rejects(subject.compareAndSwap(put('a', '1')), isUnknown);
@@ -177,10 +177,10 @@
 }
 
 nodeTest.test(
-  'a slow write through the client is of unknown outcome and may take effect later',
+  'a slow write through the client has an unknown outcome and may take effect later',
   async () => {
-    // A caller whose write timed out sees neither success nor failure; the store applies it when it
-    // wakes. Counting the time-out as a failure would let the caller write over its own change.
+    // A caller whose write timed out knows neither success nor failure; the store may apply it later.
+    // Treating the timeout as a failure would let the caller overwrite its own change.
     const [, http] = contractKit.STORES;
     const made = await http?.[1]();
     assert.ok(made);
--- a/src/standins/test/storeRelay.test.ts
+++ b/src/standins/test/storeRelay.test.ts
@@ -1,5 +1,5 @@
 /**
- * Calls of the store through another process, and which are never made twice.
+ * Store calls relayed through another process, and which calls must never be executed twice.
  */
 import * as assert from 'node:assert/strict';
 import * as test from 'node:test';
@@ -9,10 +9,10 @@
 import * as logging from '../../base/common/logging.js';
 import * as storeRelay from '../../coordination/node/pool/storeRelay.js';
 
-/** A status, or how an exchange fails. */
+/** A status, or the failure of an exchange. */
 type Behaviour = number | http.HttpFailure;
 
-const act = (behaviour: Behaviour): Promise<http.HttpReply> =>
+const respond = (behaviour: Behaviour): Promise<http.HttpReply> =>
   typeof behaviour === 'number'
     ? Promise.resolve({ status: behaviour, headers: {}, body: Buffer.alloc(0) })
     : Promise.reject(new http.HttpCallError(behaviour, 'made to fail'));
@@ -30,15 +30,15 @@
   readonly name: string;
   readonly method: string;
   readonly direct: Behaviour;
-  /** What others do, in the order in which they are known. */
+  /** Behaviour of the other processes, in the order of their addresses. */
   readonly others: readonly Behaviour[];
   readonly result: Behaviour;
-  /** Others that were asked. */
+  /** Number of relay requests to other processes. */
   readonly asked: number;
 }
 
 const CASES: readonly Case[] = [
-  { name: 'its own way', method: 'POST', direct: 200, others: [200], result: 200, asked: 0 },
+  { name: 'direct call', method: 'POST', direct: 200, others: [200], result: 200, asked: 0 },
   {
     name: 'a refused condition',
     method: 'POST',
@@ -47,9 +47,16 @@
     result: 412,
     asked: 0,
   },
-  { name: 'turned away', method: 'POST', direct: 503, others: [200], result: 200, asked: 1 },
   {
-    name: 'too often, it seems',
+    name: 'unavailable store',
+    method: 'POST',
+    direct: 503,
+    others: [200],
+    result: 200,
+    asked: 1,
+  },
+  {
+    name: 'rate limit of the store',
     method: 'POST',
     direct: 429,
     others: [200],
@@ -57,7 +64,7 @@
     asked: 1,
   },
   {
-    name: 'all are turned away',
+    name: 'store unavailable to all processes',
     method: 'POST',
     direct: 503,
     others: [503, 503],
@@ -65,7 +72,7 @@
     asked: 2,
   },
   {
-    name: 'nothing was sent',
+    name: 'direct request not sent',
     method: 'POST',
     direct: 'notSent',
     others: [200],
@@ -80,7 +87,7 @@
     result: 200,
     asked: 1,
   },
-  // Guards against a write that is executed twice, once late.
+  // Guards against a write that is executed twice, the first time with a delay.
   {
     name: 'a write without an answer',
     method: 'POST',
@@ -90,7 +97,7 @@
     asked: 0,
   },
   {
-    name: 'a write that another left open',
+    name: 'a write without an answer at another process',
     method: 'POST',
     direct: 503,
     others: ['lost', 200],
@@ -98,7 +105,7 @@
     asked: 1,
   },
   {
-    name: 'a write that another never sent',
+    name: 'a write that another process did not send',
     method: 'POST',
     direct: 503,
     others: ['notSent', 200],
@@ -106,7 +113,7 @@
     asked: 2,
   },
   {
-    name: 'a read that another left open',
+    name: 'a read without an answer at another process',
     method: 'GET',
     direct: 503,
     others: ['lost', 200],
@@ -114,7 +121,7 @@
     asked: 2,
   },
   {
-    name: 'given up by its caller',
+    name: 'call aborted by its caller',
     method: 'GET',
     direct: 'aborted',
     others: [200],
@@ -122,7 +129,7 @@
     asked: 0,
   },
   {
-    name: 'nobody else is known',
+    name: 'no other process known',
     method: 'GET',
     direct: 'lost',
     others: [],
@@ -139,12 +146,12 @@
     log: logging.silentLog,
     direct: () => {
       state.directCalls += 1;
-      return act(state.direct);
+      return respond(state.direct);
     },
     urls: () => others.map((_, index) => String(index)),
     ask: (url) => {
       state.asked += 1;
-      return act(others[Number(url)] ?? 'notSent');
+      return respond(others[Number(url)] ?? 'notSent');
     },
   });
   return { time, state, call, serve };
@@ -163,7 +170,7 @@
   }
 
   test.it(
-    'goes by others at once while its own way has just failed, and back to it by a read',
+    'relays immediately after a direct failure, and returns to direct calls after a successful read',
     async () => {
       const { time, state, call } = createSubject([200]);
       state.direct = 'timeout';
@@ -180,7 +187,7 @@
     },
   );
 
-  test.it('asks nobody for a while after all others have failed', async () => {
+  test.it('stops relaying for a while after all other processes have failed', async () => {
     const { time, state, call } = createSubject(['notSent']);
     state.direct = 503;
     await call(requestOf('GET'));
@@ -192,7 +199,7 @@
   });
 });
 
-/** A process among two others, whose exchanges take 100 ms of virtual time or end by their time-out. */
+/** A process with two others, whose exchanges take 100 ms of fake time or end with a timeout. */
 const createSlowSubject = (others: Behaviour) => {
   const time = clock.createFakeClock(1000);
   const state = {
@@ -200,25 +207,25 @@
     others,
     directCalls: 0,
     asked: 0,
-    isHeard: false,
-    askedMs: [] as number[],
+    isLinkBusy: false,
+    relayTimeoutsMs: [] as number[],
   };
   const take = async (behaviour: Behaviour, request: http.HttpRequest): Promise<http.HttpReply> => {
     await clock.sleep(time, behaviour === 'timeout' ? request.timeoutMs : 100);
-    return act(behaviour);
+    return respond(behaviour);
   };
   const relay = storeRelay.createStoreRelay({
     clock: time,
     log: logging.silentLog,
     direct: async (request) => {
       state.directCalls += 1;
-      if (state.isHeard) time.after(request.timeoutMs - 50, () => request.onArrival?.(200));
+      if (state.isLinkBusy) time.after(request.timeoutMs - 50, () => request.onArrival?.(200));
       return take(state.direct, request);
     },
     urls: () => ['a', 'b'],
     ask: (_, request) => {
       state.asked += 1;
-      state.askedMs.push(request.timeoutMs);
+      state.relayTimeoutsMs.push(request.timeoutMs);
       return take(state.others, request);
     },
   });
@@ -230,82 +237,82 @@
   readonly method: string;
   readonly direct: Behaviour;
   readonly others: Behaviour;
-  /** Whether answers to others come in while a call waits. */
-  readonly isHeard: boolean;
-  /** Offers that a burst of calls makes, and again a second after it. */
-  readonly asked: readonly [atOnce: number, later: number];
-  /** Calls by the own way of the second burst. */
-  readonly triedLater: number;
+  /** Whether other answers are arriving over the link while a call waits. */
+  readonly isLinkBusy: boolean;
+  /** Relay requests of a burst of calls, and of a second burst after it. */
+  readonly asked: readonly [first: number, later: number];
+  /** Direct calls of the second burst. */
+  readonly directLater: number;
 }
 
 const BURSTS: readonly Burst[] = [
   {
-    name: 'nobody has a way: one finds out for all',
+    name: 'no process reaches the store: one call probes for all',
     method: 'GET',
     direct: 'timeout',
     others: 'notSent',
-    isHeard: false,
+    isLinkBusy: false,
     asked: [2, 0],
-    triedLater: 1,
+    directLater: 1,
   },
   {
-    name: 'nobody is served: one finds out for all',
+    name: 'the store is unavailable to all processes: one call probes for all',
     method: 'POST',
     direct: 503,
     others: 503,
-    isHeard: false,
+    isLinkBusy: false,
     asked: [2, 0],
-    triedLater: 1,
+    directLater: 1,
   },
   {
-    name: 'others are served: all go by them',
+    name: 'other processes are served: all calls are relayed',
     method: 'POST',
     direct: 503,
     others: 200,
-    isHeard: false,
+    isLinkBusy: false,
     asked: [20, 20],
-    triedLater: 0,
+    directLater: 0,
   },
-  // Guards against a full line that is filled further by what did not come in time.
+  // Guards against relaying timed-out calls over a link that is already saturated.
   {
-    name: 'the line is full: nothing is offered',
+    name: 'the link is saturated: no call is relayed',
     method: 'GET',
     direct: 'timeout',
     others: 200,
-    isHeard: true,
+    isLinkBusy: true,
     asked: [0, 0],
-    triedLater: 20,
+    directLater: 20,
   },
 ];
 
 const CALLS = 20;
 
-test.describe('calls at once', () => {
-  for (const { name, method, direct, others, isHeard, asked, triedLater } of BURSTS) {
+test.describe('concurrent calls', () => {
+  for (const { name, method, direct, others, isLinkBusy, asked, directLater } of BURSTS) {
     test.it(name, async () => {
       const { time, state, call } = createSlowSubject(others);
-      Object.assign(state, { direct, isHeard });
+      Object.assign(state, { direct, isLinkBusy });
       const burst = async (): Promise<void> => {
         const calls = Array.from({ length: CALLS }, () => call(requestOf(method)));
         await Promise.all([Promise.allSettled(calls), time.advance(1200)]);
       };
       await burst();
       assert.equal(state.asked, asked[0]);
-      const triedBefore = state.directCalls;
+      const directBefore = state.directCalls;
       await burst();
       assert.equal(state.asked - asked[0], asked[1]);
-      assert.equal(state.directCalls - triedBefore, triedLater);
+      assert.equal(state.directCalls - directBefore, directLater);
     });
   }
 
-  const TIMES: readonly [name: string, others: Behaviour, mostMs: number][] = [
-    ['nobody answers', 'timeout', 900],
-    ['nobody else has a way', 'notSent', 650],
-    ['another is served', 200, 550],
+  const TIMES: readonly [name: string, others: Behaviour, maxMs: number][] = [
+    ['no process answers', 'timeout', 900],
+    ['no other process reaches the store', 'notSent', 650],
+    ['another process is served', 200, 550],
   ];
-  for (const [name, others, mostMs] of TIMES) {
-    // Guards against a caller that waits for one silent way after the other.
-    test.it(`ends in its time over all ways: ${name}`, async () => {
+  for (const [name, others, maxMs] of TIMES) {
+    // Guards against a caller that waits for one unresponsive process after the other.
+    test.it(`ends within its total time over all attempts: ${name}`, async () => {
       const { time, state, call } = createSlowSubject(others);
       let endedAtMs = Number.POSITIVE_INFINITY;
       const end = (): void => {
@@ -314,21 +321,21 @@
       const ended = call({ ...requestOf('GET'), totalMs: 900 }).then(end, end);
       await time.advance(3000);
       await ended;
-      assert.ok(endedAtMs - 1000 <= mostMs);
-      assert.ok(state.askedMs.every((it) => it <= 450));
+      assert.ok(endedAtMs - 1000 <= maxMs);
+      assert.ok(state.relayTimeoutsMs.every((it) => it <= 450));
     });
   }
 
-  // Guards against entries that wait for their own time-out on behalf of others.
-  test.it('refuses what others ask at once where it has no way itself', async () => {
+  // Guards against entries that wait for their own timeout on behalf of other processes.
+  test.it('refuses relayed calls immediately while it can not reach the store itself', async () => {
     const { time, state, call, serve } = createSlowSubject('notSent');
     await Promise.all([Promise.allSettled([call(requestOf('GET'))]), time.advance(900)]);
-    const triedBefore = state.directCalls;
+    const directBefore = state.directCalls;
     await assert.rejects(serve(requestOf('POST')), { failure: 'notSent' });
-    assert.equal(state.directCalls, triedBefore);
+    assert.equal(state.directCalls, directBefore);
   });
 
-  test.it('serves others again once its own way is back', async () => {
+  test.it('serves relayed calls again once its direct calls succeed', async () => {
     const { time, state, call, serve } = createSlowSubject('notSent');
     await Promise.all([Promise.allSettled([call(requestOf('GET'))]), time.advance(2000)]);
     state.direct = 200;
--- a/src/standins/test/until.ts
+++ b/src/standins/test/until.ts
@@ -1,21 +1,21 @@
 /**
- * Waiting in tests for what happens in its own time, in bounded tries.
+ * Polls in tests until a condition holds, with a bounded number of attempts.
  */
 import * as assert from 'node:assert/strict';
 
 const POLL_MS = 50;
-const TRIES = 600;
+const MAX_ATTEMPTS = 600;
 
 /**
- * @param what - for the message
- * @param isDone - asked again and again; a throw counts as not yet
+ * @param what - description for the error message
+ * @param isDone - condition to poll; a rejection counts as not done
  */
 export const until = async (what: string, isDone: () => Promise<boolean>): Promise<void> => {
-  for (let attempt = 0; attempt < TRIES; attempt += 1) {
+  for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt += 1) {
     if (await isDone().catch(() => false)) return;
     await new Promise((resolve) => {
       setTimeout(resolve, POLL_MS);
     });
   }
-  assert.fail(`never happened: ${what}`);
+  assert.fail(`condition not met in time: ${what}`);
 };
--- a/src/standins/test/upstreamContract.test.ts
+++ b/src/standins/test/upstreamContract.test.ts
@@ -1,6 +1,6 @@
 /**
- * The contract with an upstream, as one table that runs against the stand-in itself and through the
- * agent's part that calls it: announce, serve, leave, and an answer that is lost after the run.
+ * Contract tests of an upstream, run on the stand-in directly and through the agent's request host: announcing,
+ * serving, leaving, and an answer that is lost after the run.
  */
 import * as assert from 'node:assert/strict';
 import * as test from 'node:test';
@@ -23,7 +23,7 @@
 const LOST_ANSWER_MS = 300;
 const MAX_BODY_BYTES = 65_536;
 
-/** What came of one request, however it was sent. */
+/** Outcome of one request, direct or through the request host. */
 interface Result {
   readonly isAnswered: boolean;
   readonly text: string;
@@ -31,15 +31,15 @@
 
 type Send = (requestId: string, body: string, timeoutMs: number) => Promise<Result>;
 
-/** One VM: the upstream, what it announced last, and a way to send it requests. */
-interface Bed {
+/** One VM: the upstream, its last announcement, and a function that sends it requests. */
+interface Fixture {
   readonly instance: upstream.Upstream;
   readonly announced: () => upstreamContract.Announcement | undefined;
   readonly send: Send;
 }
 
 const sendDirectly =
-  (call: http.HttpCall, announced: Bed['announced']): Send =>
+  (call: http.HttpCall, announced: Fixture['announced']): Send =>
   async (requestId, body, timeoutMs) => {
     try {
       const reply = await call({
@@ -82,10 +82,10 @@
 
 const CASES: readonly {
   readonly name: string;
-  readonly run: (bed: Bed) => Promise<void>;
+  readonly run: (fixture: Fixture) => Promise<void>;
 }[] = [
   {
-    name: 'it announces where it serves and what it can take',
+    name: 'it announces its address and its capacity',
     run: async ({ announced }) => {
       const { slots, connections, isLeaving } = announced() ?? {};
       assert.deepEqual([slots, connections, isLeaving], [SLOTS, 64, false]);
@@ -93,7 +93,7 @@
     },
   },
   {
-    name: 'it answers each request whole, with its own content',
+    name: 'it answers each request completely and with its own content',
     run: async ({ send, instance }) => {
       const bodies = ['a', 'b'.repeat(5000)];
       const results = await Promise.all(bodies.map((it, index) => send(`own-${index}`, it, 5000)));
@@ -105,9 +105,9 @@
     },
   },
   {
-    // The upstream runs a request and its answer never comes. The caller must not be told that
-    // nothing ran, and the request must not have run a second time.
-    name: 'an answer that is lost leaves one run and no answer',
+    // The upstream executes a request but its answer is lost. The caller must not get an error which says
+    // that the request did not run, and the request must not run a second time.
+    name: 'a request whose answer is lost runs once and gets no answer',
     run: async ({ send, instance }) => {
       instance.faults.loseAnswers = 1;
       const result = await send('lost-1', 'x', LOST_ANSWER_MS);
@@ -118,10 +118,10 @@
     },
   },
   {
-    name: 'it says that it leaves, and ends what it has',
+    name: 'it announces that it is leaving, and completes its open requests',
     run: async ({ send, instance, announced }) => {
       const open = send('open-1', 'x', 5000);
-      await until.until('the request in work', () =>
+      await until.until('the running request', () =>
         Promise.resolve(instance.executions().has('open-1')),
       );
       instance.leave();
@@ -131,10 +131,10 @@
   },
 ];
 
-const WAYS = ['the stand-in itself', "the agent's part"] as const;
+const SUBJECTS = ['the stand-in itself', "the agent's part"] as const;
 
-for (const way of WAYS) {
-  test.test(`the upstream's contract holds for ${way}`, async (context) => {
+for (const subject of SUBJECTS) {
+  test.test(`the upstream's contract holds for ${subject}`, async (context) => {
     const clock = systemClock.systemClock;
     const client = httpClient.createHttpClient({
       clock,
@@ -172,9 +172,9 @@
         Promise.resolve(host.upstream() !== undefined),
       );
       const send =
-        way === WAYS[0] ? sendDirectly(client.call, host.upstream) : sendThroughHost(host);
-      const bed = { instance, announced: host.upstream, send };
-      for (const it of CASES) await context.test(it.name, () => it.run(bed));
+        subject === SUBJECTS[0] ? sendDirectly(client.call, host.upstream) : sendThroughHost(host);
+      const fixture = { instance, announced: host.upstream, send };
+      for (const it of CASES) await context.test(it.name, () => it.run(fixture));
     } finally {
       await instance.dispose();
       await agent.dispose();
--- a/src/standins/test/workerContract.test.ts
+++ b/src/standins/test/workerContract.test.ts
@@ -1,5 +1,5 @@
 /**
- * The contract with the platform's worker, run by the stand-in and by the HTTP client alike.
+ * Contract tests of the platform's worker, run against both the stand-in and the HTTP client.
  */
 import * as assert from 'node:assert/strict';
 import * as nodeTest from 'node:test';
@@ -27,7 +27,7 @@
 
 const CASES: readonly [string, (it: Made) => Promise<void>][] = [
   [
-    'a start that is repeated is one run',
+    'a repeated start runs once',
     async (made) => {
       await made.subject.start(startOf('j/1/0'));
       await made.subject.start(startOf('j/1/0'));
@@ -35,7 +35,7 @@
     },
   ],
   [
-    'a start whose answer is lost runs, and repeating it changes nothing',
+    'a start whose answer is lost runs, and repeating it has no effect',
     async (made) => {
       made.standIn.faults.loseAnswers = 1;
       await assert.rejects(made.subject.start(startOf('j/1/0')));
@@ -45,7 +45,7 @@
     },
   ],
   [
-    'accelerators that are busy take no second task',
+    'a second task on busy accelerators is refused',
     async (made) => {
       await made.subject.start(startOf('j/1/0'));
       await assert.rejects(made.subject.start(startOf('k/1/0')));
@@ -53,7 +53,7 @@
     },
   ],
   [
-    'a task runs on while its lease is renewed and stops by itself when it lapses',
+    'a task runs while its lease is renewed and stops when the lease expires',
     async (made) => {
       await made.subject.start(startOf('j/1/0'));
       await made.clock.advance(900);
@@ -65,7 +65,7 @@
     },
   ],
   [
-    'a task that ended is not started again by a late copy of its start',
+    'a task that has ended is not restarted by a delayed duplicate of its start',
     async (made) => {
       await made.subject.start(startOf('j/1/0', 100));
       await made.clock.advance(200);
@@ -75,7 +75,7 @@
     },
   ],
   [
-    'a checkpoint keeps the work so far and the task goes on',
+    'a checkpoint saves the work so far and the task continues',
     async (made) => {
       await made.subject.start(startOf('j/1/0'));
       await made.clock.advance(400);
@@ -85,7 +85,7 @@
     },
   ],
   [
-    'a throttled task works at its share',
+    'a throttled task progresses at its share',
     async (made) => {
       await made.subject.start(startOf('j/1/0'));
       await made.subject.throttle('j/1/0', 0.5);
@@ -94,7 +94,7 @@
     },
   ],
   [
-    'a stop with a grace keeps the work, and repeating it changes nothing',
+    'a stop with a grace period saves the work, and repeating it has no effect',
     async (made) => {
       await made.subject.start(startOf('j/1/0'));
       await made.clock.advance(300);
@@ -107,7 +107,7 @@
     },
   ],
   [
-    'a report says how old it is and forgets only what ended',
+    'a report contains its age, and only ended tasks can be forgotten',
     async (made) => {
       await made.subject.start(startOf('j/1/0'));
       assert.ok((await made.subject.report()).lagMs > 0);
@@ -120,7 +120,7 @@
     },
   ],
   [
-    'a black hole takes every start and fails every task',
+    'a worker with `isBlackHole` accepts every start and fails every task',
     async (made) => {
       made.standIn.faults.isBlackHole = true;
       await made.subject.start(startOf('j/1/0'));
@@ -129,7 +129,7 @@
     },
   ],
   [
-    'a silent worker takes nothing, and what it runs stops when its lease lapses',
+    'a silent worker accepts no calls, and its tasks stop when their leases expire',
     async (made) => {
       await made.subject.start(startOf('j/1/0'));
       made.standIn.faults.isSilent = true;
