--- a/src/cli/burnCommand.ts
+++ b/src/cli/burnCommand.ts
@@ -1,5 +1,5 @@
 /**
- * `burn`: how fast the customers' error budgets are used up.
+ * `burn`: shows the burn rates of the customers' error budgets.
  */
 import * as oclif from '@oclif/core';
 
@@ -37,33 +37,35 @@
 export const BURN: commandDefinition.CommandDefinition = {
   summary: "Show how fast the customers' error budgets are used up.",
   description:
-    'Each objective has three pairs of windows; it burns where both burn rates of a pair reach the ' +
-    'threshold in brackets. Counts are kept for three days; a budget over a longer window is ' +
-    'shown for these.',
+    'Each objective has three pairs of windows; it is burning when both burn rates of a pair reach ' +
+    'the threshold in brackets. Counts are retained for three days; a budget over a longer window ' +
+    'covers only these.',
   examples: [
     'burn',
     'burn --customer festivals --watch 30',
     'burn --html burn.html',
     'burn --json',
   ],
-  words: [],
+  argNames: [],
   canWatch: true,
   flags: {
     customer: oclif.Flags.string({ summary: 'One customer.' }),
     html: oclif.Flags.string({ summary: 'Write a page with plots to this file.' }),
   },
   run: async (input) => {
-    const whole = (await input.client.get('/api/burn')) as serviceLevelReport.ServiceLevelReport;
+    const fullReport = (await input.client.get(
+      '/api/burn',
+    )) as serviceLevelReport.ServiceLevelReport;
     const customerId = commandDefinition.textFlag(input, 'customer');
-    const objectives = whole.objectives.filter(
+    const objectives = fullReport.objectives.filter(
       (it) => customerId === undefined || it.objective.customerId === customerId,
     );
-    const report = { ...whole, objectives };
+    const report = { ...fullReport, objectives };
     const file = commandDefinition.textFlag(input, 'html');
     if (file === undefined) return { value: report, lines: toLines(report) };
-    // The plotting library is large; only this command pays for loading it.
+    // Imported on demand, since the plotting library is large and no other command needs it.
     const burnPage = await import('./burnPage.js');
     input.writeText(file, burnPage.renderPage(report));
-    return { value: { file }, lines: [`${file} is written`] };
+    return { value: { file }, lines: [`wrote ${file}`] };
   },
 };
--- a/src/cli/burnPage.ts
+++ b/src/cli/burnPage.ts
@@ -1,5 +1,5 @@
 /**
- * The burn report as one HTML page with plots, which needs no other file and no script.
+ * Renders the burn report as a self-contained HTML page with plots and without scripts.
  */
 import * as escaping from '../base/common/escapeHtml.js';
 import type * as burnRate from '../coordination/common/burnRate.js';
@@ -13,7 +13,7 @@
 const rateOf = (bucket: burnRate.Bucket, target: number): number =>
   bucket.bad / Math.max(1, bucket.good + bucket.bad) / (1 - target);
 
-/** The figures behind the plot, for readers who can't see it. */
+/** The plotted numbers as text, for screen readers. */
 const hourList = (report: serviceLevelReport.ObjectiveReport, fromMs: number): string => {
   const items = report.history
     .filter((it) => it.fromMs + HOUR_MS > fromMs && it.bad > 0)
@@ -27,13 +27,13 @@
 /**
  * @param report - one objective
  * @param atMs - right end of the plot
- * @returns its burn rate by hour as a figure with a caption, and the hours with bad events
+ * @returns its hourly burn rate as a figure with a caption, and a list of the hours with bad events
  */
 export const plot = (report: serviceLevelReport.ObjectiveReport, atMs: number): string => {
   const { objective, history, pairs } = report;
   const fromMs = atMs - HOURS_SHOWN * HOUR_MS;
   const name = `burn rate of ${objective.objectiveId} by hour`;
-  const picture = burnPlot.renderPlot({
+  const svg = burnPlot.renderPlot({
     name,
     fromMs,
     toMs: atMs,
@@ -43,7 +43,7 @@
     thresholds: pairs.map((it) => it.threshold),
   });
   const caption = `<figcaption>${escaping.escapeHtml(name)}</figcaption>`;
-  return `<figure>${picture}${caption}</figure>${hourList(report, fromMs)}`;
+  return `<figure>${svg}${caption}</figure>${hourList(report, fromMs)}`;
 };
 
 const pairRow = (pair: burnRate.PairBurn): string => {
@@ -76,7 +76,7 @@
 
 /**
  * @param report - the burn report
- * @returns a whole HTML page
+ * @returns a complete HTML page
  */
 export const renderPage = (report: serviceLevelReport.ServiceLevelReport): string => {
   const at = new Date(report.atMs).toISOString();
--- a/src/cli/burnPlot.ts
+++ b/src/cli/burnPlot.ts
@@ -1,12 +1,12 @@
 /**
- * Plots of burn rates, drawn by ECharts on the server into one SVG text.
+ * Plots burn rates as SVG with the server-side rendering of ECharts.
  */
 import * as charts from 'echarts/charts';
 import * as components from 'echarts/components';
 import * as core from 'echarts/core';
 import * as renderers from 'echarts/renderers';
 
-/** One bar: the burn rate of an hour. */
+/** One bar: the burn rate of one hour. */
 export interface PlotBar {
   /** Start of the hour. */
   readonly atMs: number;
@@ -25,7 +25,7 @@
 
 const WIDTH = 720;
 const HEIGHT = 200;
-const LEAST_TOP = 16;
+const MIN_AXIS_TOP = 16;
 const BAR_COLOR = '#335577';
 const THRESHOLD_COLOR = '#bb0000';
 
@@ -43,12 +43,12 @@
   yAxis: {
     type: 'value',
     min: 0,
-    max: ({ max }: { max: number }) => Math.max(LEAST_TOP, Math.ceil(max)),
+    max: ({ max }: { max: number }) => Math.max(MIN_AXIS_TOP, Math.ceil(max)),
   },
   series: [
     {
       type: 'bar',
-      // Without a clip path the picture refers to nothing, not even to a part of itself.
+      // A clip path would add a reference (`url(#…)`) to the SVG.
       clip: false,
       itemStyle: { color: BAR_COLOR },
       data: plot.bars.map((it) => [it.atMs, it.burnRate]),
@@ -64,7 +64,7 @@
 
 /**
  * @param plot - what to show
- * @returns an SVG picture that loads nothing
+ * @returns an SVG that loads no external resource
  */
 export const renderPlot = (plot: BurnPlot): string => {
   const chart = core.init(null, null, { renderer: 'svg', ssr: true, width: WIDTH, height: HEIGHT });
--- a/src/cli/cellCommands.ts
+++ b/src/cli/cellCommands.ts
@@ -1,5 +1,5 @@
 /**
- * `cells`, `worker` and `upstream`.
+ * The commands `cells`, `worker` and `upstream`.
  */
 import * as oclif from '@oclif/core';
 
@@ -13,29 +13,29 @@
 type Result = commandDefinition.CommandResult;
 
 const CELL_FLAG = {
-  cell: oclif.Flags.string({ summary: 'One cell; all are asked unless given.' }),
+  cell: oclif.Flags.string({ summary: 'One cell; all by default.' }),
 };
 
-/** Accelerators held on each worker of a cell. */
-const heldByWorker = (view: cellQueries.CellView): ReadonlyMap<string, number> => {
-  const held = new Map<string, number>();
+/** Number of allocated accelerators by worker of a cell. */
+const allocatedByWorker = (view: cellQueries.CellView): ReadonlyMap<string, number> => {
+  const allocated = new Map<string, number>();
   for (const { workerId, accelerators } of view.jobs.flatMap((it) => it.placement)) {
-    held.set(workerId, (held.get(workerId) ?? 0) + accelerators.length);
+    allocated.set(workerId, (allocated.get(workerId) ?? 0) + accelerators.length);
   }
-  return held;
+  return allocated;
 };
 
 const workerTable = (views: readonly cellQueries.CellView[]): readonly string[] =>
   textTable.formatTable({
     columns: ['worker', 'cell', 'rack', 'accelerators', 'held', 'health', 'why'],
     rows: views.flatMap((view) => {
-      const held = heldByWorker(view);
+      const allocated = allocatedByWorker(view);
       return view.workers.map((it) => [
         it.worker.workerId,
         view.cell,
         it.worker.rack,
         it.worker.accelerators,
-        held.get(it.worker.workerId) ?? 0,
+        allocated.get(it.worker.workerId) ?? 0,
         it.health,
         it.healthReason || '-',
       ]);
@@ -53,7 +53,7 @@
 const cells: commandDefinition.CommandDefinition = {
   summary: 'List the cells, or show the workers and warnings of one.',
   examples: ['cells', 'cells nordur-a', 'cells --watch 5'],
-  words: ['cell?'],
+  argNames: ['cell?'],
   canWatch: true,
   run: async (input): Promise<Result> => {
     const [name] = input.args;
@@ -73,7 +73,7 @@
 const workerList: commandDefinition.CommandDefinition = {
   summary: 'List the workers.',
   examples: ['worker list', 'worker list --cell nordur-a --json'],
-  words: [],
+  argNames: [],
   canWatch: true,
   flags: CELL_FLAG,
   run: async (input): Promise<Result> => {
@@ -97,10 +97,10 @@
   help: Pick<commandDefinition.CommandDefinition, 'summary' | 'examples'>,
 ): commandDefinition.CommandDefinition => ({
   ...help,
-  words: ['worker'],
+  argNames: ['worker'],
   flags: {
     ...CELL_FLAG,
-    reason: oclif.Flags.string({ summary: 'Why.', required: isQuarantined, default: '' }),
+    reason: oclif.Flags.string({ summary: 'Reason.', required: isQuarantined, default: '' }),
   },
   run: async (input): Promise<Result> => {
     const workerId = input.args[0] ?? '';
@@ -117,7 +117,7 @@
   },
 });
 
-/** One upstream as the entries of its region know it. */
+/** One upstream as known by the entries of its region. */
 interface Upstream {
   readonly upstreamId: string;
   readonly agentId: string;
@@ -143,9 +143,9 @@
   });
 
 const upstreamList: commandDefinition.CommandDefinition = {
-  summary: 'List the upstreams that announced themselves.',
+  summary: 'List the registered upstreams.',
   examples: ['upstream list', 'upstream list --watch 2'],
-  words: [],
+  argNames: [],
   canWatch: true,
   run: async (input): Promise<Result> => {
     const value = (await input.client.get('/api/upstreams')) as {
@@ -156,10 +156,10 @@
 };
 
 const upstreamDrain: commandDefinition.CommandDefinition = {
-  summary: 'Give an upstream no new requests, or take it back with --undo.',
+  summary: 'Stop sending new requests to an upstream, or resume with --undo.',
   examples: ['upstream drain booking-3', 'upstream drain booking-3 --undo'],
-  words: ['upstream'],
-  flags: { undo: oclif.Flags.boolean({ summary: 'Give it requests again.' }) },
+  argNames: ['upstream'],
+  flags: { undo: oclif.Flags.boolean({ summary: 'Resume sending requests to it.' }) },
   run: async (input): Promise<Result> => {
     const path = `/api/upstreams/${encodeURIComponent(input.args[0] ?? '')}/drain`;
     const body = { isDraining: !commandDefinition.hasFlag(input, 'undo') };
@@ -173,11 +173,11 @@
   cells,
   'worker:list': workerList,
   'worker:quarantine': quarantine(true, {
-    summary: 'Give a worker no new work.',
+    summary: 'Stop placing new work on a worker.',
     examples: ['worker quarantine nordur-w3 --reason "fan broken"'],
   }),
   'worker:release': quarantine(false, {
-    summary: 'Give a quarantined worker work again.',
+    summary: 'Release a worker from quarantine.',
     examples: ['worker release nordur-w3'],
   }),
   'upstream:list': upstreamList,
--- a/src/cli/cellQueries.ts
+++ b/src/cli/cellQueries.ts
@@ -1,5 +1,5 @@
 /**
- * Reads that several commands share: which cells there are, what a cell holds, where a job is.
+ * Queries shared by several commands: the list of cells, the state of a cell, the cell of a job.
  */
 import * as errors from '../base/common/errors.js';
 import type * as job from '../state/common/job.js';
@@ -9,7 +9,7 @@
 
 type Input = commandDefinition.CommandInput;
 
-/** One line of the list of cells. */
+/** One entry of the list of cells. */
 export interface CellSummary {
   readonly cell: string;
   readonly region: string;
@@ -18,7 +18,7 @@
   readonly isLed: boolean;
 }
 
-/** A cell as its leader sees it. */
+/** The state of a cell as reported by its leader. */
 export interface CellView {
   readonly cell: string;
   readonly epoch: number;
@@ -32,22 +32,22 @@
   readonly warnings: readonly string[];
 }
 
-/** A job with where its record was found. */
+/** A job record with its source. */
 export interface FoundJob {
   readonly job: job.JobRecord;
-  /** `leader` while the cell's leader has it, `archive` afterwards. */
+  /** `leader` while the cell's leader has the record, `archive` afterwards. */
   readonly source: string;
 }
 
 /**
- * @param input - what a command is given
+ * @param input - input of the command
  * @returns all cells
  */
 export const cells = async (input: Input): Promise<readonly CellSummary[]> =>
   ((await input.client.get('/api/cells')) as { readonly cells: readonly CellSummary[] }).cells;
 
 /**
- * @param input - what a command is given
+ * @param input - input of the command
  * @returns the cell of `--cell`, or all
  */
 export const cellNames = async (input: Input): Promise<readonly string[]> => {
@@ -56,9 +56,9 @@
 };
 
 /**
- * @param input - what a command is given
+ * @param input - input of the command
  * @param cell - availability zone
- * @returns the cell as its leader sees it
+ * @returns the state of the cell as reported by its leader
  */
 export const cellView = async (input: Input, cell: string): Promise<CellView> =>
   (await input.client.get(`/api/cells/${encodeURIComponent(cell)}`)) as CellView;
@@ -66,13 +66,13 @@
 const isNotFound = (thrown: unknown): boolean => errors.normalize(thrown).kind === 'notFound';
 
 /**
- * Asks the cells one after the other; a cell that does not answer is told only where no other has
- * the job.
+ * Queries the cells one after the other. The failure of a cell is reported only if no other cell
+ * has the job.
  *
- * @param input - what a command is given
+ * @param input - input of the command
  * @param jobId - id of a job
  * @returns the job
- * @throws AuburnliftError `notFound` where no cell has it, or what a cell answered instead
+ * @throws AuburnliftError `notFound` if no cell has it, or the last other error of a cell
  */
 export const findJob = async (input: Input, jobId: string): Promise<FoundJob> => {
   let failure = errors.fail('notFound', `no cell has a job ${jobId}`, { field: 'job' });
--- a/src/cli/commandDefinition.ts
+++ b/src/cli/commandDefinition.ts
@@ -1,16 +1,16 @@
 /**
- * What a command is: flags, help and a function from its input to a result. The shell around it
- * (`commandShell`) parses, prints and turns errors into exit codes.
+ * Defines a command: flags, help and a function from its input to a result. `commandShell` parses
+ * the command line, prints the result and turns errors into exit codes.
  */
 import type * as oclif from '@oclif/core';
 
 import type * as inputStream from './inputStream.js';
 import type * as operatorClient from './operatorClient.js';
 
-/** What a command is given. */
+/** The input of a command. */
 export interface CommandInput {
   readonly client: operatorClient.OperatorClient;
-  /** Words after the command's name. */
+  /** Positional arguments. */
   readonly args: readonly string[];
   readonly flags: Readonly<Record<string, unknown>>;
   /** Reads a whole document from a file, or from standard input for `-`. */
@@ -19,17 +19,17 @@
   readonly eachLine: typeof inputStream.eachLine;
   readonly writeText: (file: string, text: string) => void;
   readonly newId: () => string;
-  /** Wall time. */
+  /** Wall-clock time. */
   readonly nowMs: number;
 }
 
-/** What a command found or did. */
+/** The result of a command. */
 export interface CommandResult {
   /** Printed with `--json`. */
   readonly value: unknown;
   /** Printed for people. */
   readonly lines: readonly string[];
-  /** 0 unless given. */
+  /** 0 by default. */
   readonly exitCode?: number;
 }
 
@@ -37,34 +37,34 @@
 export interface CommandDefinition {
   readonly summary: string;
   readonly description?: string;
-  /** Lines without the program's name. */
+  /** Command lines without the program's name. */
   readonly examples: readonly string[];
-  /** Names of the words that it takes; a `?` at the end marks one that may be left out. */
-  readonly words: readonly string[];
-  /** Whether further words may follow. */
-  readonly hasMoreWords?: boolean;
+  /** Names of the positional arguments; a trailing `?` marks an optional one. */
+  readonly argNames: readonly string[];
+  /** Whether further arguments may follow. */
+  readonly acceptsMoreArgs?: boolean;
   readonly flags?: oclif.Interfaces.FlagInput;
   /** Whether it may be repeated with `--watch`. */
   readonly canWatch?: boolean;
-  /** Works without an entry: it takes no address and its client refuses every call. */
+  /** Works without an entry: it has no connection flags and its client rejects every call. */
   readonly isOffline?: boolean;
-  /** @throws AuburnliftError, which decides the exit code */
+  /** @throws AuburnliftError, which determines the exit code */
   readonly run: (input: CommandInput) => Promise<CommandResult>;
 }
 
-/** The last word of a command that reads a file; without it, what is piped in. */
-export const FILE_WORD = 'file?';
+/** Name of the last argument of a command that reads a file; standard input if omitted. */
+export const FILE_ARG = 'file?';
 
 /**
- * @param input - what a command is given
- * @param index - place of its file among the words
+ * @param input - input of the command
+ * @param index - index of the file among the arguments
  * @returns the file, `-` for standard input
  */
-export const fileWord = (input: CommandInput, index: number): string => input.args[index] ?? '-';
+export const fileArg = (input: CommandInput, index: number): string => input.args[index] ?? '-';
 
 /**
- * @param input - what a command is given
- * @param name - a flag with text
+ * @param input - input of the command
+ * @param name - name of a flag with a text value
  * @returns its value, if it was given
  */
 export const textFlag = (input: CommandInput, name: string): string | undefined => {
@@ -73,8 +73,8 @@
 };
 
 /**
- * @param input - what a command is given
- * @param name - a flag without a value
+ * @param input - input of the command
+ * @param name - name of a boolean flag
  * @returns whether it was given
  */
 export const hasFlag = (input: CommandInput, name: string): boolean => input.flags[name] === true;
--- a/src/cli/commandShell.ts
+++ b/src/cli/commandShell.ts
@@ -1,5 +1,5 @@
 /**
- * Makes an oclif command of a definition: help, flags, output, repetition and exit codes.
+ * Builds an oclif command from a definition: help, flags, output, repetition and exit codes.
  */
 import * as crypto from 'node:crypto';
 import * as fs from 'node:fs';
@@ -19,21 +19,21 @@
 
 const TIMEOUT_MS = 15_000;
 const MAX_REPLY_BYTES = 268_435_456;
-/** As oclif ends with where the command line is wrong. */
-const WRONG_USE_STATUS = 2;
+/** The exit code of oclif for a wrong command line. */
+const USAGE_ERROR_STATUS = 2;
 
 const JSON_FLAG = { json: oclif.Flags.boolean({ summary: 'Print JSON for programs.' }) };
 
 const CONNECTION_FLAGS = {
   url: oclif.Flags.string({
-    summary: "Operators' address of an entry, http://host:port.",
+    summary: 'Operator address of an entry, http://host:port.',
     env: 'AUBURNLIFT_URL',
     helpGroup: 'CONNECTION',
   }),
   token: oclif.Flags.string({
-    summary: "Operator's token; the environment keeps it out of the list of processes.",
+    summary: "Operator's token; set in the environment, it stays out of the process list.",
     env: 'AUBURNLIFT_TOKEN',
-    // A default shown in the help would print the secret.
+    // oclif would show the default in the help and so print the secret.
     noCacheDefault: true,
     helpGroup: 'CONNECTION',
   }),
@@ -67,27 +67,27 @@
   definition: commandDefinition.CommandDefinition,
 ): Record<string, oclif.Interfaces.Arg<string | undefined>> =>
   Object.fromEntries(
-    definition.words.map((word) => {
-      const isOptional = word.endsWith('?');
-      const name = isOptional ? word.slice(0, -1) : word;
-      // Standard input is a command's to read: oclif would take what is piped for the word.
+    definition.argNames.map((argName) => {
+      const isOptional = argName.endsWith('?');
+      const name = isOptional ? argName.slice(0, -1) : argName;
+      // The commands read standard input; otherwise oclif would use piped data as the argument.
       return [name, oclif.Args.string({ required: !isOptional, ignoreStdin: true })];
     }),
   );
 
-/** A terminal gives no lines by itself: whoever left the file out would wait without a word. */
+/** Fails if the file is omitted on a terminal, where the command would silently wait for input. */
 const refuseTerminal = (
-  { words }: commandDefinition.CommandDefinition,
+  { argNames }: commandDefinition.CommandDefinition,
   args: readonly string[],
 ): void => {
-  const isLeftOut = words.at(-1) === commandDefinition.FILE_WORD && args.length < words.length;
-  if (!isLeftOut || !process.stdin.isTTY) return;
+  const isOmitted = argNames.at(-1) === commandDefinition.FILE_ARG && args.length < argNames.length;
+  if (!isOmitted || !process.stdin.isTTY) return;
   throw new oclif.Errors.CLIError('FILE is missing: give one, or pipe into the command', {
-    exit: WRONG_USE_STATUS,
+    exit: USAGE_ERROR_STATUS,
   });
 };
 
-/** The client of a command that asks nobody. */
+/** The client calls of an offline command. */
 const refuseCall = (): never => {
   throw errors.fail('internal', 'this command has no connection to an entry');
 };
@@ -104,8 +104,8 @@
 
 /**
  * @param thrown - anything caught
- * @param isJson - whether programs read it
- * @param given - words and values of the command line
+ * @param isJson - whether to format it as JSON for programs
+ * @param given - arguments and flag values of the command line
  * @returns the line for standard error
  */
 const formatError = (thrown: unknown, isJson: boolean, given: readonly string[]): string => {
@@ -131,7 +131,7 @@
 
     static override readonly examples = definition.examples.map((it) => `<%= config.bin %> ${it}`);
 
-    static override readonly strict = definition.hasMoreWords !== true;
+    static override readonly strict = definition.acceptsMoreArgs !== true;
 
     static override readonly args = argsOf(definition);
 
--- a/src/cli/commands.ts
+++ b/src/cli/commands.ts
@@ -11,7 +11,7 @@
 import * as ledgerCommand from './ledgerCommand.js';
 import * as logCommands from './logCommands.js';
 
-/** What each command that talks to an entry is; `:` stands for the blank that is typed. */
+/** The commands other than `dev` by name; `:` stands for the space typed on the command line. */
 export const DEFINITIONS: Readonly<Record<string, commandDefinition.CommandDefinition>> = {
   ...configCommands.CONFIG_COMMANDS,
   ...jobCommands.JOB_COMMANDS,
@@ -21,7 +21,7 @@
   burn: burnCommand.BURN,
 };
 
-/** Read by oclif; the key is what is typed. */
+/** All commands, loaded by oclif under their names. */
 export const COMMANDS = {
   dev: devCommand.DevCommand,
   ...Object.fromEntries(
--- a/src/cli/configCommands.ts
+++ b/src/cli/configCommands.ts
@@ -1,5 +1,5 @@
 /**
- * `config`, and `customer`, `shape` and `rule`, which edit the same document.
+ * The `config` commands, and `customer`, `shape` and `rule`, which edit the same document.
  */
 import * as oclif from '@oclif/core';
 import * as jsonc from 'jsonc-parser';
@@ -17,10 +17,10 @@
 type Result = commandDefinition.CommandResult;
 
 const WRITE_FLAGS = {
-  reason: oclif.Flags.string({ summary: 'Why, for the audit.', required: true }),
+  reason: oclif.Flags.string({ summary: 'Reason, for the audit log.', required: true }),
   'dry-run': oclif.Flags.boolean({ summary: 'Show what would change and write nothing.' }),
   'accept-stranding': oclif.Flags.boolean({
-    summary: 'Write although running guaranteed jobs lose their guarantee.',
+    summary: 'Write even if running guaranteed jobs lose their guarantee.',
   }),
 };
 
@@ -33,11 +33,11 @@
     readonly record: configuration.ConfigurationRecord | null;
   };
   if (record !== null) return record;
-  throw errors.fail('notFound', 'no configuration is in force yet', { field: 'config' });
+  throw errors.fail('notFound', 'no configuration is active yet', { field: 'config' });
 };
 
 const parseDocument = async (input: Input): Promise<configuration.ConfigurationDocument> => {
-  const file = commandDefinition.fileWord(input, 0);
+  const file = commandDefinition.fileArg(input, 0);
   const name = inputStream.nameOf(file);
   const problems: jsonc.ParseError[] = [];
   const text = await input.readText(file);
@@ -52,37 +52,38 @@
 
 const differenceLines = (list: readonly documentEdits.Difference[]): readonly string[] =>
   list.length === 0
-    ? ['nothing differs']
+    ? ['no differences']
     : textTable.formatTable({
         columns: ['path', 'before', 'after'],
         rows: list.map((it) => [it.path, textOf(it.before), textOf(it.after)]),
       });
 
-/** What the entry says of a change that is not written. */
+/** The entry's answer to a dry run. */
 interface Preview {
   readonly effects?: readonly { readonly level: string; readonly text: string }[];
 }
 
-/** A conflict with what the other operator changed and what this one wants, one after the other. */
-const withBothSides = (
+/** Extends a conflict error by the other operator's changes, followed by this operator's. */
+const withBothChanges = (
   error: errors.AuburnliftError,
   base: configuration.ConfigurationRecord,
   changes: readonly documentEdits.Difference[],
 ): errors.AuburnliftError => {
-  const theirRecord = error.detail.facts?.current as configuration.ConfigurationRecord | undefined;
-  if (error.kind !== 'conflict' || theirRecord?.document === undefined) return error;
-  const theirs = documentEdits.differences(base.document, theirRecord.document);
+  const currentRecord = error.detail.facts?.current as
+    configuration.ConfigurationRecord | undefined;
+  if (error.kind !== 'conflict' || currentRecord?.document === undefined) return error;
+  const otherChanges = documentEdits.differences(base.document, currentRecord.document);
   const lines = [
     error.message,
-    `changed by ${theirRecord.author} since version ${base.version}:`,
-    ...differenceLines(theirs),
+    `changed by ${currentRecord.author} since version ${base.version}:`,
+    ...differenceLines(otherChanges),
     'your change:',
     ...differenceLines(changes),
   ];
   return errors.fail('conflict', lines.join('\n'), error.detail);
 };
 
-/** The version that a change was made from; its document is in the history. */
+/** Reads the version that a change is based on; an earlier one is in the history. */
 const baseOf = async (input: Input): Promise<configuration.ConfigurationRecord> => {
   const version = input.flags['base-version'];
   const record = await current(input);
@@ -94,7 +95,7 @@
   return earlier.record;
 };
 
-/** Sends a change; the write id lets the same change be sent again where the answer was lost. */
+/** Sends a change. The write id makes it idempotent, so it is sent again if the response was lost. */
 const write = async (
   input: Input,
   base: configuration.ConfigurationRecord,
@@ -116,7 +117,10 @@
     return { value: preview, lines };
   }
   if (changes.length === 0) {
-    return { value: { version: base.version, changes }, lines: ['nothing differs or was written'] };
+    return {
+      value: { version: base.version, changes },
+      lines: ['no differences, nothing was written'],
+    };
   }
   const send = (): Promise<unknown> => input.client.send('PUT', '/api/config', body);
   const answer = await send()
@@ -125,17 +129,17 @@
       return send();
     })
     .catch((thrown: unknown) => {
-      throw withBothSides(errors.normalize(thrown), base, changes);
+      throw withBothChanges(errors.normalize(thrown), base, changes);
     });
   const { record } = answer as { readonly record: configuration.ConfigurationRecord };
-  const lines = [...differenceLines(changes), `version ${record.version} is written`];
+  const lines = [...differenceLines(changes), `wrote version ${record.version}`];
   return { value: { version: record.version, writeId: record.writeId, changes }, lines };
 };
 
 const get: commandDefinition.CommandDefinition = {
-  summary: 'Print the configuration in force.',
+  summary: 'Print the active configuration.',
   examples: ['config get > configuration.jsonc', 'config get --version 12'],
-  words: [],
+  argNames: [],
   flags: { version: oclif.Flags.integer({ summary: 'An earlier version.', min: 1 }) },
   run: async (input) => {
     const { version } = input.flags;
@@ -151,7 +155,7 @@
 const check: commandDefinition.CommandDefinition = {
   summary: 'Validate a document and show its effects without writing it.',
   examples: ['config check configuration.jsonc'],
-  words: [commandDefinition.FILE_WORD],
+  argNames: [commandDefinition.FILE_ARG],
   run: async (input) => {
     const document = await parseDocument(input);
     const base = await current(input);
@@ -161,9 +165,9 @@
 };
 
 const diff: commandDefinition.CommandDefinition = {
-  summary: 'Show what differs between a document and the configuration in force.',
+  summary: 'Show the differences between a document and the active configuration.',
   examples: ['config diff configuration.jsonc'],
-  words: [commandDefinition.FILE_WORD],
+  argNames: [commandDefinition.FILE_ARG],
   run: async (input) => {
     const document = await parseDocument(input);
     const changes = documentEdits.differences((await current(input)).document, document);
@@ -174,13 +178,18 @@
 const apply: commandDefinition.CommandDefinition = {
   summary: 'Write a document as the next version.',
   description:
-    'Without --base-version the document replaces whatever is in force now. With it, a version ' +
-    'that somebody else wrote meanwhile is a conflict (exit code 14) and nothing is written.',
-  examples: ['config apply configuration.jsonc --base-version 12 --reason "more room for plans"'],
-  words: [commandDefinition.FILE_WORD],
+    'Without --base-version the document replaces the active version. With it, a version that ' +
+    'another operator wrote in the meantime is a conflict (exit code 14) and nothing is written.',
+  examples: [
+    'config apply configuration.jsonc --base-version 12 --reason "more capacity for plans"',
+  ],
+  argNames: [commandDefinition.FILE_ARG],
   flags: {
     ...WRITE_FLAGS,
-    'base-version': oclif.Flags.integer({ summary: 'Version that you changed.', min: 0 }),
+    'base-version': oclif.Flags.integer({
+      summary: 'Version that your changes are based on.',
+      min: 0,
+    }),
   },
   run: async (input) => {
     const document = await parseDocument(input);
@@ -189,9 +198,9 @@
 };
 
 const history: commandDefinition.CommandDefinition = {
-  summary: 'List the versions that are kept.',
+  summary: 'List the retained versions.',
   examples: ['config history', 'config history --json'],
-  words: [],
+  argNames: [],
   run: async (input) => {
     const value = (await input.client.get('/api/config/history')) as {
       readonly versions: readonly Omit<configuration.ConfigurationRecord, 'document'>[];
@@ -207,7 +216,7 @@
   },
 };
 
-/** Answer of `/api/config/status`. */
+/** Response of `/api/config/status`. */
 interface Status {
   readonly version: number;
   readonly inForceAfterMs?: number;
@@ -222,9 +231,9 @@
 }
 
 const status: commandDefinition.CommandDefinition = {
-  summary: 'Show which process has which version.',
+  summary: 'Show the configuration version of each process.',
   examples: ['config status', 'config status --watch 2'],
-  words: [],
+  argNames: [],
   canWatch: true,
   run: async (input) => {
     const value = (await input.client.get('/api/config/status')) as Status;
@@ -235,7 +244,7 @@
       `version ${version}, stragglers: ${stragglers.join(', ') || 'none'}`,
       ...(inForceAfterMs === undefined
         ? []
-        : [`in force everywhere after ${Math.round(inForceAfterMs)} ms`]),
+        : [`active everywhere after ${Math.round(inForceAfterMs)} ms`]),
       ...warnings.map((it) => `warning: ${it}`),
     ];
     return { value, lines };
@@ -250,12 +259,12 @@
     input: Input,
   ) => configuration.ConfigurationDocument,
   help: Pick<commandDefinition.CommandDefinition, 'summary' | 'examples'>,
-  hasMoreWords: boolean,
+  acceptsMoreArgs: boolean,
 ): commandDefinition.CommandDefinition => ({
   ...help,
-  description: `Edits ${list} of the one document; the fields are those of the ${name} there.`,
-  words: ['id'],
-  hasMoreWords,
+  description: `Edits ${list} of the configuration document; the fields are those of a ${name} there.`,
+  argNames: ['id'],
+  acceptsMoreArgs,
   flags: WRITE_FLAGS,
   run: async (input) => {
     const base = await current(input);
@@ -267,9 +276,9 @@
   list: documentEdits.ListName,
   name: string,
 ): commandDefinition.CommandDefinition => ({
-  summary: `List every ${name} of the configuration in force.`,
+  summary: `List every ${name} of the active configuration.`,
   examples: [`${name} list`, `${name} list --json`],
-  words: [],
+  argNames: [],
   run: async (input) => {
     const items: readonly Readonly<Record<string, unknown>>[] = (await current(input)).document[
       list
--- a/src/cli/devCommand.ts
+++ b/src/cli/devCommand.ts
@@ -1,6 +1,6 @@
 /**
- * `auburnlift dev`: the whole system with stand-ins in one process, for a first look and for work
- * on the project.
+ * `auburnlift dev`: runs the whole system with stand-ins in one process, for evaluation and for
+ * development.
  */
 import * as oclif from '@oclif/core';
 
@@ -39,7 +39,7 @@
   static override readonly flags = {
     demo: oclif.Flags.boolean({ summary: 'Send requests and jobs, print a table and exit.' }),
     'stand-ins': oclif.Flags.boolean({
-      summary: 'Host only the stand-ins, at fixed ports, for programs started apart.',
+      summary: 'Host only the stand-ins, at fixed ports, for programs that are started separately.',
       exclusive: ['demo'],
     }),
     example: oclif.Flags.string({
@@ -48,7 +48,7 @@
       default: 'kamarvaki',
     }),
     'log-level': oclif.Flags.string({
-      summary: 'Least level of the log on standard error.',
+      summary: 'Minimum level of the log on standard error.',
       options: ['debug', 'info', 'warn', 'error'],
     }),
   };
@@ -65,7 +65,7 @@
     this.log(`${example.deployment.name}: starting ${example.deployment.zones.length} zones`);
     const host = await devHost.startDevHost({ ...example, logLevel });
     if (flags.demo) await this.runDemo(host, example.document);
-    else await this.stay(host);
+    else await this.serve(host);
   }
 
   private async hostStandins(example: examples.Example): Promise<void> {
@@ -75,7 +75,7 @@
     await host.dispose();
   }
 
-  private async stay(host: devHost.DevHost): Promise<void> {
+  private async serve(host: devHost.DevHost): Promise<void> {
     for (const { region, program } of host.entries) {
       this.log(`${region}: callers ${program.callersUrl}, operators ${program.operatorsUrl}`);
     }
@@ -106,7 +106,7 @@
     result.rows.forEach(([label, value]) => this.log(`${label.padEnd(width)}  ${value}`));
     await client.dispose();
     await host.dispose();
-    result.broken.forEach((it) => this.logToStderr(`broken promise: ${it}`));
+    result.broken.forEach((it) => this.logToStderr(`invariant violated: ${it}`));
     this.exit(result.broken.length === 0 ? 0 : 1);
   }
 }
--- a/src/cli/documentEdits.ts
+++ b/src/cli/documentEdits.ts
@@ -1,13 +1,13 @@
 /**
- * Edits of the one configuration document: adding, changing and removing an item of a list, and
- * what differs between two documents. Pure; the schema judges the result.
+ * Edits the configuration document: adds, changes and removes items of its lists, and compares two
+ * documents. The functions are pure and validate the result against the schema.
  */
 import * as errors from '../base/common/errors.js';
 import * as configuration from '../state/common/configuration.js';
 
 import * as inputDocument from './inputDocument.js';
 
-/** Lists of the document that can be edited item by item, with the key of an item. */
+/** Lists of the document that can be edited item by item, with the id field of their items. */
 export const LIST_KEYS = {
   customers: 'customerId',
   shapes: 'shapeId',
@@ -19,7 +19,7 @@
 
 type Item = Readonly<Record<string, unknown>>;
 
-/** One path that differs. */
+/** One path with different values. */
 export interface Difference {
   readonly path: string;
   readonly before: unknown;
@@ -29,7 +29,7 @@
 const itemsOf = (document: configuration.ConfigurationDocument, list: ListName): readonly Item[] =>
   document[list];
 
-const checked = (document: unknown): configuration.ConfigurationDocument =>
+const validated = (document: unknown): configuration.ConfigurationDocument =>
   inputDocument.decodeOrFail(configuration.ConfigurationDocument, document, 'configuration');
 
 const idOf = (list: ListName, item: Item): string => String(item[LIST_KEYS[list]]);
@@ -46,28 +46,28 @@
 };
 
 /**
- * @param words - `field=value` each; a value is JSON where it parses, text otherwise
+ * @param args - arguments `field=value`; a value that is not JSON is taken as text
  * @returns the fields
- * @throws AuburnliftError `invalidRequest` for a word without `=`
+ * @throws AuburnliftError `invalidRequest` for an argument without `=`
  */
-export const parseFields = (words: readonly string[]): Item =>
+export const parseFields = (args: readonly string[]): Item =>
   Object.fromEntries(
-    words.map((word) => {
-      const at = word.indexOf('=');
+    args.map((arg) => {
+      const at = arg.indexOf('=');
       if (at < 1) {
-        throw errors.fail('invalidRequest', `${word}: field=value is expected`, { field: word });
+        throw errors.fail('invalidRequest', `${arg}: field=value is expected`, { field: arg });
       }
-      return [word.slice(0, at), parseValue(word.slice(at + 1))];
+      return [arg.slice(0, at), parseValue(arg.slice(at + 1))];
     }),
   );
 
 /**
- * @param document - as it is in force
+ * @param document - the active document
  * @param list - which list
  * @param id - id of the new item
  * @param fields - its other fields
  * @returns the document with the item at the end of the list
- * @throws AuburnliftError `conflict` where the id exists, `invalidRequest` naming a bad field
+ * @throws AuburnliftError `conflict` if the id exists, `invalidRequest` naming an invalid field
  */
 export const addItem = (
   document: configuration.ConfigurationDocument,
@@ -77,18 +77,20 @@
 ): configuration.ConfigurationDocument => {
   const items = itemsOf(document, list);
   if (items.some((it) => idOf(list, it) === id)) {
-    throw errors.fail('conflict', `${id} exists in ${list}; nothing was written`, { field: list });
+    throw errors.fail('conflict', `${id} already exists in ${list}; nothing was written`, {
+      field: list,
+    });
   }
-  return checked({ ...document, [list]: [...items, { [LIST_KEYS[list]]: id, ...fields }] });
+  return validated({ ...document, [list]: [...items, { [LIST_KEYS[list]]: id, ...fields }] });
 };
 
 /**
- * @param document - as it is in force
+ * @param document - the active document
  * @param list - which list
  * @param id - id of the item
  * @param fields - fields that change
  * @returns the document with the item changed
- * @throws AuburnliftError `notFound`, or `invalidRequest` naming a bad field
+ * @throws AuburnliftError `notFound`, or `invalidRequest` naming an invalid field
  */
 export const setItem = (
   document: configuration.ConfigurationDocument,
@@ -99,11 +101,11 @@
   const items = itemsOf(document, list);
   if (!items.some((it) => idOf(list, it) === id)) throw missing(list, id);
   const changed = items.map((it) => (idOf(list, it) === id ? { ...it, ...fields } : it));
-  return checked({ ...document, [list]: changed });
+  return validated({ ...document, [list]: changed });
 };
 
 /**
- * @param document - as it is in force
+ * @param document - the active document
  * @param list - which list
  * @param id - id of the item
  * @returns the document without the item
@@ -115,9 +117,9 @@
   id: string,
 ): configuration.ConfigurationDocument => {
   const items = itemsOf(document, list);
-  const kept = items.filter((it) => idOf(list, it) !== id);
-  if (kept.length === items.length) throw missing(list, id);
-  return checked({ ...document, [list]: kept });
+  const remaining = items.filter((it) => idOf(list, it) !== id);
+  if (remaining.length === items.length) throw missing(list, id);
+  return validated({ ...document, [list]: remaining });
 };
 
 const LIST_ITEM_KEYS: Readonly<Record<string, string>> = {
@@ -126,7 +128,7 @@
   objectives: 'objectiveId',
 };
 
-/** Leaves by path; an item stands under its id, so that its place in the list does not matter. */
+/** Collects the leaf values by path. Items are identified by id, so their order does not matter. */
 const leavesOf = (value: unknown, path: string, leaves: Map<string, unknown>): void => {
   const idKey = LIST_ITEM_KEYS[path];
   if (idKey !== undefined && Array.isArray(value)) {
@@ -140,16 +142,16 @@
 
 /**
  * @param before - a document
- * @param after - another
- * @returns every field that differs, in the order of their paths
+ * @param after - the document to compare with
+ * @returns the differing fields, sorted by path
  */
 export const differences = (before: unknown, after: unknown): readonly Difference[] => {
-  const old = new Map<string, unknown>();
-  const now = new Map<string, unknown>();
-  leavesOf(before, '', old);
-  leavesOf(after, '', now);
-  return [...new Set([...old.keys(), ...now.keys()])]
-    .filter((path) => JSON.stringify(old.get(path)) !== JSON.stringify(now.get(path)))
+  const oldLeaves = new Map<string, unknown>();
+  const newLeaves = new Map<string, unknown>();
+  leavesOf(before, '', oldLeaves);
+  leavesOf(after, '', newLeaves);
+  return [...new Set([...oldLeaves.keys(), ...newLeaves.keys()])]
+    .filter((path) => JSON.stringify(oldLeaves.get(path)) !== JSON.stringify(newLeaves.get(path)))
     .sort()
-    .map((path) => ({ path, before: old.get(path), after: now.get(path) }));
+    .map((path) => ({ path, before: oldLeaves.get(path), after: newLeaves.get(path) }));
 };
--- a/src/cli/inputDocument.ts
+++ b/src/cli/inputDocument.ts
@@ -1,5 +1,5 @@
 /**
- * Decodes documents that people write. A document that is none at all gets an answer that can still be read.
+ * Decodes documents that people write. The error stays readable even if the input is no such document at all.
  */
 import type * as Schema from 'effect/Schema';
 
@@ -8,15 +8,15 @@
 
 import * as quote from './quote.js';
 
-/** As many as are mended in one go. */
+/** Maximum number of issues in an error: as many as are fixed in one edit. */
 const MAX_ISSUES = 10;
 
 /**
- * @param schema - what is expected
- * @param input - what was written
- * @param what - its name for the message
+ * @param schema - the expected schema
+ * @param input - the parsed input
+ * @param what - name of the input in the message
  * @returns the typed value
- * @throws AuburnliftError `invalidRequest` naming the first offending fields, the same in its facts
+ * @throws AuburnliftError `invalidRequest` naming the first invalid fields, which are also in its facts
  */
 export const decodeOrFail = <T>(
   schema: Schema.Codec<T, unknown, never, never>,
--- a/src/cli/inputStream.ts
+++ b/src/cli/inputStream.ts
@@ -1,6 +1,6 @@
 /**
- * Reads files and standard input by stream, be they plain files, pipes, devices or a terminal: line by line
- * for logs of any size, or whole, up to a limit, for documents.
+ * Reads files and standard input as streams, so that files, pipes, devices and terminals all work: line by line
+ * for logs of any size, or completely, up to a limit, for documents.
  */
 import * as fs from 'node:fs';
 import * as stringDecoder from 'node:string_decoder';
@@ -9,7 +9,7 @@
 
 import * as quote from './quote.js';
 
-/** Above every document that an entry takes, with room for comments. */
+/** More than the largest document that an entry accepts, with a margin for comments. */
 const MAX_DOCUMENT_BYTES = 8_388_608;
 
 const CHUNK_BYTES = 262_144;
@@ -18,15 +18,15 @@
 
 /**
  * @param file - path, or `-`
- * @returns its name for messages
+ * @returns its name in messages
  */
 export const nameOf = (file: string): string =>
   file === STANDARD_INPUT ? 'standard input' : quote.quote(file);
 
-/** The path stands before it, and would stand behind the comma once more. */
+/** The error's text before its comma; the rest repeats the path, which the message already has. */
 const reasonOf = (thrown: unknown): string => errors.normalize(thrown).message.split(',')[0] ?? '';
 
-/** What a read that does not wait finds missing, a stream waits for: a slow pipe ends only where it is closed. */
+/** Reads by stream: a synchronous read of a pipe that has no data yet fails, while a stream waits until it is closed. */
 const readChunks = async (file: string, onChunk: (chunk: Buffer) => void): Promise<void> => {
   const stream =
     file === STANDARD_INPUT
@@ -41,29 +41,29 @@
 };
 
 /**
- * Takes a line, without its end.
+ * Handles a line, without its line feed.
  *
- * @param line - cut to one character above the limit where it is longer
- * @param isWhole - whether its end was read; false for what stands behind the last end
+ * @param line - truncated to one character above the limit if it is longer
+ * @param isComplete - whether its line feed was read; false for text after the last one
  */
-export type OnLine = (line: string, isWhole: boolean) => void;
+export type OnLine = (line: string, isComplete: boolean) => void;
 
-/** Splits chunks of text into lines of which it keeps one, up to a limit. */
+/** Splits chunks of text into lines; buffers at most one line, up to a limit. */
 const createLineSplitter = (maxCharacters: number, onLine: OnLine) => {
   let line = '';
-  const add = (part: string): void => {
+  const append = (part: string): void => {
     if (line.length <= maxCharacters) line += part.slice(0, maxCharacters + 1 - line.length);
   };
   return {
     push: (text: string): void => {
       let from = 0;
       for (let end = text.indexOf('\n'); end >= 0; end = text.indexOf('\n', from)) {
-        add(text.slice(from, end));
+        append(text.slice(from, end));
         onLine(line, true);
         line = '';
         from = end + 1;
       }
-      add(text.slice(from));
+      append(text.slice(from));
     },
     end: (): void => {
       if (line !== '') onLine(line, false);
@@ -73,9 +73,9 @@
 
 /**
  * @param file - path, or `-` for standard input
- * @param maxCharacters - what is kept of a line, less one character that tells a longer one
- * @param onLine - takes each line as it comes
- * @throws AuburnliftError `notFound` naming what can't be read
+ * @param maxCharacters - limit of a line; one more character is passed on to show that it was exceeded
+ * @param onLine - called for each line
+ * @throws AuburnliftError `notFound` naming the unreadable file
  */
 export const eachLine = async (
   file: string,
@@ -91,8 +91,8 @@
 
 /**
  * @param file - path, or `-` for standard input
- * @returns the whole document
- * @throws AuburnliftError `notFound` naming what can't be read, `tooLarge` above the limit
+ * @returns the document's text
+ * @throws AuburnliftError `notFound` naming the unreadable file, `tooLarge` above the limit
  */
 export const readDocument = async (file: string): Promise<string> => {
   const chunks: Buffer[] = [];
--- a/src/cli/jobCommands.ts
+++ b/src/cli/jobCommands.ts
@@ -1,5 +1,5 @@
 /**
- * `job` and `explain`.
+ * The commands `job` and `explain`.
  */
 import * as oclif from '@oclif/core';
 import * as jsonc from 'jsonc-parser';
@@ -14,13 +14,13 @@
 type Result = commandDefinition.CommandResult;
 
 const CELL_FLAG = {
-  cell: oclif.Flags.string({ summary: 'One cell; all are asked unless given.' }),
+  cell: oclif.Flags.string({ summary: 'One cell; all by default.' }),
 };
 
 const timeOf = (atMs: number | undefined): string =>
   atMs === undefined ? '-' : new Date(atMs).toISOString();
 
-const placesOf = (record: job.JobRecord): string =>
+const allocationText = (record: job.JobRecord): string =>
   record.placement.map((it) => `${it.workerId}[${it.accelerators.join(',')}]`).join(' ') || '-';
 
 const jobTable = (jobs: readonly job.JobRecord[]): readonly string[] =>
@@ -40,20 +40,20 @@
 
 const factsOf = ({ job: record, source }: cellQueries.FoundJob): readonly string[] => {
   const { spec } = record;
-  const need = `${spec.members} x ${spec.acceleratorsPerMember}, ${spec.adjacency}`;
+  const resources = `${spec.members} x ${spec.acceleratorsPerMember}, ${spec.adjacency}`;
   const facts: readonly (readonly [string, string])[] = [
     ['job', spec.jobId],
     ['customer', spec.customerId],
     ['cell', spec.cell],
     ['claim', spec.claim + (spec.shapeId === undefined ? '' : ` of shape ${spec.shapeId}`)],
     ['spare rule', record.ruleId ?? '-'],
-    ['accelerators', need],
+    ['accelerators', resources],
     ['state', record.state],
     ['attempt', String(record.attempt)],
     ['submitted', timeOf(record.submittedAtMs)],
     ['started', timeOf(record.startedAtMs)],
     ['ended', timeOf(record.endedAtMs)],
-    ['held now', placesOf(record)],
+    ['held now', allocationText(record)],
     ['work kept', `${record.checkpointMs} ms`],
     ['told by', source],
   ];
@@ -71,22 +71,22 @@
     columns: ['at', 'worker', 'failure'],
     rows: failures.map((it) => [timeOf(it.atMs), it.workerId, it.reason]),
   });
-  const cut = `only the first and the last ${job.MAX_DECISIONS - 1} decisions are kept`;
+  const truncatedNote = `only the first and the last ${job.MAX_DECISIONS - 1} decisions are retained`;
   return [
     ...factsOf(found),
     '',
     ...decided,
-    ...(decisions.length < job.MAX_DECISIONS ? [] : [cut]),
+    ...(decisions.length < job.MAX_DECISIONS ? [] : [truncatedNote]),
     ...(failures.length === 0 ? [] : ['', ...failed]),
   ];
 };
 
 const submit: commandDefinition.CommandDefinition = {
-  summary: 'Submit a job; the same job id again changes nothing.',
+  summary: 'Submit a job; submitting the same job id again has no effect.',
   examples: ['job submit plan.jsonc', 'job submit < plan.json'],
-  words: [commandDefinition.FILE_WORD],
+  argNames: [commandDefinition.FILE_ARG],
   run: async (input) => {
-    const text = await input.readText(commandDefinition.fileWord(input, 0));
+    const text = await input.readText(commandDefinition.fileArg(input, 0));
     const parsed = jsonc.parse(text) as unknown;
     const spec = inputDocument.decodeOrFail(job.JobSpec, parsed, 'job');
     const value = (await input.client.send('POST', '/api/jobs', spec)) as {
@@ -99,7 +99,7 @@
 const list: commandDefinition.CommandDefinition = {
   summary: 'List jobs.',
   examples: ['job list --customer festivals', 'job list --state running --watch 5'],
-  words: [],
+  argNames: [],
   canWatch: true,
   flags: {
     ...CELL_FLAG,
@@ -111,16 +111,18 @@
       readonly jobs: readonly job.JobRecord[];
       readonly unansweredCells?: readonly string[];
     };
-    const wanted = (name: string, value: string): boolean => {
+    const matchesFlag = (name: string, value: string): boolean => {
       const given = commandDefinition.textFlag(input, name);
       return given === undefined || given === value;
     };
     const jobs = answer.jobs.filter(
       ({ spec, state }) =>
-        wanted('cell', spec.cell) && wanted('customer', spec.customerId) && wanted('state', state),
+        matchesFlag('cell', spec.cell) &&
+        matchesFlag('customer', spec.customerId) &&
+        matchesFlag('state', state),
     );
     const { unansweredCells = [] } = answer;
-    const notes = unansweredCells.map((it) => `cell ${it} does not answer; its jobs are missing`);
+    const notes = unansweredCells.map((it) => `cell ${it} does not respond; its jobs are missing`);
     return { value: { jobs, unansweredCells }, lines: [...jobTable(jobs), ...notes] };
   },
 };
@@ -128,7 +130,7 @@
 const show: commandDefinition.CommandDefinition = {
   summary: 'Show one job.',
   examples: ['job show plan-17', 'job show plan-17 --cell nordur-a --watch 2'],
-  words: ['job'],
+  argNames: ['job'],
   canWatch: true,
   flags: CELL_FLAG,
   run: async (input): Promise<Result> => {
@@ -139,10 +141,10 @@
 
 const cancel: commandDefinition.CommandDefinition = {
   summary: 'Cancel jobs of one cell.',
-  description: 'An answer that is lost ends with exit code 41: cancelling again is safe.',
+  description: 'If the response is lost, the exit code is 41; cancelling again is safe.',
   examples: ['job cancel plan-17', 'job cancel plan-17 plan-18 --cell nordur-a'],
-  words: ['job'],
-  hasMoreWords: true,
+  argNames: ['job'],
+  acceptsMoreArgs: true,
   flags: CELL_FLAG,
   run: async (input): Promise<Result> => {
     const given = commandDefinition.textFlag(input, 'cell');
@@ -156,9 +158,9 @@
 };
 
 const explain: commandDefinition.CommandDefinition = {
-  summary: 'Tell each recorded decision on a job, with the rule and configuration version.',
+  summary: 'Show each recorded decision on a job, with the rule and configuration version.',
   examples: ['explain plan-17', 'explain plan-17 --json'],
-  words: ['job'],
+  argNames: ['job'],
   flags: CELL_FLAG,
   run: async (input): Promise<Result> => {
     const found = await cellQueries.findJob(input, input.args[0] ?? '');
--- a/src/cli/ledgerCommand.ts
+++ b/src/cli/ledgerCommand.ts
@@ -1,5 +1,5 @@
 /**
- * `ledger`: who held which accelerators and why, and whether the books balance.
+ * `ledger`: reports accelerator usage with its reason, and checks that the ledger balances.
  */
 import * as oclif from '@oclif/core';
 
@@ -29,7 +29,7 @@
   });
 };
 
-const readBooks = async (input: Input, cell: string): Promise<ledgerReport.CellLedger> => {
+const readCellLedger = async (input: Input, cell: string): Promise<ledgerReport.CellLedger> => {
   const path = encodeURIComponent(cell);
   const { hours } = (await input.client.get(`/api/ledger/${path}`)) as {
     readonly hours: readonly ledgerEntry.LedgerHour[];
@@ -40,10 +40,10 @@
   return ledgerReport.withoutDuplicateHours({ cell, hours, days });
 };
 
-const checkBooks = (books: readonly ledgerReport.CellLedger[]): Result => {
-  const faults = books.flatMap((it) => ledgerCheck.checkHours(it.hours, it.days));
-  const hours = books.flatMap((it) => it.hours).length;
-  const days = books.flatMap((it) => it.days).length;
+const checkLedgers = (ledgers: readonly ledgerReport.CellLedger[]): Result => {
+  const faults = ledgers.flatMap((it) => ledgerCheck.checkHours(it.hours, it.days));
+  const hours = ledgers.flatMap((it) => it.hours).length;
+  const days = ledgers.flatMap((it) => it.days).length;
   const rows = faults.map((it) => [
     it.kind,
     it.cell,
@@ -51,7 +51,7 @@
     it.offMs,
   ]);
   const value = { isBalanced: faults.length === 0, hours, days, faults };
-  const scope = `${books.length} cells, ${days} days, ${hours} hours`;
+  const scope = `${ledgers.length} cells, ${days} days, ${hours} hours`;
   if (faults.length === 0) return { value, lines: [`the books balance: ${scope}`] };
   const columns = ['fault', 'cell', 'hour', 'off by ms'];
   const lines = [...textTable.formatTable({ columns, rows }), `out of balance: ${scope}`];
@@ -110,42 +110,42 @@
 
 /** The command. */
 export const LEDGER: commandDefinition.CommandDefinition = {
-  summary: 'Show who held which accelerators, for how long and why.',
+  summary: 'Show which accelerators were used by whom, for how long and why.',
   description:
-    'Hours of the last three days stand apart; older ones are added up by day and kept for 400 ' +
-    'days. --from and --to choose hours and days by their beginning; without them the last 24 ' +
-    'hours are shown. --check looks at everything that is kept and ends with exit code 70 where ' +
-    'the books do not balance.',
+    'The last three days are listed by hour; older hours are summed by day and retained for 400 ' +
+    'days. --from and --to select hours and days by their start; without them the last 24 ' +
+    'hours are shown. --check checks all retained hours and days and exits with code 70 if ' +
+    'the ledger does not balance.',
   examples: [
     'ledger --customer festivals --from 2026-12-01 --to 2026-12-02',
     'ledger --by job --cell nordur-a',
     'ledger --csv --from 2026-11-01 --to 2026-12-01 > november.csv',
     'ledger --check',
   ],
-  words: [],
+  argNames: [],
   canWatch: true,
   flags: {
-    cell: oclif.Flags.string({ summary: 'One cell; all unless given.' }),
+    cell: oclif.Flags.string({ summary: 'One cell; all by default.' }),
     customer: oclif.Flags.string({ summary: 'One customer.' }),
     from: oclif.Flags.string({ summary: 'First hour, as a date or time.' }),
     to: oclif.Flags.string({ summary: 'End, as a date or time.' }),
     by: oclif.Flags.string({
-      summary: 'What the table adds up by.',
+      summary: 'Grouping of the table.',
       options: Object.values(ledgerReport.LedgerGrouping),
       default: ledgerReport.LedgerGrouping.customer,
     }),
     csv: oclif.Flags.boolean({ summary: 'Print every row as CSV.', exclusive: ['json'] }),
-    check: oclif.Flags.boolean({ summary: 'Check that the books balance.' }),
+    check: oclif.Flags.boolean({ summary: 'Check that the ledger balances.' }),
   },
   run: async (input) => {
     const cells = await cellQueries.cellNames(input);
-    const books: ledgerReport.CellLedger[] = [];
-    for (const cell of cells) books.push(await readBooks(input, cell));
-    if (commandDefinition.hasFlag(input, 'check')) return checkBooks(books);
+    const ledgers: ledgerReport.CellLedger[] = [];
+    for (const cell of cells) ledgers.push(await readCellLedger(input, cell));
+    if (commandDefinition.hasFlag(input, 'check')) return checkLedgers(ledgers);
     const toMs = parseTime(input, 'to', input.nowMs);
     const fromMs = parseTime(input, 'from', toMs - DEFAULT_SPAN_MS);
     const customerId = commandDefinition.textFlag(input, 'customer');
-    const rows = books.flatMap((it) => ledgerReport.rowsOf(it, { customerId, fromMs, toMs }));
+    const rows = ledgers.flatMap((it) => ledgerReport.rowsOf(it, { customerId, fromMs, toMs }));
     if (commandDefinition.hasFlag(input, 'csv')) return { value: rows, lines: toCsv(rows) };
     const by = (commandDefinition.textFlag(input, 'by') ??
       ledgerReport.LedgerGrouping.customer) as ledgerReport.LedgerGrouping;
--- a/src/cli/logCommands.ts
+++ b/src/cli/logCommands.ts
@@ -1,5 +1,5 @@
 /**
- * `trace` and `losses`: what an engineer on call asks of the collected logs. They need no entry.
+ * `trace` and `losses`: analyze collected logs for an engineer on call, without a connection to an entry.
  */
 import * as oclif from '@oclif/core';
 
@@ -17,9 +17,9 @@
 const collect = async (
   input: commandDefinition.CommandInput,
   file: string,
-  question: logCollector.Question,
+  query: logCollector.LogQuery,
 ): Promise<logCollector.Collected> => {
-  const collector = logCollector.createLogCollector(question);
+  const collector = logCollector.createLogCollector(query);
   await input.eachLine(file, logLines.MAX_LINE_CHARACTERS, collector.take);
   const collected = collector.collected();
   if (collected !== undefined) return collected;
@@ -27,7 +27,7 @@
   throw errors.fail('invalidRequest', message, { field: 'file' });
 };
 
-const skippedLine = ({ foreign, cut, tooLong, beyond }: logCollector.Skipped): string => {
+const skippedText = ({ foreign, cut, tooLong, beyond }: logCollector.Skipped): string => {
   const line = `passed over: ${foreign} lines of other programs, ${cut} cut, ${tooLong} too long`;
   if (beyond === 0) return line;
   return `${line}, ${beyond} beyond what is kept of one job`;
@@ -41,46 +41,46 @@
   return [event, ...pairs.map(([name, value]) => `${name}=${value}`)].join(' ');
 };
 
-/** A line of a trace. */
-interface Told {
+/** One row of a trace. */
+interface TraceRow {
   readonly atMs: number;
   readonly node: string;
   readonly text: string;
 }
 
-/** Passes events on, and keeps of each what a trace shows. */
-const telling = function* telling(
+/** Passes events on and records a trace row for each. */
+const recordTrace = function* recordTrace(
   events: Iterable<logLines.LogEvent>,
-  told: Told[],
+  traceRows: TraceRow[],
 ): Generator<logLines.LogEvent> {
   for (const event of events) {
-    told.push({ atMs: event.atMs, node: event.node, text: eventText(event) });
+    traceRows.push({ atMs: event.atMs, node: event.node, text: eventText(event) });
     yield event;
   }
 };
 
 const TRACE: commandDefinition.CommandDefinition = {
-  summary: "Tell one job's life from the collected logs, with the cause of each wait.",
+  summary: "Show one job's history from collected logs, with the cause of each wait.",
   description:
-    'FILE holds the lines of all processes in any order; without it, or for -, they come from ' +
-    'standard input. Times count from the ' +
+    'FILE holds the log lines of all processes in any order; without FILE, or with -, they are ' +
+    'read from standard input. Times are relative to the ' +
     "job's acceptance, by the clocks of the machines that wrote the lines.",
   examples: ['trace 5c0e7a21d94b36f8 all.log', 'trace 5c0e7a21d94b36f8 --json'],
-  words: ['job', commandDefinition.FILE_WORD],
+  argNames: ['job', commandDefinition.FILE_ARG],
   isOffline: true,
   run: async (input) => {
     const [jobId = ''] = input.args;
-    const needs: logCollector.Question['needs'] = (_, its) => its === jobId;
-    const collected = await collect(input, commandDefinition.fileWord(input, 1), { needs });
-    const { surroundings } = collected;
-    const told: Told[] = [];
+    const needs: logCollector.LogQuery['needs'] = (_, eventJobId) => eventJobId === jobId;
+    const collected = await collect(input, commandDefinition.fileArg(input, 1), { needs });
+    const { logContext } = collected;
+    const traceRows: TraceRow[] = [];
     const [job] = [...collected.jobs()].map((it) =>
-      jobHistory.foldHistory(jobId, telling(it.events, told), surroundings),
+      jobHistory.buildHistory(jobId, recordTrace(it.events, traceRows), logContext),
     );
     if (job === undefined) throw errors.fail('notFound', `no line names the job ${jobId}`);
-    const segments = timeSplit.splitTime(job, surroundings);
+    const segments = timeSplit.splitTime(job, logContext);
     const zeroMs = job.acceptedAtMs ?? job.firstAtMs;
-    const rows = told.map((it) => [seconds(it.atMs - zeroMs), it.node, it.text]);
+    const rows = traceRows.map((it) => [seconds(it.atMs - zeroMs), it.node, it.text]);
     const spans = segments.map((it) => [
       seconds(it.fromMs - zeroMs),
       Math.round(it.untilMs - it.fromMs),
@@ -94,13 +94,13 @@
         ...textTable.formatTable({ columns: ['after s', 'where', 'what'], rows }),
         '',
         ...textTable.formatTable({ columns: ['from s', 'ms', 'cause', 'detail'], rows: spans }),
-        skippedLine(skipped),
+        skippedText(skipped),
       ],
     };
   },
 };
 
-/** The jobs of two months; a list that nobody reads to its end takes no memory. */
+/** About the jobs of two months; limits the memory for lists that are too long to read. */
 const MAX_LISTED = 50_000;
 
 const CAUSES = Object.values(timeSplit.Cause);
@@ -142,40 +142,42 @@
 const LOSSES: commandDefinition.CommandDefinition = {
   summary: 'List the jobs that were late or lost, with their time split by cause.',
   description:
-    'FILE holds the lines of all processes in any order; without it, or for -, they come from ' +
-    'standard input. Times by cause are in ' +
-    'milliseconds along the chain of runs that decided the end of the job. Sums count late and lost ' +
-    'jobs only. Cancelled jobs are left out.',
+    'FILE holds the log lines of all processes in any order; without FILE, or with -, they are ' +
+    'read from standard input. Times by cause are in ' +
+    'milliseconds along the chain of runs that determined the end of the job. Sums include late and ' +
+    'lost jobs only. Cancelled jobs are excluded.',
   examples: ['losses all.log', 'losses --all', 'losses all.log --json'],
-  words: [commandDefinition.FILE_WORD],
+  argNames: [commandDefinition.FILE_ARG],
   isOffline: true,
-  flags: { all: oclif.Flags.boolean({ summary: 'List the jobs that were in time as well.' }) },
+  flags: { all: oclif.Flags.boolean({ summary: 'Also list the jobs that were in time.' }) },
   run: async (input) => {
-    const collected = await collect(input, commandDefinition.fileWord(input, 0), {
-      needs: jobHistory.isNoted,
-      fields: jobHistory.NOTED_FIELDS,
+    const collected = await collect(input, commandDefinition.fileArg(input, 0), {
+      needs: jobHistory.isHistoryEvent,
+      fields: jobHistory.HISTORY_FIELDS,
     });
-    const { surroundings } = collected;
+    const { logContext } = collected;
     const isListed = (it: lossReport.Loss): boolean => input.flags.all === true || it.isLoss;
-    const builder = lossReport.createReportBuilder(surroundings, isListed, MAX_LISTED);
+    const builder = lossReport.createReportBuilder(logContext, isListed, MAX_LISTED);
     for (const { jobId, events } of collected.jobs()) {
-      builder.add(jobHistory.foldHistory(jobId, events, surroundings));
+      builder.add(jobHistory.buildHistory(jobId, events, logContext));
     }
     const report = builder.report();
     const skipped = collected.skipped();
-    const { leaderless } = surroundings;
+    const { leaderless } = logContext;
     const leaderlessMs = leaderless.reduce((sum, it) => sum + it.untilMs - it.fromMs, 0);
     return {
       value: { ...report, leaderlessMs, skipped },
       lines: [
         ...textTable.formatTable(lossTable(report.jobs)),
-        ...(report.unlisted === 0 ? [] : [`and ${report.unlisted} jobs more, in the sums only`]),
+        ...(report.unlisted === 0
+          ? []
+          : [`and ${report.unlisted} more jobs, included in the sums only`]),
         '',
         ...textTable.formatTable(sumTable(report.sums)),
         '',
         ...textTable.formatTable(thrownAwayTable(report.thrownAway)),
-        `nobody led for ${seconds(leaderlessMs)} s`,
-        skippedLine(skipped),
+        `no leader for ${seconds(leaderlessMs)} s`,
+        skippedText(skipped),
       ],
     };
   },
--- a/src/cli/logs/eventSpool.ts
+++ b/src/cli/logs/eventSpool.ts
@@ -1,47 +1,47 @@
 /**
- * Keeps the events of many jobs compressed, until the log's end, and gives them back job by job: lines stand in
- * any order, so no job is known to be over before.
+ * Stores the events of many jobs in compressed blocks until the end of the log and returns them job by job. Log
+ * lines come in any order, so no job is known to be complete before the end.
  */
 import * as zlib from 'node:zlib';
 
 import type * as logLines from './logLines.js';
 import * as ownText from './ownText.js';
 
-/** Jobs are spread over so many parts, of which one at a time is read again. */
-const PARTS = 256;
+/** Jobs are hashed into this many partitions; only one partition is decompressed at a time. */
+const PARTITIONS = 256;
 
-/** Enough for the compression to find what the lines of a part share, little enough to hold once for each part. */
+/** Large enough to compress repeated content well, small enough to hold one open block for each partition. */
 const BLOCK_BYTES = 32_768;
 
-/** The least work: the lines of a part are alike enough. */
+/** The fastest level is sufficient, since the lines of a partition are similar. */
 const COMPRESSION = { level: 1 };
 
 const TIME_RADIX = 36;
 
-/** What an event holds beside its fields, or nobody asks for. */
-const LEFT_OUT: ReadonlySet<string> = new Set(['at', 'event', 'role', 'node', 'level']);
+/** Fields that an event holds separately or that no command reads. */
+const OMITTED_FIELDS: ReadonlySet<string> = new Set(['at', 'event', 'role', 'node', 'level']);
 
-/** What is kept. */
+/** Which events and fields a spool stores. */
 export interface SpoolOptions {
-  /** Events of one job: those that are added first. */
+  /** Maximum number of events of one job; the first ones added are kept. */
   readonly maxJobEvents: number;
-  /** What these are long altogether. */
+  /** Maximum total length of the encoded events of one job. */
   readonly maxJobCharacters: number;
-  /** Fields by name; all unless given. */
+  /** Names of the fields to store; all by default. */
   readonly fields?: ReadonlySet<string>;
 }
 
-/** Events by a hash of their jobs. */
-interface Part {
+/** Events of the jobs whose ids have the same hash. */
+interface Partition {
   readonly blocks: Buffer[];
-  /** The block that is being written; a text that grows would be held in pieces many times as large. */
+  /** The block being written: a buffer, since a string built by appending takes several times the memory. */
   open: Buffer | undefined;
   openBytes: number;
   lastJobId: string;
   lastAtMs: number;
 }
 
-const createPart = (): Part => ({
+const createPartition = (): Partition => ({
   blocks: [],
   open: undefined,
   openBytes: 0,
@@ -49,23 +49,23 @@
   lastAtMs: 0,
 });
 
-/** A value that the columns can't hold as it is. */
-// eslint-disable-next-line no-control-regex -- tabs and ends of lines part the columns and events
-const AWKWARD = /^["~]|[\u0000-\u001f]/;
+/** Matches a value that needs escaping in a column. */
+// eslint-disable-next-line no-control-regex -- tabs separate columns and line feeds separate events
+const SPECIAL = /^["~]|[\u0000-\u001f]/;
 
-const encodeText = (text: string): string => (AWKWARD.test(text) ? JSON.stringify(text) : text);
+const encodeText = (text: string): string => (SPECIAL.test(text) ? JSON.stringify(text) : text);
 
 const decodeText = (text: string): string =>
   text.startsWith('"') ? (JSON.parse(text) as string) : text;
 
-/** A job's id stands in most values of its events: `~` stands for it. */
+/** Replaces a leading job id by `~`, since most values of a job's events start with it. */
 const encodeValue = (value: string, jobId: string): string =>
   value.startsWith(jobId) ? `~${encodeText(value.slice(jobId.length))}` : encodeText(value);
 
 const decodeValue = (text: string, jobId: string): string =>
   text.startsWith('~') ? jobId + decodeText(text.slice(1)) : decodeText(text);
 
-/** An event but for its job and its time, as columns parted by tabs. */
+/** Encodes an event without its job and time as columns separated by tabs. */
 const encode = (
   jobId: string,
   { event, role, node, fields }: logLines.LogEvent,
@@ -73,8 +73,8 @@
 ): string => {
   let text = [event, role, node].map(encodeText).join('\t');
   for (const [name, value] of fields) {
-    const isKept = names?.has(name) ?? !LEFT_OUT.has(name);
-    if (isKept) text += `\t${name}=${encodeValue(value, jobId)}`;
+    const isStored = names?.has(name) ?? !OMITTED_FIELDS.has(name);
+    if (isStored) text += `\t${name}=${encodeValue(value, jobId)}`;
   }
   return text;
 };
@@ -95,40 +95,45 @@
   };
 };
 
-// A copy: what zlib gives stands in a larger buffer.
+// Copied, since the result of zlib is a view of a larger buffer.
 const compress = (block: Uint8Array): Buffer =>
   Buffer.from(zlib.deflateRawSync(block, COMPRESSION));
 
-const seal = (part: Part): void => {
-  if (part.openBytes > 0 && part.open !== undefined) {
-    part.blocks.push(compress(part.open.subarray(0, part.openBytes)));
+const seal = (partition: Partition): void => {
+  if (partition.openBytes > 0 && partition.open !== undefined) {
+    partition.blocks.push(compress(partition.open.subarray(0, partition.openBytes)));
   }
-  part.openBytes = 0;
-  part.lastJobId = '';
-  part.lastAtMs = 0;
+  partition.openBytes = 0;
+  partition.lastJobId = '';
+  partition.lastAtMs = 0;
 };
 
-/** Job and time stand before an event: nothing for the job of the event before, the time as what it is later. */
-const toLine = ({ lastJobId, lastAtMs }: Part, jobId: string, atMs: number, text: string): string =>
+/** Prefixes an event with its job (empty if unchanged) and its time (as the difference to the previous event). */
+const toLine = (
+  { lastJobId, lastAtMs }: Partition,
+  jobId: string,
+  atMs: number,
+  text: string,
+): string =>
   `${jobId === lastJobId ? '' : encodeText(jobId)}\t${(atMs - lastAtMs).toString(TIME_RADIX)}\t${text}\n`;
 
-const append = (part: Part, jobId: string, atMs: number, text: string): void => {
-  let line = toLine(part, jobId, atMs, text);
-  if (part.openBytes + Buffer.byteLength(line) > BLOCK_BYTES) {
-    seal(part);
-    line = toLine(part, jobId, atMs, text);
+const append = (partition: Partition, jobId: string, atMs: number, text: string): void => {
+  let line = toLine(partition, jobId, atMs, text);
+  if (partition.openBytes + Buffer.byteLength(line) > BLOCK_BYTES) {
+    seal(partition);
+    line = toLine(partition, jobId, atMs, text);
   }
   if (Buffer.byteLength(line) > BLOCK_BYTES) {
-    part.blocks.push(compress(Buffer.from(line)));
+    partition.blocks.push(compress(Buffer.from(line)));
     return;
   }
-  part.open ??= Buffer.alloc(BLOCK_BYTES);
-  part.openBytes += part.open.write(line, part.openBytes);
-  part.lastJobId = jobId;
-  part.lastAtMs = atMs;
+  partition.open ??= Buffer.alloc(BLOCK_BYTES);
+  partition.openBytes += partition.open.write(line, partition.openBytes);
+  partition.lastJobId = jobId;
+  partition.lastAtMs = atMs;
 };
 
-/** Gives the events of a block, as they were appended. */
+/** Passes on the events of a block in the order in which they were appended. */
 const readBlock = (
   block: Buffer,
   onEvent: (jobId: string, atMs: number, text: string) => void,
@@ -138,7 +143,7 @@
   for (const line of zlib.inflateRawSync(block).toString('utf8').split('\n')) {
     const timeFrom = line.indexOf('\t') + 1;
     const textFrom = line.indexOf('\t', timeFrom) + 1;
-    if (timeFrom > 1) jobId = ownText.ownText(decodeText(line.slice(0, timeFrom - 1)));
+    if (timeFrom > 1) jobId = ownText.copySubstring(decodeText(line.slice(0, timeFrom - 1)));
     if (textFrom > 0) {
       atMs += parseInt(line.slice(timeFrom, textFrom - 1), TIME_RADIX);
       onEvent(jobId, atMs, line.slice(textFrom));
@@ -146,16 +151,16 @@
   }
 };
 
-const partIndex = (jobId: string): number => {
+const partitionIndex = (jobId: string): number => {
   let hash = 0;
   for (let index = 0; index < jobId.length; index += 1) {
     hash = (Math.imul(hash, 31) + jobId.charCodeAt(index)) % 2 ** 31;
   }
-  return Math.abs(hash) % PARTS;
+  return Math.abs(hash) % PARTITIONS;
 };
 
-/** One job's events as they are kept, each behind its time. */
-interface KeptEvents {
+/** The encoded events of one job, with their times. */
+interface StoredEvents {
   characters: number;
   readonly texts: string[];
   readonly timesMs: number[];
@@ -163,7 +168,7 @@
 
 const eventsInOrder = function* eventsInOrder(
   jobId: string,
-  { texts, timesMs }: KeptEvents,
+  { texts, timesMs }: StoredEvents,
 ): Generator<logLines.LogEvent> {
   const order = timesMs.map((_, index) => index);
   order.sort((a, b) => (timesMs[a] ?? 0) - (timesMs[b] ?? 0));
@@ -173,21 +178,21 @@
 /** The events of a job. */
 export interface JobEvents {
   readonly jobId: string;
-  /** In the order of time, once. */
+  /** Sorted by time; can be iterated once. */
   readonly events: Iterable<logLines.LogEvent>;
 }
 
-/** Holds events until the end of the log. */
+/** Stores events until the end of the log. */
 export interface EventSpool {
   readonly add: (jobId: string, event: logLines.LogEvent) => void;
-  /** Job by job, in no order. */
+  /** The jobs in no particular order. */
   readonly jobs: () => Iterable<JobEvents>;
-  /** Events beyond what is kept of one job; known when all jobs were read. */
+  /** Number of events dropped by the limits per job; complete only after all jobs were read. */
   readonly beyond: () => number;
 }
 
 /**
- * @param options - what is kept
+ * @param options - limits per job and stored fields
  * @returns an empty spool
  */
 export const createEventSpool = ({
@@ -195,33 +200,33 @@
   maxJobCharacters,
   fields,
 }: SpoolOptions): EventSpool => {
-  const parts = Array.from({ length: PARTS }, createPart);
+  const partitions = Array.from({ length: PARTITIONS }, createPartition);
   let beyond = 0;
-  const readPart = (part: Part): Map<string, KeptEvents> => {
-    const jobs = new Map<string, KeptEvents>();
-    seal(part);
-    const keep = (jobId: string, atMs: number, text: string): void => {
-      const kept = jobs.get(jobId) ?? { characters: 0, texts: [], timesMs: [] };
-      jobs.set(jobId, kept);
-      kept.characters += text.length;
-      if (kept.texts.length < maxJobEvents && kept.characters <= maxJobCharacters) {
-        kept.texts.push(text);
-        kept.timesMs.push(atMs);
+  const readPartition = (partition: Partition): Map<string, StoredEvents> => {
+    const jobs = new Map<string, StoredEvents>();
+    seal(partition);
+    const store = (jobId: string, atMs: number, text: string): void => {
+      const stored = jobs.get(jobId) ?? { characters: 0, texts: [], timesMs: [] };
+      jobs.set(jobId, stored);
+      stored.characters += text.length;
+      if (stored.texts.length < maxJobEvents && stored.characters <= maxJobCharacters) {
+        stored.texts.push(text);
+        stored.timesMs.push(atMs);
       } else beyond += 1;
     };
-    part.blocks.forEach((block) => readBlock(block, keep));
+    partition.blocks.forEach((block) => readBlock(block, store));
     return jobs;
   };
   return {
     add: (jobId, event) => {
-      const part = parts[partIndex(jobId)];
-      if (part !== undefined) append(part, jobId, event.atMs, encode(jobId, event, fields));
+      const target = partitions[partitionIndex(jobId)];
+      if (target !== undefined) append(target, jobId, event.atMs, encode(jobId, event, fields));
     },
     jobs: function* readJobs() {
       beyond = 0;
-      for (const part of parts) {
-        for (const [jobId, kept] of readPart(part)) {
-          yield { jobId, events: eventsInOrder(jobId, kept) };
+      for (const partition of partitions) {
+        for (const [jobId, stored] of readPartition(partition)) {
+          yield { jobId, events: eventsInOrder(jobId, stored) };
         }
       }
     },
--- a/src/cli/logs/jobHistory.ts
+++ b/src/cli/logs/jobHistory.ts
@@ -1,11 +1,11 @@
 /**
- * What the logs say of each job's life: when it was accepted and learnt, each run of its groups, each
- * reason to wait, its end. A group is what starts and ends together: a gang, or one task.
+ * The history of each job as logged: when it was accepted and received by the leader, each run of its
+ * groups, each wait reason, its end. A group starts and ends together: a gang or a single task.
  */
 import type * as leaderTerms from './leaderTerms.js';
 import type * as logLines from './logLines.js';
 
-/** A reason why a group was not started, from the moment at which it was told. */
+/** A reason why a group was not started, valid from the time at which it was logged. */
 export interface WaitReason {
   readonly atMs: number;
   readonly reason: string;
@@ -14,33 +14,33 @@
 /** One run of a group. */
 export interface GroupRun {
   readonly run: number;
-  /** Tasks away from their data or their rack. */
-  readonly awayTasks: number;
+  /** Number of tasks that run remote from their data or outside their rack. */
+  readonly remoteTasks: number;
   readonly placedAtMs: number;
-  /** Reasons told before it was placed. */
+  /** Wait reasons logged before it was placed. */
   readonly waits: readonly WaitReason[];
-  /** When the last member was taken by its worker. */
+  /** When the worker of the last member accepted it. */
   startedAtMs: number | undefined;
   stop: { readonly atMs: number; readonly cause: string } | undefined;
-  /** When the worker's agent saw the end. */
+  /** When the worker's agent first listed the end. */
   listedAtMs: number | undefined;
   endedAtMs: number | undefined;
-  /** How it ended, as the leader took note of it. */
+  /** How it ended, as recorded by the leader. */
   how: string | undefined;
-  /** Core-seconds that a run cost which was not done and saved nothing. */
-  thrownAwayCoreSeconds: number;
+  /** Core-seconds of a run that neither finished nor wrote a checkpoint. */
+  wastedCoreSeconds: number;
 }
 
-/** A group with its runs in their order. */
+/** A group with its runs in order. */
 export interface GroupHistory {
   readonly group: string;
   readonly step: number;
   readonly runs: GroupRun[];
-  /** Reasons told since its last run was placed. */
+  /** Wait reasons logged since its last run was placed. */
   openWaits: WaitReason[];
 }
 
-/** How a job ended, by the leader. */
+/** How a job ended, as recorded by the leader. */
 export interface JobEnd {
   readonly atMs: number;
   readonly state: string;
@@ -49,22 +49,22 @@
   readonly objectiveMs: number;
 }
 
-/** A job's life. */
+/** The logged history of a job. */
 export interface JobHistory {
   readonly jobId: string;
   queue: string;
   customer: string;
   acceptedAtMs: number | undefined;
-  learntAtMs: number | undefined;
+  receivedAtMs: number | undefined;
   cancelledAtMs: number | undefined;
   readonly groups: Map<string, GroupHistory>;
   end: JobEnd | undefined;
-  /** Time of the first line that names it. */
+  /** Time of the first line that names the job. */
   readonly firstAtMs: number;
 }
 
-/** What the logs tell besides a job's life. */
-export interface Surroundings extends leaderTerms.Terms {
+/** What is known from the logs beyond the jobs: leader terms and the end of the log. */
+export interface LogContext extends leaderTerms.Terms {
   /** Time of the last line. */
   readonly lastAtMs: number;
 }
@@ -79,7 +79,7 @@
 
 /**
  * @param event - one event
- * @returns the job that it names, by itself or by the name of a task or a group
+ * @returns the id of the job that it names directly or through a task or group name
  */
 export const jobIdOf = (event: logLines.LogEvent): string | undefined => {
   const { fields } = event;
@@ -93,7 +93,7 @@
   queue: '',
   customer: '',
   acceptedAtMs: undefined,
-  learntAtMs: undefined,
+  receivedAtMs: undefined,
   cancelledAtMs: undefined,
   groups: new Map(),
   end: undefined,
@@ -109,7 +109,7 @@
   return created;
 };
 
-/** A gang's lines name its tasks; the gang itself is named without their number. */
+/** Finds the run of an event. Lines about a gang name its tasks; the gang's name lacks the task index. */
 const runOf = (job: JobHistory, event: logLines.LogEvent): GroupRun | undefined => {
   const name = event.fields.get('group') ?? textOf(event, 'task');
   const group = job.groups.get(name) ?? job.groups.get(nameParts(name).slice(0, 3).join('.'));
@@ -117,11 +117,11 @@
   return group?.runs.find((it) => it.run === run);
 };
 
-const notePlaced = (job: JobHistory, event: logLines.LogEvent): void => {
+const recordPlaced = (job: JobHistory, event: logLines.LogEvent): void => {
   const group = groupOf(job, textOf(event, 'group'));
   group.runs.push({
     run: numberOf(event, 'run'),
-    awayTasks: numberOf(event, 'away'),
+    remoteTasks: numberOf(event, 'away'),
     placedAtMs: event.atMs,
     waits: group.openWaits,
     startedAtMs: undefined,
@@ -129,12 +129,12 @@
     listedAtMs: undefined,
     endedAtMs: undefined,
     how: undefined,
-    thrownAwayCoreSeconds: 0,
+    wastedCoreSeconds: 0,
   });
   group.openWaits = [];
 };
 
-const noteEnd = (job: JobHistory, event: logLines.LogEvent): void => {
+const recordEnd = (job: JobHistory, event: logLines.LogEvent): void => {
   job.queue = textOf(event, 'queue');
   job.customer = textOf(event, 'customer');
   job.end = {
@@ -146,16 +146,16 @@
   };
 };
 
-type Note = (job: JobHistory, event: logLines.LogEvent) => void;
+type EventHandler = (job: JobHistory, event: logLines.LogEvent) => void;
 
-const NOTES: Readonly<Record<string, Note>> = {
+const HANDLERS: Readonly<Record<string, EventHandler>> = {
   jobAccepted: (job, event) => {
     job.acceptedAtMs ??= event.atMs;
     job.queue = textOf(event, 'queue');
     job.customer = textOf(event, 'customer');
   },
   jobLearnt: (job, event) => {
-    job.learntAtMs ??= event.atMs;
+    job.receivedAtMs ??= event.atMs;
   },
   jobCancelled: (job, event) => {
     job.cancelledAtMs ??= event.atMs;
@@ -164,7 +164,7 @@
     const group = groupOf(job, textOf(event, 'group'));
     group.openWaits.push({ atMs: event.atMs, reason: textOf(event, 'reason') });
   },
-  placed: notePlaced,
+  placed: recordPlaced,
   startGiven: (job, event) => {
     const run = runOf(job, event);
     if (run !== undefined && textOf(event, 'outcome') === 'accepted') run.startedAtMs = event.atMs;
@@ -182,21 +182,22 @@
     if (run === undefined) return;
     run.endedAtMs ??= event.atMs;
     run.how ??= textOf(event, 'how');
-    const isKept = run.how === 'done' || textOf(event, 'checkpointing') === 'true';
+    const isUseful = run.how === 'done' || textOf(event, 'checkpointing') === 'true';
     const coreMs = numberOf(event, 'heldMs') * numberOf(event, 'cores');
-    if (!isKept && !Number.isNaN(coreMs)) run.thrownAwayCoreSeconds = coreMs / 1000;
+    if (!isUseful && !Number.isNaN(coreMs)) run.wastedCoreSeconds = coreMs / 1000;
   },
-  jobEnded: noteEnd,
+  jobEnded: recordEnd,
 };
 
 /**
  * @param event - one event
- * @returns whether a history takes note of it
+ * @returns whether it contributes to a job's history
  */
-export const isNoted = ({ event }: logLines.LogEvent): boolean => Object.hasOwn(NOTES, event);
+export const isHistoryEvent = ({ event }: logLines.LogEvent): boolean =>
+  Object.hasOwn(HANDLERS, event);
 
-/** The fields that a history reads. */
-export const NOTED_FIELDS: ReadonlySet<string> = new Set([
+/** The event fields that a history is built from. */
+export const HISTORY_FIELDS: ReadonlySet<string> = new Set([
   'job',
   'task',
   'group',
@@ -219,11 +220,11 @@
 
 /**
  * @param jobId - a job
- * @param events - events that name it, in the order of time
- * @param terms - who led when
- * @returns its life
+ * @param events - events that name it, sorted by time
+ * @param terms - the leader terms
+ * @returns its history
  */
-export const foldHistory = (
+export const buildHistory = (
   jobId: string,
   events: Iterable<logLines.LogEvent>,
   { isOutdated }: leaderTerms.Terms,
@@ -231,7 +232,7 @@
   let job: JobHistory | undefined;
   for (const event of events) {
     job ??= createHistory(jobId, event.atMs);
-    if (isNoted(event) && !isOutdated(event)) NOTES[event.event]?.(job, event);
+    if (isHistoryEvent(event) && !isOutdated(event)) HANDLERS[event.event]?.(job, event);
   }
   return job ?? createHistory(jobId, 0);
 };
--- a/src/cli/logs/leaderTerms.ts
+++ b/src/cli/logs/leaderTerms.ts
@@ -1,6 +1,6 @@
 /**
- * Who led when, by the lines of the schedulers in any order: a term ends with its own word, or with its
- * process's last line before the next.
+ * Derives the leader terms from the schedulers' log lines in any order. A term ends with the line that says so
+ * or, without one, with the last line of its process before the next term.
  */
 import type * as logLines from './logLines.js';
 import * as ownText from './ownText.js';
@@ -11,18 +11,18 @@
   readonly untilMs: number;
 }
 
-/** Who led when. */
+/** The leader terms found in the logs. */
 export interface Terms {
-  /** Times at which nobody led. */
+  /** Spans of time without a leader. */
   readonly leaderless: readonly Span[];
-  /** One that leads no more, and has not heard of it, goes on telling what it believes. */
+  /** Whether another scheduler led: a replaced leader that has not noticed it goes on logging stale state. */
   readonly isOutdated: (event: logLines.LogEvent) => boolean;
 }
 
 const CHUNK_LINES = 16_384;
 const MAX_OFFSET_MS = 2 ** 32 - 1;
 
-/** Times of lines that lie within 49 days. */
+/** Times of lines that lie within 49 days, the range of an offset of 32 bits. */
 interface TimeChunk {
   readonly baseMs: number;
   readonly offsetsMs: Uint32Array;
@@ -32,7 +32,7 @@
 }
 
 const createChunk = (atMs: number): TimeChunk => ({
-  // Lines stand in any order: half of the reach lies before the first.
+  // Lines come in any order, so half of the range lies before the first one.
   baseMs: atMs - Math.floor(MAX_OFFSET_MS / 2),
   offsetsMs: new Uint32Array(CHUNK_LINES),
   count: 0,
@@ -41,8 +41,8 @@
 });
 
 /**
- * The times of one scheduler's lines. Which of them was the last of a term is known at the end of the log only,
- * so each is kept, in four bytes.
+ * Stores the times of one scheduler's lines, in four bytes each: which line was the last of a term is known
+ * only at the end of the log.
  */
 const createLineTimes = () => {
   const chunks: TimeChunk[] = [];
@@ -68,7 +68,7 @@
       chunk.minMs = Math.min(chunk.minMs, atMs);
       chunk.maxMs = Math.max(chunk.maxMs, atMs);
     },
-    /** The last line until a time, or -Infinity. */
+    /** Time of the last line up to a given time, or -Infinity. */
     lastMs: (untilMs: number): number => {
       let lastMs = -Infinity;
       for (const chunk of chunks) {
@@ -82,7 +82,7 @@
 
 type LineTimes = ReturnType<typeof createLineTimes>;
 
-/** Lines that begin or end a term. */
+/** Events that begin or end a term. */
 const TERM_EVENTS: ReadonlySet<string> = new Set([
   'loaded',
   'started',
@@ -90,46 +90,46 @@
   'stopping',
 ]);
 
-interface Mark {
+interface TermEvent {
   readonly atMs: number;
   readonly event: string;
   readonly node: string;
 }
 
 const leaderlessOf = (
-  marks: readonly Mark[],
+  termEvents: readonly TermEvent[],
   timesOf: (node: string) => LineTimes | undefined,
 ): Span[] => {
   const leaderless: Span[] = [];
   let leader = '';
   let hasEnded = true;
   let vacantFromMs: number | undefined;
-  let lastMarkAtMs = -Infinity;
-  const lastLineAtMs = ({ atMs, event }: Mark): number => {
-    // What stands in the millisecond of a process's beginning was written after it.
+  let lastTermEventAtMs = -Infinity;
+  const lastLineAtMs = ({ atMs, event }: TermEvent): number => {
+    // Lines in the millisecond of a process start were written after the start.
     const untilMs = event === 'started' ? atMs - 1 : atMs;
-    return Math.max(lastMarkAtMs, timesOf(leader)?.lastMs(untilMs) ?? -Infinity);
+    return Math.max(lastTermEventAtMs, timesOf(leader)?.lastMs(untilMs) ?? -Infinity);
   };
-  for (const mark of marks) {
-    const { atMs, event, node } = mark;
+  for (const termEvent of termEvents) {
+    const { atMs, event, node } = termEvent;
     if (event === 'loaded') {
-      const fromMs = vacantFromMs ?? (hasEnded ? atMs : lastLineAtMs(mark));
+      const fromMs = vacantFromMs ?? (hasEnded ? atMs : lastLineAtMs(termEvent));
       if (atMs > fromMs) leaderless.push({ fromMs, untilMs: atMs });
       leader = node;
       hasEnded = false;
       vacantFromMs = undefined;
-      lastMarkAtMs = atMs;
+      lastTermEventAtMs = atMs;
     } else if (node === leader && !hasEnded) {
       hasEnded = true;
-      vacantFromMs = event === 'started' ? lastLineAtMs(mark) : atMs;
+      vacantFromMs = event === 'started' ? lastLineAtMs(termEvent) : atMs;
     }
   }
   return leaderless;
 };
 
-/** Who had loaded last at a time; nobody before the first. */
-const createLeaderAt = (marks: readonly Mark[]): ((atMs: number) => string) => {
-  const loads = marks.filter((it) => it.event === 'loaded');
+/** Finds the scheduler that had loaded last at a given time; an empty name before the first. */
+const createLeaderAt = (termEvents: readonly TermEvent[]): ((atMs: number) => string) => {
+  const loads = termEvents.filter((it) => it.event === 'loaded');
   return (atMs) => {
     let low = 0;
     let high = loads.length;
@@ -142,35 +142,39 @@
   };
 };
 
-/** Takes the events of a log in any order. */
-export interface TermReader {
+/** Collects the events of a log in any order and derives the leader terms. */
+export interface TermCollector {
   readonly take: (event: logLines.LogEvent) => void;
   readonly terms: () => Terms;
 }
 
 /**
- * @returns a reader that has taken nothing yet
+ * @returns a collector without events
  */
-export const createTermReader = (): TermReader => {
-  const marks: Mark[] = [];
+export const createTermCollector = (): TermCollector => {
+  const termEvents: TermEvent[] = [];
   const times = new Map<string, LineTimes>();
   return {
     take: ({ atMs, event, role, node }) => {
       if (role !== 'scheduler') return;
       if (TERM_EVENTS.has(event)) {
-        marks.push({ atMs, event: ownText.ownText(event), node: ownText.ownText(node) });
+        termEvents.push({
+          atMs,
+          event: ownText.copySubstring(event),
+          node: ownText.copySubstring(node),
+        });
         return;
       }
       const known = times.get(node);
       const lines = known ?? createLineTimes();
-      if (known === undefined) times.set(ownText.ownText(node), lines);
+      if (known === undefined) times.set(ownText.copySubstring(node), lines);
       lines.add(atMs);
     },
     terms: () => {
-      marks.sort((a, b) => a.atMs - b.atMs);
-      const leaderAt = createLeaderAt(marks);
+      termEvents.sort((a, b) => a.atMs - b.atMs);
+      const leaderAt = createLeaderAt(termEvents);
       return {
-        leaderless: leaderlessOf(marks, (node) => times.get(node)),
+        leaderless: leaderlessOf(termEvents, (node) => times.get(node)),
         isOutdated: ({ role, node, atMs }) => {
           if (role !== 'scheduler') return false;
           const leader = leaderAt(atMs);
--- a/src/cli/logs/logCollector.ts
+++ b/src/cli/logs/logCollector.ts
@@ -1,55 +1,55 @@
 /**
- * Takes collected logs line by line, in any order, and gives the jobs' events back in the order of time. It keeps
- * compressed what the question needs, and of the rest counts and the times of the schedulers' lines.
+ * Collects log lines in any order and returns the jobs' events sorted by time. The events that a query needs are
+ * stored compressed; of the other lines it keeps counts and the times of the schedulers' lines.
  */
 import * as eventSpool from './eventSpool.js';
 import * as jobHistory from './jobHistory.js';
 import * as leaderTerms from './leaderTerms.js';
 import * as logLines from './logLines.js';
 
-/** What a question needs of the logs. */
-export interface Question {
-  /** Whether an event is kept. */
+/** Which events and fields a command needs. */
+export interface LogQuery {
+  /** Whether an event is stored. */
   readonly needs: (event: logLines.LogEvent, jobId: string) => boolean;
-  /** Fields by name; all unless given. */
+  /** Names of the fields to store; all by default. */
   readonly fields?: ReadonlySet<string>;
 }
 
-/** Lines that were passed over, by reason. */
+/** Number of skipped lines by reason. */
 export type Skipped = Readonly<Record<logLines.SkipReason, number>>;
 
-/** What was read. */
+/** The content of the collected logs. */
 export interface Collected {
-  readonly surroundings: jobHistory.Surroundings;
-  /** The jobs of the events that were kept, in no order. */
+  readonly logContext: jobHistory.LogContext;
+  /** The jobs of the stored events, in no particular order. */
   readonly jobs: () => Iterable<eventSpool.JobEvents>;
-  /** Known when all jobs were read. */
+  /** Complete only after all jobs were read. */
   readonly skipped: () => Skipped;
 }
 
-/** Takes the lines of collected logs, of any number of processes in any order. */
+/** Accepts log lines of any number of processes in any order. */
 export interface LogCollector {
-  readonly take: (line: string, isWhole?: boolean) => void;
-  /** What was read, where there was a line of ours. */
+  readonly take: (line: string, isComplete?: boolean) => void;
+  /** The content, or undefined without a log line of an auburnlift process. */
   readonly collected: () => Collected | undefined;
 }
 
-/** What is kept of one job, whose events are held at once. */
+/** Limits for one job, all of whose events are in memory together. */
 export interface JobLimits {
   readonly maxJobEvents: number;
   readonly maxJobCharacters: number;
 }
 
-/** Twice what a job of 9,300 tasks writes. */
+/** Twice what a job of 9,300 tasks logs. */
 const JOB_LIMITS: JobLimits = { maxJobEvents: 200_000, maxJobCharacters: 67_108_864 };
 
 /**
- * @param question - what is needed of the logs
- * @param limits - what is kept of one job: the events that are read first
- * @returns a collector that has taken nothing yet
+ * @param query - the events and fields to store
+ * @param limits - limits per job; the events read first are kept
+ * @returns an empty collector
  */
 export const createLogCollector = (
-  { needs, fields }: Question,
+  { needs, fields }: LogQuery,
   limits = JOB_LIMITS,
 ): LogCollector => {
   const skipped = { foreign: 0, cut: 0, tooLong: 0, beyond: 0 };
@@ -57,18 +57,18 @@
     ...limits,
     ...(fields === undefined ? {} : { fields }),
   });
-  const termReader = leaderTerms.createTermReader();
+  const termCollector = leaderTerms.createTermCollector();
   let lastAtMs = -Infinity;
   const takeEvent = (event: logLines.LogEvent): void => {
     lastAtMs = Math.max(lastAtMs, event.atMs);
-    termReader.take(event);
+    termCollector.take(event);
     const jobId = jobHistory.jobIdOf(event);
     if (jobId !== undefined && needs(event, jobId)) spool.add(jobId, event);
   };
   return {
-    take: (line, isWhole) => {
+    take: (line, isComplete) => {
       if (line.trim() === '') return;
-      const parsed = logLines.parseLine(line, isWhole);
+      const parsed = logLines.parseLine(line, isComplete);
       if (typeof parsed === 'string') skipped[parsed] += 1;
       else takeEvent(parsed);
     },
@@ -76,7 +76,7 @@
       lastAtMs === -Infinity
         ? undefined
         : {
-            surroundings: { ...termReader.terms(), lastAtMs },
+            logContext: { ...termCollector.terms(), lastAtMs },
             jobs: spool.jobs,
             skipped: () => ({ ...skipped, beyond: spool.beyond() }),
           },
--- a/src/cli/logs/logLines.ts
+++ b/src/cli/logs/logLines.ts
@@ -1,9 +1,9 @@
 /**
- * Reads the collected logs of the processes: `key=value` pairs, one event a line. Lines of other programs
- * stand around them, and a line may have anything before its first pair.
+ * Parses the processes' log lines: one event per line as `key=value` pairs. Lines of other programs may be
+ * mixed in, and any text may precede the first pair of a line.
  */
 
-/** One event of a process. */
+/** One logged event of a process. */
 export interface LogEvent {
   /** Unix milliseconds by the clock of the machine that wrote it. */
   readonly atMs: number;
@@ -13,27 +13,27 @@
   readonly fields: ReadonlyMap<string, string>;
 }
 
-/** Why a line is passed over. */
+/** Why a line is skipped. */
 export const SkipReason = {
-  /** Another program's. */
+  /** Written by another program. */
   foreign: 'foreign',
-  /** One of ours that ends in the middle. */
+  /** An auburnlift line that is truncated or damaged. */
   cut: 'cut',
   tooLong: 'tooLong',
-  /** Beyond what is kept of one job. */
+  /** Exceeds the limits for one job. */
   beyond: 'beyond',
 } as const;
 
 /** One of the values of {@link SkipReason}. */
 export type SkipReason = (typeof SkipReason)[keyof typeof SkipReason];
 
-/** Above every line that the processes write. */
+/** More than any line that the processes write. */
 export const MAX_LINE_CHARACTERS = 16_384;
 
-/** Every line of ours begins with its time and its event. */
-const BEGINNING = /(?:^|\s)(at=\S+ event=)/;
+/** Every line of a process starts with its time and its event. */
+const LINE_START = /(?:^|\s)(at=\S+ event=)/;
 
-/** A pair with a plain or a quoted value, then the end or a blank. */
+/** A pair with a plain or quoted value, followed by white space or the end. */
 const PAIR = /([A-Za-z][A-Za-z0-9_]*)=("(?:[^"\\]|\\.)*"|[^\s"=]+)(?:\s+|$)/y;
 
 const unquote = (text: string): string | undefined => {
@@ -41,7 +41,7 @@
   try {
     return JSON.parse(text) as string;
   } catch {
-    // An escape that JSON does not know: not one of ours, or damaged.
+    // Not a JSON escape: the line is damaged or from another program.
     return undefined;
   }
 };
@@ -59,22 +59,22 @@
 };
 
 /**
- * @param line - one line of a log
- * @param isWhole - whether its end was read: the last value of a line that was cut reads like a whole one
- * @returns its event, or why it is passed over
+ * @param line - one log line
+ * @param isComplete - whether its end was read; a truncated last value can't be told from a complete one
+ * @returns its event, or why it is skipped
  */
-export const parseLine = (line: string, isWhole = true): LogEvent | SkipReason => {
+export const parseLine = (line: string, isComplete = true): LogEvent | SkipReason => {
   if (line.length > MAX_LINE_CHARACTERS) return SkipReason.tooLong;
-  const beginning = BEGINNING.exec(line);
+  const beginning = LINE_START.exec(line);
   if (beginning?.[1] === undefined) return SkipReason.foreign;
-  if (!isWhole) return SkipReason.cut;
+  if (!isComplete) return SkipReason.cut;
   const start = beginning.index + beginning[0].length - beginning[1].length;
   const fields = parsePairs(line.slice(start).trimEnd());
   const atMs = Date.parse(fields?.get('at') ?? '');
   const event = fields?.get('event');
   const role = fields?.get('role');
   const node = fields?.get('node');
-  const isComplete = event !== undefined && role !== undefined && node !== undefined;
-  if (fields === undefined || Number.isNaN(atMs) || !isComplete) return SkipReason.cut;
+  const hasHeader = event !== undefined && role !== undefined && node !== undefined;
+  if (fields === undefined || Number.isNaN(atMs) || !hasHeader) return SkipReason.cut;
   return { atMs, event, role, node, fields };
 };
--- a/src/cli/logs/lossReport.ts
+++ b/src/cli/logs/lossReport.ts
@@ -1,28 +1,28 @@
 /**
- * Which jobs were late or lost, and what their time went to, in sum by cause, kind and customer.
+ * Reports which jobs were late or lost and how their time divides by cause, in total, by queue and by customer.
  */
 import type * as jobHistory from './jobHistory.js';
 import * as ownText from './ownText.js';
 import * as timeSplit from './timeSplit.js';
 
-/** Milliseconds by cause; a cause that took none is absent. */
+/** Milliseconds by cause; causes without time are absent. */
 export type ByCause = Readonly<Partial<Record<timeSplit.Cause, number>>>;
 
-/** One job that was not cancelled. */
+/** The result of one job that was not cancelled. */
 export interface Loss {
   readonly jobId: string;
   readonly queue: string;
   readonly customer: string;
-  /** `inTime`, `late`, `tooLate`, `failed`, or `open` where the logs end before the job. */
+  /** `inTime`, `late`, `tooLate`, `failed`, or `open` if the logs end before the job does. */
   readonly end: string;
   readonly isLoss: boolean;
-  /** Until its end or the last line. */
+  /** Time until its end or the last log line. */
   readonly tookMs: number;
   readonly objectiveMs: number | undefined;
   readonly byCause: ByCause;
 }
 
-/** Jobs of one kind or customer, or all. */
+/** Totals for one queue, one customer or all jobs. */
 export interface Sum {
   readonly of: 'all' | 'queue' | 'customer';
   readonly name: string;
@@ -30,7 +30,7 @@
   readonly inTime: number;
   readonly late: number;
   readonly lost: number;
-  /** Time of those that were late or lost. */
+  /** Time of the late and lost jobs. */
   readonly byCause: ByCause;
 }
 
@@ -40,25 +40,25 @@
 };
 
 /**
- * @param job - a job's life
- * @param surroundings - what the logs tell besides
- * @returns its judgement where it was accepted and not cancelled
+ * @param job - a job's history
+ * @param logContext - leader terms and the end of the log
+ * @returns its result, or undefined if it was not accepted or was cancelled
  */
-export const judge = (
+export const assessJob = (
   job: jobHistory.JobHistory,
-  surroundings: jobHistory.Surroundings,
+  logContext: jobHistory.LogContext,
 ): Loss | undefined => {
   if (job.acceptedAtMs === undefined && job.end === undefined) return undefined;
   if (job.cancelledAtMs !== undefined || job.end?.state === 'cancelled') return undefined;
-  const segments = timeSplit.splitTime(job, surroundings);
+  const segments = timeSplit.splitTime(job, logContext);
   const rounded = [...timeSplit.sumByCause(segments)].map(([cause, ms]) => [cause, Math.round(ms)]);
   const end = endOf(job);
   const tookMs = segments.reduce((sum, it) => sum + it.untilMs - it.fromMs, 0);
   return {
     jobId: job.jobId,
-    queue: ownText.ownText(job.queue),
-    customer: ownText.ownText(job.customer),
-    end: ownText.ownText(end),
+    queue: ownText.copySubstring(job.queue),
+    customer: ownText.copySubstring(job.customer),
+    end: ownText.copySubstring(end),
     isLoss: end !== 'inTime',
     tookMs: Math.round(job.end?.durationMs ?? tookMs),
     objectiveMs: job.end === undefined ? undefined : Math.round(job.end.objectiveMs),
@@ -66,8 +66,8 @@
   };
 };
 
-/** A sum that grows. */
-interface OpenSum extends Sum {
+/** A sum that is being added to. */
+interface MutableSum extends Sum {
   jobs: number;
   inTime: number;
   late: number;
@@ -75,7 +75,7 @@
   readonly byCause: Partial<Record<timeSplit.Cause, number>>;
 }
 
-const createSum = (of: Sum['of'], name: string): OpenSum => ({
+const createSum = (of: Sum['of'], name: string): MutableSum => ({
   of,
   name,
   jobs: 0,
@@ -85,7 +85,7 @@
   byCause: {},
 });
 
-const addTo = (sum: OpenSum, { end, isLoss, byCause }: Loss): void => {
+const addTo = (sum: MutableSum, { end, isLoss, byCause }: Loss): void => {
   sum.jobs += 1;
   if (!isLoss) sum.inTime += 1;
   else if (end === 'late') sum.late += 1;
@@ -96,9 +96,9 @@
   }
 };
 
-/** Work that came to nothing, by what ended it. */
+/** Wasted work by the cause that ended it. */
 export interface ThrownAway {
-  /** The cause of the stop, or how the run ended. */
+  /** Why the run was stopped, or how it ended. */
   readonly cause: string;
   readonly runs: number;
   /** An accelerator counts as eight cores. */
@@ -106,15 +106,15 @@
 }
 
 const causeOfEnd = (run: jobHistory.GroupRun): string =>
-  // The beneficiary's name stands behind the cause.
+  // The cause may be followed by the name of the group that benefits.
   run.stop?.cause.split(' ')[0] ?? run.how ?? 'open';
 
 const addThrownAway = (sums: Map<string, ThrownAway>, job: jobHistory.JobHistory): void => {
   for (const { runs: groupRuns } of job.groups.values()) {
-    for (const run of groupRuns.filter((it) => it.thrownAwayCoreSeconds > 0)) {
+    for (const run of groupRuns.filter((it) => it.wastedCoreSeconds > 0)) {
       const cause = causeOfEnd(run);
       const { runs, coreSeconds } = sums.get(cause) ?? { runs: 0, coreSeconds: 0 };
-      const sum = coreSeconds + run.thrownAwayCoreSeconds;
+      const sum = coreSeconds + run.wastedCoreSeconds;
       sums.set(cause, { cause, runs: runs + 1, coreSeconds: sum });
     }
   }
@@ -126,15 +126,15 @@
   readonly loss: Loss;
 }
 
-const inOrder = (a: Candidate, b: Candidate): number =>
+const compareFirstLine = (a: Candidate, b: Candidate): number =>
   a.firstAtMs - b.firstAtMs || (a.loss.jobId < b.loss.jobId ? -1 : 1);
 
-/** Keeps the first of any number of jobs. */
+/** Keeps the earliest jobs up to a limit. */
 const createListing = (maxListed: number) => {
   let candidates: Candidate[] = [];
   let seen = 0;
   const cut = (): Candidate[] => {
-    candidates = candidates.sort(inOrder).slice(0, maxListed);
+    candidates = candidates.sort(compareFirstLine).slice(0, maxListed);
     return candidates;
   };
   return {
@@ -148,44 +148,44 @@
   };
 };
 
-/** What is told of all jobs. */
+/** The report on all jobs. */
 export interface Report {
-  /** In the order of their first lines. */
+  /** Ordered by the time of their first log line. */
   readonly jobs: readonly Loss[];
-  /** How many more there are than are listed. */
+  /** Number of jobs above the listing limit. */
   readonly unlisted: number;
-  /** All, by queue, by customer. */
+  /** Totals, then by queue, then by customer. */
   readonly sums: readonly Sum[];
-  /** The dearest first. */
+  /** Sorted by cost, highest first. */
   readonly thrownAway: readonly ThrownAway[];
 }
 
-/** Takes the jobs' lives one by one, and keeps a record of those only that it lists. */
+/** Adds up job histories one by one and keeps only the listed jobs in memory. */
 export interface ReportBuilder {
   readonly add: (job: jobHistory.JobHistory) => void;
   readonly report: () => Report;
 }
 
-const byName = (sums: ReadonlyMap<string, OpenSum>): Sum[] =>
+const byName = (sums: ReadonlyMap<string, MutableSum>): Sum[] =>
   [...sums.values()].sort((a, b) => (a.name < b.name ? -1 : 1));
 
 /**
- * @param surroundings - what the logs tell besides
- * @param isListed - which jobs are listed
- * @param maxListed - how many at most: those that came first
- * @returns a builder that has taken nothing yet
+ * @param logContext - leader terms and the end of the log
+ * @param isListed - selects the jobs to list
+ * @param maxListed - maximum number of listed jobs; the earliest are kept
+ * @returns an empty builder
  */
 export const createReportBuilder = (
-  surroundings: jobHistory.Surroundings,
+  logContext: jobHistory.LogContext,
   isListed: (loss: Loss) => boolean,
   maxListed: number,
 ): ReportBuilder => {
   const all = createSum('all', 'all');
-  const queues = new Map<string, OpenSum>();
-  const customers = new Map<string, OpenSum>();
+  const queues = new Map<string, MutableSum>();
+  const customers = new Map<string, MutableSum>();
   const thrownAway = new Map<string, ThrownAway>();
   const listing = createListing(maxListed);
-  const addBy = (of: 'queue' | 'customer', sums: Map<string, OpenSum>, loss: Loss): void => {
+  const addBy = (of: 'queue' | 'customer', sums: Map<string, MutableSum>, loss: Loss): void => {
     const sum = sums.get(loss[of]) ?? createSum(of, loss[of]);
     sums.set(sum.name, sum);
     addTo(sum, loss);
@@ -193,7 +193,7 @@
   return {
     add: (job) => {
       addThrownAway(thrownAway, job);
-      const loss = judge(job, surroundings);
+      const loss = assessJob(job, logContext);
       if (loss === undefined) return;
       addTo(all, loss);
       addBy('queue', queues, loss);
--- a/src/cli/logs/ownText.ts
+++ b/src/cli/logs/ownText.ts
@@ -1,11 +1,11 @@
 /**
- * Texts that are kept from a larger one.
+ * Copies substrings that outlive the text they were taken from.
  */
 
 /**
- * A part of a text keeps the whole in memory: a job's id, some 16 characters, the 32 kB of its block.
+ * A substring keeps its whole source text in memory: a job id of some 16 characters retains a block of 32 kB.
  *
- * @param text - part of a larger text
- * @returns the same text by itself
+ * @param text - substring of a larger text
+ * @returns a copy that does not refer to the larger text
  */
-export const ownText = (text: string): string => Buffer.from(text, 'utf8').toString('utf8');
+export const copySubstring = (text: string): string => Buffer.from(text, 'utf8').toString('utf8');
--- a/src/cli/logs/test/logCollector.test.ts
+++ b/src/cli/logs/test/logCollector.test.ts
@@ -1,5 +1,5 @@
 /**
- * What is kept of collected logs, and in which order it is given back.
+ * Which events of collected logs are stored, and in which order they are returned.
  */
 import * as assert from 'node:assert/strict';
 import * as test from 'node:test';
@@ -15,10 +15,10 @@
 
 const collect = (
   lines: readonly string[],
-  question: logCollector.Question = { needs: () => true },
+  query: logCollector.LogQuery = { needs: () => true },
   limits?: logCollector.JobLimits,
 ): logCollector.Collected => {
-  const collector = logCollector.createLogCollector(question, limits);
+  const collector = logCollector.createLogCollector(query, limits);
   lines.forEach((it) => collector.take(it));
   const collected = collector.collected();
   assert.ok(collected !== undefined);
@@ -29,7 +29,7 @@
   Object.fromEntries([...collected.jobs()].map(({ jobId, events }) => [jobId, [...events]]));
 
 test.describe('logCollector', () => {
-  test.it('orders events by time, counts the rest and takes no notice of empty lines', () => {
+  test.it('sorts events by time, counts other lines and ignores empty ones', () => {
     const [first, later] = [lineOf(1, 'job=a'), lineOf(1000, 'job=a')];
     const collected = collect([later, '', 'foreign', first, `${first} run=`, '']);
     assert.deepEqual(
@@ -37,16 +37,16 @@
       ['2026-05-18T14:33:42.001Z', '2026-05-18T14:33:43.000Z'],
     );
     assert.deepEqual(collected.skipped(), { foreign: 1, cut: 1, tooLong: 0, beyond: 0 });
-    assert.equal(collected.surroundings.lastAtMs, START_MS + 1000);
+    assert.equal(collected.logContext.lastAtMs, START_MS + 1000);
   });
 
-  test.it('knows a log without a line of ours', () => {
+  test.it('detects a log without an auburnlift line', () => {
     const collector = logCollector.createLogCollector({ needs: () => true });
     collector.take('foreign');
     assert.equal(collector.collected(), undefined);
   });
 
-  test.it('keeps the events and fields that the question needs, the same as they were read', () => {
+  test.it('stores the events and fields that the query needs unchanged', () => {
     const reason = 'no "room", 3 µs = ü';
     const lines = [
       lineOf(1, `job=a group=a.0.0 run=2 reason=${JSON.stringify(reason)}`),
@@ -65,7 +65,7 @@
     assert.deepEqual(fieldsOf('b'), { task: 'b.0.0.1' });
   });
 
-  test.it('gives back values that look like its own signs, and one larger than a block', () => {
+  test.it('returns values that look like its encoding, and one larger than a block', () => {
     const values = [
       '',
       '~',
@@ -91,29 +91,32 @@
     }
   });
 
-  test.it('gives back many blocks of many jobs, those of one millisecond as they were read', () => {
-    const jobs = 300;
-    const turns = 40;
-    const lines = Array.from({ length: jobs * turns }, (_, index) =>
-      lineOf(index % 7, `job=job${index % jobs} run=${index}`),
-    );
-    const events = eventsOf(collect(lines));
-    assert.equal(Object.keys(events).length, jobs);
-    for (const its of Object.values(events)) {
-      const keys = its.map(({ atMs, fields }) => [atMs, Number(fields.get('run'))] as const);
-      const sorted = [...keys].sort(([a, runA], [b, runB]) => a - b || runA - runB);
-      assert.equal(keys.length, turns);
-      assert.deepEqual(keys, sorted);
-    }
-  });
+  test.it(
+    'returns many blocks of many jobs, with events of the same millisecond in input order',
+    () => {
+      const jobs = 300;
+      const turns = 40;
+      const lines = Array.from({ length: jobs * turns }, (_, index) =>
+        lineOf(index % 7, `job=job${index % jobs} run=${index}`),
+      );
+      const events = eventsOf(collect(lines));
+      assert.equal(Object.keys(events).length, jobs);
+      for (const its of Object.values(events)) {
+        const keys = its.map(({ atMs, fields }) => [atMs, Number(fields.get('run'))] as const);
+        const sorted = [...keys].sort(([a, runA], [b, runB]) => a - b || runA - runB);
+        assert.equal(keys.length, turns);
+        assert.deepEqual(keys, sorted);
+      }
+    },
+  );
 
   const limits: readonly (readonly [name: string, limits: logCollector.JobLimits])[] = [
     ['lines', { maxJobEvents: 2, maxJobCharacters: 1000 }],
     ['characters', { maxJobEvents: 1000, maxJobCharacters: 90 }],
   ];
   for (const [name, it] of limits) {
-    test.it(`keeps of one job the ${name} that it read first, and counts the rest`, () => {
-      // A log that names one job without end must not be held as a whole.
+    test.it(`limits the ${name} of one job to those read first, and counts the rest`, () => {
+      // A log with an unlimited number of events of one job must not fill the memory.
       const times = [9, 5, 1];
       const lines = [...times.map((atMs) => lineOf(atMs, 'job=a run=1')), lineOf(1, 'job=b')];
       const collected = collect(lines, { needs: () => true }, it);
@@ -137,7 +140,7 @@
 
 const TERM_CASES: readonly TermCase[] = [
   {
-    name: 'a leader that died is followed from its last line on',
+    name: 'a crashed leader: the gap starts at its last line',
     lines: [
       [0, 'loaded', 'edge-1'],
       [500, 'placed', 'edge-1'],
@@ -147,7 +150,7 @@
     leaderless: [[500, 1500]],
   },
   {
-    name: 'a leader that died and began again is followed from its last line on',
+    name: 'a leader that crashed and restarted: the gap starts at its last line',
     lines: [
       [0, 'loaded', 'edge-1'],
       [500, 'placed', 'edge-1'],
@@ -158,7 +161,7 @@
     leaderless: [[500, 1500]],
   },
   {
-    name: 'a leader that goes on telling until the next leaves no gap',
+    name: 'a leader that logs until the next one has loaded leaves no gap',
     lines: [
       [0, 'loaded', 'edge-1'],
       [1500, 'placed', 'edge-1'],
@@ -168,7 +171,7 @@
     leaderless: [],
   },
   {
-    name: 'a leader that loads again in the millisecond of its own line leaves no gap',
+    name: 'a leader that loads again in the millisecond of its last line leaves no gap',
     lines: [
       [0, 'loaded', 'edge-1'],
       [1500, 'placed', 'edge-1'],
@@ -177,7 +180,7 @@
     leaderless: [],
   },
   {
-    name: 'a leader whose word ends its term is followed from then on',
+    name: 'a leader that logs the end of its term: the gap starts there',
     lines: [
       [0, 'loaded', 'edge-1'],
       [500, 'leadershipLost', 'edge-1'],
@@ -187,7 +190,7 @@
     leaderless: [[500, 1500]],
   },
   {
-    name: 'lines that lie more than 49 days apart',
+    name: 'lines more than 49 days apart',
     lines: [
       [0, 'loaded', 'edge-1'],
       [5_000_000_000, 'placed', 'edge-1'],
@@ -197,12 +200,12 @@
   },
 ];
 
-test.describe('who led when, from lines in any order', () => {
+test.describe('leader terms from lines in any order', () => {
   for (const { name, lines, leaderless } of TERM_CASES) {
     test.it(name, () => {
       const texts = lines.map(([afterMs, event, node]) => lineOf(afterMs, '', event, node));
       for (const order of [texts, [...texts].reverse()]) {
-        const found = collect(order).surroundings.leaderless;
+        const found = collect(order).logContext.leaderless;
         const offsets = found.map((it) => [it.fromMs - START_MS, it.untilMs - START_MS]);
         assert.deepEqual(offsets, leaderless);
       }
--- a/src/cli/logs/test/logLines.test.ts
+++ b/src/cli/logs/test/logLines.test.ts
@@ -1,5 +1,5 @@
 /**
- * Lines of collected logs: which are ours, and which are passed over.
+ * Parsing of log lines: which are accepted, and which are skipped for which reason.
  */
 import * as assert from 'node:assert/strict';
 import * as test from 'node:test';
@@ -11,20 +11,20 @@
 const ACCEPTED: readonly [name: string, line: string, fields: Readonly<Record<string, string>>][] =
   [
     ['a plain line', `${LINE} job=a1 group=a1.0.0`, { job: 'a1', group: 'a1.0.0' }],
-    ['something before it', `  -11.9989 edge-1/scheduler ${LINE} job=a1`, { job: 'a1' }],
+    ['text before the first pair', `  -11.9989 edge-1/scheduler ${LINE} job=a1`, { job: 'a1' }],
     ['a quoted value', `${LINE} reason="no \\"room\\" = none"`, { reason: 'no "room" = none' }],
     ['an empty value', `${LINE} reason="" job=a1`, { reason: '', job: 'a1' }],
     ['a carriage return at its end', `${LINE} job=a1\r`, { job: 'a1' }],
   ];
 
-const PASSED_OVER: readonly [name: string, line: string, reason: logLines.SkipReason][] = [
-  ['another program', 'kernel: link is up, state=forwarding', 'foreign'],
+const SKIPPED: readonly [name: string, line: string, reason: logLines.SkipReason][] = [
+  ['a line of another program', 'kernel: link is up, state=forwarding', 'foreign'],
   ['a report', 'worth 0.797 = whole day 0.928', 'foreign'],
-  ['cut within a quoted value', `${LINE} reason="no ro`, 'cut'],
-  ['cut before a value', `${LINE} job=`, 'cut'],
-  ['cut before the node', LINE.slice(0, LINE.indexOf(' node')), 'cut'],
-  ['an escape that is none', `${LINE} reason="\\q"`, 'cut'],
-  ['a time that is none', LINE.replace('2026-05-18T14:33:42.001Z', 'yesterday'), 'cut'],
+  ['a line truncated within a quoted value', `${LINE} reason="no ro`, 'cut'],
+  ['a line truncated before a value', `${LINE} job=`, 'cut'],
+  ['a line truncated before the node', LINE.slice(0, LINE.indexOf(' node')), 'cut'],
+  ['an invalid escape', `${LINE} reason="\\q"`, 'cut'],
+  ['an invalid time', LINE.replace('2026-05-18T14:33:42.001Z', 'yesterday'), 'cut'],
   ['a line of a megabyte', `${LINE} reason=${'x'.repeat(1_000_000)}`, 'tooLong'],
 ];
 
@@ -40,11 +40,11 @@
       }
     });
   }
-  for (const [name, line, reason] of PASSED_OVER) {
-    test.it(`passes over ${name}`, () => assert.equal(logLines.parseLine(line), reason));
+  for (const [name, line, reason] of SKIPPED) {
+    test.it(`skips ${name}`, () => assert.equal(logLines.parseLine(line), reason));
   }
 
-  test.it('passes over a line whose end was not read, since its last value may be cut', () => {
+  test.it('skips a line whose end was not read, since its last value may be truncated', () => {
     assert.equal(logLines.parseLine(`${LINE} run=1`, false), 'cut');
     assert.equal(logLines.parseLine('kernel: link is', false), 'foreign');
   });
--- a/src/cli/logs/test/timeSplit.test.ts
+++ b/src/cli/logs/test/timeSplit.test.ts
@@ -1,5 +1,5 @@
 /**
- * A job's time by cause, from the lines of its life.
+ * A job's time split by cause, from its log lines.
  */
 import * as assert from 'node:assert/strict';
 import * as test from 'node:test';
@@ -28,23 +28,23 @@
   `at=${new Date(START_MS + atMs).toISOString()} event=${event} ` +
   `role=${ROLES[event] ?? 'scheduler'} node=${node} level=info ${text}`;
 
-interface Histories extends jobHistory.Surroundings {
+interface Histories extends jobHistory.LogContext {
   readonly jobs: ReadonlyMap<string, jobHistory.JobHistory>;
 }
 
 const historiesOf = (lines: readonly Line[]): Histories => {
   const collector = logCollector.createLogCollector({
-    needs: jobHistory.isNoted,
-    fields: jobHistory.NOTED_FIELDS,
+    needs: jobHistory.isHistoryEvent,
+    fields: jobHistory.HISTORY_FIELDS,
   });
   lines.map(format).forEach((it) => collector.take(it));
   const collected = collector.collected();
   assert.ok(collected !== undefined);
   const jobs = [...collected.jobs()].map(({ jobId, events }) => {
-    const job = jobHistory.foldHistory(jobId, events, collected.surroundings);
+    const job = jobHistory.buildHistory(jobId, events, collected.logContext);
     return [jobId, job] as const;
   });
-  return { ...collected.surroundings, jobs: new Map(jobs) };
+  return { ...collected.logContext, jobs: new Map(jobs) };
 };
 
 const at = (atMs: number, event: string, text = '', node = 'edge-1'): Line => ({
@@ -86,7 +86,7 @@
     split: { learnt: 5, store: 25, running: 1000 },
   },
   {
-    name: 'a wait for room, then for others to leave',
+    name: 'a wait for capacity, then for preemption victims',
     lines: [
       accepted,
       learnt,
@@ -100,7 +100,7 @@
     split: { learnt: 5, room: 100, othersLeave: 400, running: 1000 },
   },
   {
-    name: 'a run that was stopped and begun again away from its data',
+    name: 'a run that was stopped and restarted remote from its data',
     lines: [
       accepted,
       learnt,
@@ -116,7 +116,7 @@
     split: { learnt: 5, begunAgain: 1000, runningAway: 3000 },
   },
   {
-    name: 'an end that was listed long before it was noted',
+    name: 'an end that was listed long before it was recorded',
     lines: [
       accepted,
       learnt,
@@ -129,7 +129,7 @@
     split: { learnt: 5, running: 1000, endNotNoted: 800 },
   },
   {
-    name: 'a wait while nobody leads',
+    name: 'a wait without a leader',
     lines: [
       at(-100, 'loaded'),
       accepted,
@@ -143,7 +143,7 @@
     split: { learnt: 5, room: 200, leader: 1000 },
   },
   {
-    name: 'what a leader tells that was replaced without its knowledge',
+    name: 'stale lines of a leader that has not noticed its replacement',
     lines: [
       at(-100, 'loaded'),
       accepted,
@@ -158,7 +158,7 @@
     split: { learnt: 5, running: 1000 },
   },
   {
-    name: 'a task that waits untold behind the others of its step',
+    name: 'a task that waits behind others of its step without a logged reason',
     lines: [accepted, learnt, placed(905, 1), taken(905, 1), ended(1905, 1, 'done')],
     split: { learnt: 5, room: 900, running: 1000 },
   },
@@ -180,7 +180,7 @@
     });
   }
 
-  test.it('a step that waited for another is counted from that one on', () => {
+  test.it('a step that waited for another is counted from the end of that one', () => {
     const second = [
       at(1005, 'placed', 'job=j group=j.0.1.0 run=1 workers=w1 waitedMs=0 away=0'),
       at(1005, 'startGiven', 'task=j.0.1.0 run=1 outcome=accepted'),
@@ -220,43 +220,46 @@
     return builder.report();
   };
 
-  test.it('lists each job that was not cancelled, and sums by all, kind and customer', () => {
-    const { jobs, sums } = reportOf();
-    assert.deepEqual(
-      jobs.map(({ jobId, end, isLoss }) => [jobId, end, isLoss]),
-      [
-        ['j', 'late', true],
-        ['k', 'inTime', false],
-        ['open', 'open', true],
-      ],
-    );
-    assert.deepEqual(
-      sums.map(({ of, name, jobs: count, inTime, late, lost }) => [
-        of,
-        name,
-        count,
-        inTime,
-        late,
-        lost,
-      ]),
-      [
-        ['all', 'all', 3, 1, 1, 1],
-        ['queue', 'q', 1, 0, 1, 0],
-        ['queue', 'q2', 2, 1, 0, 1],
-        ['customer', 'c', 2, 1, 1, 0],
-        ['customer', 'd', 1, 0, 0, 1],
-      ],
-    );
-    assert.deepEqual(sums[1]?.byCause, { learnt: 5, running: 1000, begunAgain: 1000 });
-  });
+  test.it(
+    'lists each job that was not cancelled, and sums in total, by queue and by customer',
+    () => {
+      const { jobs, sums } = reportOf();
+      assert.deepEqual(
+        jobs.map(({ jobId, end, isLoss }) => [jobId, end, isLoss]),
+        [
+          ['j', 'late', true],
+          ['k', 'inTime', false],
+          ['open', 'open', true],
+        ],
+      );
+      assert.deepEqual(
+        sums.map(({ of, name, jobs: count, inTime, late, lost }) => [
+          of,
+          name,
+          count,
+          inTime,
+          late,
+          lost,
+        ]),
+        [
+          ['all', 'all', 3, 1, 1, 1],
+          ['queue', 'q', 1, 0, 1, 0],
+          ['queue', 'q2', 2, 1, 0, 1],
+          ['customer', 'c', 2, 1, 1, 0],
+          ['customer', 'd', 1, 0, 0, 1],
+        ],
+      );
+      assert.deepEqual(sums[1]?.byCause, { learnt: 5, running: 1000, begunAgain: 1000 });
+    },
+  );
 
-  test.it('lists the first jobs only where there are too many, and sums all', () => {
-    // A list of any length fills the memory of whoever asks on a small machine.
+  test.it('lists only the first jobs if there are too many, and sums all', () => {
+    // An unlimited list would fill the memory of a small machine.
     const { jobs, unlisted, sums } = reportOf(1);
     assert.deepEqual([jobs.map((it) => it.jobId), unlisted, sums[0]?.jobs], [['j'], 2, 3]);
   });
 
-  test.it('counts work that was not done and not saved, by what ended it', () => {
+  test.it('counts work that was neither finished nor saved, by the cause that ended it', () => {
     assert.deepEqual(reportOf().thrownAway, [{ cause: 'failed', runs: 1, coreSeconds: 8 }]);
   });
 });
--- a/src/cli/logs/timeSplit.ts
+++ b/src/cli/logs/timeSplit.ts
@@ -4,37 +4,37 @@
 import type * as jobHistory from './jobHistory.js';
 import type * as leaderTerms from './leaderTerms.js';
 
-/** What a job's time went to. */
+/** Causes by which a job's time is split. */
 export const Cause = {
-  /** The leader had not heard of it. */
+  /** The leader had not received the job or not planned it yet. */
   learnt: 'learnt',
-  /** No room, or only room that is kept for others. */
+  /** No free capacity, or only capacity reserved for others. */
   room: 'room',
-  /** Others were told to leave for it. */
+  /** Preemption victims had been asked to terminate. */
   othersLeave: 'othersLeave',
-  /** The policy service was asked. */
+  /** The policy service's decision was pending. */
   consent: 'consent',
-  /** Nobody led. */
+  /** There was no leader. */
   leader: 'leader',
-  /** Its start was being stored and sent. */
+  /** The start was being stored and sent to the worker. */
   store: 'store',
-  /** The last run of a group, near its data. */
+  /** The last run of a group, local to its data. */
   running: 'running',
-  /** The same away from its data or its rack. */
+  /** The last run of a group, remote from its data or outside its rack. */
   runningAway: 'runningAway',
-  /** Runs that ended before their work was done. */
+  /** Runs that ended before their work was done and were restarted. */
   begunAgain: 'begunAgain',
-  /** A worker had listed an end and the job did not show it. */
+  /** A worker had listed the end and the leader had not recorded it yet. */
   endNotNoted: 'endNotNoted',
 } as const;
 
 /** One of the values of {@link Cause}. */
 export type Cause = (typeof Cause)[keyof typeof Cause];
 
-/** A span of a job's time with what it went to. */
+/** A span of a job's time with its cause. */
 export interface Segment extends leaderTerms.Span {
   readonly cause: Cause;
-  /** The reason as it was logged, or how the run ended. */
+  /** The logged wait reason, or how the run ended. */
   readonly detail: string;
 }
 
@@ -43,8 +43,8 @@
   return reason.includes('policy service') ? Cause.consent : Cause.room;
 };
 
-/** Cuts out of a span the times at which nobody led, since nothing could be decided then. */
-const cutLeaderless = (segment: Segment, leaderless: readonly leaderTerms.Span[]): Segment[] => {
+/** Attributes the parts of a span without a leader to its absence, since nothing could be decided then. */
+const splitLeaderless = (segment: Segment, leaderless: readonly leaderTerms.Span[]): Segment[] => {
   const parts: Segment[] = [];
   let { fromMs } = segment;
   for (const gap of leaderless) {
@@ -53,7 +53,7 @@
     if (gapUntilMs > gapFromMs) {
       if (gapFromMs > fromMs) parts.push({ ...segment, fromMs, untilMs: gapFromMs });
       const { leader } = Cause;
-      parts.push({ fromMs: gapFromMs, untilMs: gapUntilMs, cause: leader, detail: 'nobody led' });
+      parts.push({ fromMs: gapFromMs, untilMs: gapUntilMs, cause: leader, detail: 'no leader' });
       fromMs = gapUntilMs;
     }
   }
@@ -62,8 +62,8 @@
 };
 
 /**
- * A round follows within this time. The reason is told for the first of a step's tasks only: one that waits
- * longer without a reason waits like the others.
+ * A planning round follows within this time. The wait reason is logged for the first task of a step only, so a
+ * task that waits longer without a reason is counted as waiting for capacity.
  */
 const PLANNED_WITHIN_MS = 50;
 
@@ -78,7 +78,7 @@
   let current: Pick<Segment, 'cause' | 'detail'> =
     firstMs - fromMs <= PLANNED_WITHIN_MS
       ? { cause: Cause.learnt, detail: 'not planned yet' }
-      : { cause: Cause.room, detail: 'no room for others of its step' };
+      : { cause: Cause.room, detail: 'no capacity for other tasks of its step' };
   for (const { atMs, reason } of waits) {
     const nextMs = Math.min(untilMs, Math.max(cursorMs, atMs));
     segments.push({ fromMs: cursorMs, untilMs: nextMs, ...current });
@@ -93,7 +93,7 @@
   const startMs = Math.min(endMs, Math.max(run.placedAtMs, run.startedAtMs ?? run.placedAtMs));
   const isDone = run.how === 'done';
   const listedMs = isDone ? Math.min(endMs, Math.max(startMs, run.listedAtMs ?? endMs)) : endMs;
-  const running = run.awayTasks > 0 ? Cause.runningAway : Cause.running;
+  const running = run.remoteTasks > 0 ? Cause.runningAway : Cause.running;
   return [
     { fromMs: run.placedAtMs, untilMs: startMs, cause: Cause.store, detail: 'stored and sent' },
     {
@@ -102,7 +102,12 @@
       cause: isDone || run.how === undefined ? running : Cause.begunAgain,
       detail: run.stop?.cause ?? run.how ?? 'runs',
     },
-    { fromMs: listedMs, untilMs: endMs, cause: Cause.endNotNoted, detail: 'listed, not stored' },
+    {
+      fromMs: listedMs,
+      untilMs: endMs,
+      cause: Cause.endNotNoted,
+      detail: 'listed, not recorded yet',
+    },
   ];
 };
 
@@ -123,7 +128,7 @@
 
 const lastEndMs = ({ runs }: jobHistory.GroupHistory): number => runs.at(-1)?.endedAtMs ?? Infinity;
 
-/** The group that ended last of a step, and before it the last of the step that it waited for. */
+/** Chains the last group to end back through the last group of each step that it had to wait for. */
 const decidingChain = (job: jobHistory.JobHistory): jobHistory.GroupHistory[] => {
   const lastOfStep = new Map<number, jobHistory.GroupHistory>();
   for (const group of job.groups.values()) {
@@ -147,46 +152,60 @@
 };
 
 /**
- * @param job - a job's life
- * @param surroundings - what the logs tell besides
- * @returns its time from its acceptance to its end, or to the last line, without gaps
+ * @param job - a job's history
+ * @param logContext - leader terms and the end of the log
+ * @returns its time from acceptance to its end or the last log line, without gaps
  */
 export const splitTime = (
   job: jobHistory.JobHistory,
-  surroundings: Pick<jobHistory.Surroundings, 'leaderless' | 'lastAtMs'>,
+  logContext: Pick<jobHistory.LogContext, 'leaderless' | 'lastAtMs'>,
 ): Segment[] => {
-  const endMs = job.end?.atMs ?? job.cancelledAtMs ?? surroundings.lastAtMs;
-  const firstMs = job.acceptedAtMs ?? job.learntAtMs ?? endMs;
-  const learntMs = Math.min(endMs, Math.max(firstMs, job.learntAtMs ?? firstMs));
+  const endMs = job.end?.atMs ?? job.cancelledAtMs ?? logContext.lastAtMs;
+  const firstMs = job.acceptedAtMs ?? job.receivedAtMs ?? endMs;
+  const receivedMs = Math.min(endMs, Math.max(firstMs, job.receivedAtMs ?? firstMs));
   const parts: Segment[][] = [
-    [{ fromMs: firstMs, untilMs: learntMs, cause: Cause.learnt, detail: 'not heard of yet' }],
+    [
+      {
+        fromMs: firstMs,
+        untilMs: receivedMs,
+        cause: Cause.learnt,
+        detail: 'not received by the leader yet',
+      },
+    ],
   ];
-  let cursorMs = learntMs;
+  let cursorMs = receivedMs;
   const chain = decidingChain(job);
   for (const group of chain) {
     const untilMs = Math.min(endMs, lastEndMs(group));
     parts.push(groupSegments(group, cursorMs, untilMs));
     cursorMs = Math.max(cursorMs, untilMs);
   }
-  const rest =
+  const remainder =
     chain.length === 0
       ? { cause: Cause.learnt, detail: 'never planned' }
-      : { cause: Cause.endNotNoted, detail: 'its end was not shown' };
-  parts.push([{ fromMs: cursorMs, untilMs: endMs, ...rest }]);
+      : { cause: Cause.endNotNoted, detail: 'end not recorded' };
+  parts.push([{ fromMs: cursorMs, untilMs: endMs, ...remainder }]);
   return parts
     .flat()
     .filter((it) => it.untilMs > it.fromMs)
-    .flatMap((it) => cutRunning(it, surroundings.leaderless));
+    .flatMap((it) => splitUnlessRunning(it, logContext.leaderless));
 };
 
-/** What runs gets on without a leader. */
-const GETS_ON: ReadonlySet<Cause> = new Set([Cause.running, Cause.runningAway, Cause.begunAgain]);
+/** Runs make progress without a leader. */
+const LEADER_INDEPENDENT: ReadonlySet<Cause> = new Set([
+  Cause.running,
+  Cause.runningAway,
+  Cause.begunAgain,
+]);
 
-const cutRunning = (segment: Segment, leaderless: readonly leaderTerms.Span[]): Segment[] =>
-  GETS_ON.has(segment.cause) ? [segment] : cutLeaderless(segment, leaderless);
+const splitUnlessRunning = (
+  segment: Segment,
+  leaderless: readonly leaderTerms.Span[],
+): Segment[] =>
+  LEADER_INDEPENDENT.has(segment.cause) ? [segment] : splitLeaderless(segment, leaderless);
 
 /**
- * @param segments - a job's time
+ * @param segments - a job's time split by cause
  * @returns milliseconds by cause
  */
 export const sumByCause = (segments: readonly Segment[]): Map<Cause, number> => {
--- a/src/cli/operatorClient.ts
+++ b/src/cli/operatorClient.ts
@@ -1,5 +1,5 @@
 /**
- * The operators' API as the commands use it. The token goes into one header and nowhere else.
+ * Client of the operators' API for the commands. The token is used in one header only.
  */
 import * as errors from '../base/common/errors.js';
 import * as http from '../base/common/http.js';
@@ -7,17 +7,17 @@
 /** How to reach an entry. */
 export interface OperatorClientOptions {
   readonly call: http.HttpCall;
-  /** `http://host:port` of an entry's operators' side. */
+  /** `http://host:port` of an entry's operator listener. */
   readonly url: string;
   readonly token: string;
   readonly timeoutMs: number;
 }
 
-/** Sends requests and gives the parsed answers. */
+/** Sends requests and returns the parsed responses. */
 export interface OperatorClient {
-  /** @throws AuburnliftError of the kind that the entry answered */
+  /** @throws AuburnliftError of the kind in the entry's response */
   readonly get: (path: string) => Promise<unknown>;
-  /** @throws AuburnliftError, `outcomeUnknown` where the answer was lost */
+  /** @throws AuburnliftError, `outcomeUnknown` if the response was lost */
   readonly send: (method: 'PUT' | 'POST', path: string, body: unknown) => Promise<unknown>;
 }
 
@@ -25,16 +25,19 @@
   try {
     return JSON.parse(Buffer.from(reply.body).toString('utf8')) as unknown;
   } catch {
-    throw errors.fail('internal', `answer ${reply.status} of the entry is not JSON`);
+    throw errors.fail('internal', `the entry's response with status ${reply.status} is not JSON`);
   }
 };
 
 const toError = (thrown: unknown, isWrite: boolean): unknown => {
   if (!(thrown instanceof http.HttpCallError)) return thrown;
   if (isWrite && thrown.failure !== http.HttpFailure.notSent) {
-    return errors.fail('outcomeUnknown', `no answer (${thrown.message}); it may have taken effect`);
+    return errors.fail(
+      'outcomeUnknown',
+      `no response (${thrown.message}); the request may have taken effect`,
+    );
   }
-  return errors.fail('peerUnreachable', `the entry does not answer: ${thrown.message}`);
+  return errors.fail('peerUnreachable', `the entry does not respond: ${thrown.message}`);
 };
 
 const addressOf = (url: string): http.Address => {
--- a/src/cli/program.ts
+++ b/src/cli/program.ts
@@ -1,44 +1,44 @@
 /**
- * Runs the client from its command line to its exit status.
+ * Runs the client: parses the command line, runs the command and sets the exit status.
  */
 import * as oclif from '@oclif/core';
 
 import * as quote from './quote.js';
 
-/** Resolves when what was printed has left the process, or never will. */
-const written = (stream: NodeJS.WriteStream): Promise<void> =>
+/** Resolves when pending output was flushed or failed. */
+const flushed = (stream: NodeJS.WriteStream): Promise<void> =>
   new Promise((resolve) => {
     stream.write('', () => resolve());
   });
 
-/** A reader that has seen enough, like `head`, is no failure, and nobody is left to go on for. */
-const endWithReader = (): void => {
+/** Exits with success when the reader closes the pipe, as `head` does. */
+const exitOnClosedPipe = (): void => {
   process.stdout.on('error', (thrown: NodeJS.ErrnoException) => {
     if (thrown.code === 'EPIPE') process.exit(0);
   });
 };
 
-/** Stands at the end of what oclif says of a wrong command line. */
+/** The end of oclif's error message for a wrong command line. */
 const HELP_HINT = '\nSee more help with --help';
 
-/** What oclif says of a wrong command line says the wrong word again; its own part is short. */
+/** Truncates oclif's message, which repeats the wrong argument, but keeps its short hint. */
 const quoteMessage = (thrown: unknown): Error => {
   const error = thrown instanceof Error ? thrown : new Error(String(thrown));
-  const [said = '', ...rest] = error.message.split(HELP_HINT);
-  error.message = quote.quote(said) + (rest.length === 0 ? '' : HELP_HINT);
+  const [message = '', ...rest] = error.message.split(HELP_HINT);
+  error.message = quote.quote(message) + (rest.length === 0 ? '' : HELP_HINT);
   return error;
 };
 
 /**
- * @param moduleUrl - of the program, beside whose package oclif finds the commands
+ * @param moduleUrl - URL of the program's module, from which oclif finds the package and its commands
  */
 export const runProgram = async (moduleUrl: string): Promise<void> => {
-  endWithReader();
+  exitOnClosedPipe();
   try {
     await oclif.run(process.argv.slice(2), moduleUrl);
   } catch (thrown) {
-    // Ending the process drops what a slow reader has not taken yet.
-    await Promise.all([written(process.stdout), written(process.stderr)]);
+    // Exiting the process would drop output that a slow reader has not read yet.
+    await Promise.all([flushed(process.stdout), flushed(process.stderr)]);
     await oclif.Errors.handle(quoteMessage(thrown));
   }
 };
--- a/src/cli/quote.ts
+++ b/src/cli/quote.ts
@@ -1,24 +1,24 @@
 /**
- * How much of what was given an error says again.
+ * Limits how much of the input an error message repeats.
  */
 
-/** Enough to know the place by; a log or a document that stands where a word should does not flood the terminal. */
+/** Enough to recognize the input; a log or a document passed as an argument must not flood the terminal. */
 const MAX_QUOTED_CHARACTERS = 200;
 
-/** A text without a blank that is longer than what is quoted. */
+/** Matches text without white space that is longer than the limit. */
 const LONG_WORD = new RegExp(`\\S{${MAX_QUOTED_CHARACTERS + 1},}`, 'g');
 
 /**
- * @param text - what was given
- * @returns at most its first 200 characters, with a sign where it went on
+ * @param text - a part of the input
+ * @returns at most its first 200 characters, with an ellipsis if it was longer
  */
 export const quote = (text: string): string =>
   text.length <= MAX_QUOTED_CHARACTERS ? text : `${text.slice(0, MAX_QUOTED_CHARACTERS)}…`;
 
 /**
- * @param message - an error's message, by us or by an entry
- * @param given - words and values of the command line that it may say again
- * @returns the message with these, and any word, quoted
+ * @param message - an error message of the client or of an entry
+ * @param given - arguments and flag values that it may repeat
+ * @returns the message with these and any other long word truncated
  */
 export const quoteWithin = (message: string, given: readonly string[]): string =>
   given
--- a/src/cli/test/burnPage.test.ts
+++ b/src/cli/test/burnPage.test.ts
@@ -1,5 +1,5 @@
 /**
- * The page with plots: one file, nothing loaded, nothing injected.
+ * The burn page must be self-contained and must escape ids.
  */
 import * as assert from 'node:assert/strict';
 import * as test from 'node:test';
@@ -9,7 +9,7 @@
 
 import * as cliFixtures from './cliFixtures.js';
 
-test.test('the page needs no other file and takes no markup from ids', () => {
+test.test('the page loads no other file and escapes markup in ids', () => {
   const page = burnPage.renderPage(
     cliFixtures.BURN as unknown as serviceLevelReport.ServiceLevelReport,
   );
--- a/src/cli/test/cliFixtures.ts
+++ b/src/cli/test/cliFixtures.ts
@@ -1,5 +1,5 @@
 /**
- * A fake entry and what it answers, for tests of the commands.
+ * A fake entry and its responses, for tests of the commands.
  */
 import type * as http from '../../base/common/http.js';
 import type * as configuration from '../../state/common/configuration.js';
@@ -9,10 +9,10 @@
 /** The operator's token; it must never be printed. */
 export const TOKEN = 'secret-token-of-the-operator';
 
-/** Answers by method and path; a function is given the body and may throw. */
+/** Responses by method and path; a function receives the body and may throw. */
 export type Answers = Readonly<Record<string, unknown>>;
 
-/** A fake entry. */
+/** A fake entry that records its requests. */
 export interface FakeEntry {
   readonly call: http.HttpCall;
   /** Method and path of each request. */
@@ -20,7 +20,7 @@
 }
 
 /**
- * @param answers - answers by method and path; anything else is answered as not found
+ * @param answers - responses by method and path; other requests get a not-found error
  * @returns the fake entry
  */
 export const createFakeEntry = (answers: Answers): FakeEntry => {
@@ -85,7 +85,7 @@
   objectives: [],
 };
 
-/** The configuration in force. */
+/** The active configuration. */
 export const RECORD: configuration.ConfigurationRecord = {
   version: 7,
   writeId: 'w',
@@ -96,13 +96,13 @@
 };
 
 /**
- * @param routing - what differs in the routing policy
- * @returns a document with comments, as operators write it
+ * @param routing - changed fields of the routing policy
+ * @returns a document with a comment, as operators write it
  */
 export const documentText = (routing: Partial<configuration.RoutingPolicy>): string =>
   `// a comment\n${JSON.stringify({ ...DOCUMENT, routing: { ...DOCUMENT.routing, ...routing } })}`;
 
-/** A running job that borrows. */
+/** A running job on spare capacity. */
 export const JOB: job.JobRecord = {
   spec: {
     jobId: 'plan-1',
@@ -128,12 +128,12 @@
   decisions: [{ atMs: 0, what: 'placed', why: 'rule night lends it', configVersion: 7 }],
 };
 
-/** One cell. */
+/** The list of cells, with one cell. */
 export const CELLS = {
   cells: [{ cell: 'zone-a', region: 'here', leaderId: 's1', epoch: 1, isLed: true }],
 };
 
-/** The cell as its leader sees it. */
+/** The state of the cell as reported by its leader. */
 export const CELL_VIEW = {
   cell: 'zone-a',
   epoch: 1,
@@ -148,7 +148,7 @@
 const HOUR_MS = 3_600_000;
 const HOUR_NUMBER = 10;
 
-/** When the commands run. */
+/** Current time of the commands. */
 export const NOW_MS = (HOUR_NUMBER + 1) * HOUR_MS;
 
 /** The only entry of {@link HOUR}. */
@@ -162,7 +162,7 @@
   acceleratorMs: HOUR_MS,
 };
 
-/** An hour that balances. */
+/** A ledger hour that balances. */
 export const HOUR: ledgerEntry.LedgerHour = {
   cell: 'zone-a',
   hour: HOUR_NUMBER,
@@ -177,7 +177,7 @@
 
 /**
  * @param hour - the only hour of the only cell
- * @returns what the entry answers of the ledger
+ * @returns the entry's responses for the ledger
  */
 export const ledgerAnswers = (hour: ledgerEntry.LedgerHour): Answers => ({
   'GET /api/ledger/zone-a': { hours: [hour] },
@@ -186,7 +186,7 @@
 
 const windowOf = (windowMs: number) => ({ windowMs, good: 1, bad: 1, burnRate: 50 });
 
-/** A report with one objective that burns. */
+/** A report with one burning objective. */
 export const BURN = {
   atMs: NOW_MS,
   configVersion: 7,
--- a/src/cli/test/commands.test.ts
+++ b/src/cli/test/commands.test.ts
@@ -1,5 +1,5 @@
 /**
- * The commands against a fake entry: what they ask, print and end with.
+ * The commands against a fake entry: requests, output and exit codes.
  */
 import * as assert from 'node:assert/strict';
 import * as test from 'node:test';
@@ -21,16 +21,16 @@
   readonly flags?: Readonly<Record<string, unknown>>;
   readonly files?: Readonly<Record<string, string>>;
   readonly answers: cliFixtures.Answers;
-  /** Requests that must have been sent, in this order. */
+  /** Expected requests, in order. */
   readonly sent: readonly string[];
-  /** Texts that the lines must hold. */
+  /** Texts that the output must contain. */
   readonly shows: readonly string[];
   readonly exitCode?: number;
 }
 
 const TRIALS: readonly Trial[] = [
   {
-    name: 'config get prints the document alone',
+    name: 'config get prints only the document',
     command: 'config:get',
     answers: { 'GET /api/config': { record: cliFixtures.RECORD } },
     sent: ['GET /api/config'],
@@ -57,7 +57,7 @@
     shows: ['routing.crossRegionPriceMs', '77', 'strands: job a loses b', 'nothing was written'],
   },
   {
-    name: 'config diff names each path',
+    name: 'config diff lists each changed path',
     command: 'config:diff',
     args: ['new.jsonc'],
     files: { 'new.jsonc': cliFixtures.documentText({ crossRegionPriceMs: 77 }) },
@@ -66,7 +66,7 @@
     shows: ['routing.crossRegionPriceMs  50      77'],
   },
   {
-    name: 'config apply sends the version that was changed',
+    name: 'config apply sends the version that the change is based on',
     command: 'config:apply',
     args: ['new.jsonc'],
     flags: { reason: 'r', 'base-version': 5 },
@@ -80,17 +80,17 @@
       },
     },
     sent: ['GET /api/config', 'GET /api/config/history/5', 'PUT /api/config'],
-    shows: ['version 8 is written'],
+    shows: ['wrote version 8'],
   },
   {
-    name: 'config apply writes no version that changes nothing',
+    name: 'config apply writes no version without changes',
     command: 'config:apply',
     args: ['new.jsonc'],
     flags: { reason: 'r' },
     files: { 'new.jsonc': cliFixtures.documentText({}) },
     answers: { 'GET /api/config': { record: cliFixtures.RECORD } },
     sent: ['GET /api/config'],
-    shows: ['nothing differs or was written'],
+    shows: ['no differences, nothing was written'],
   },
   {
     name: 'config history',
@@ -113,7 +113,7 @@
     shows: ['agent-2  agent  z           6', 'stragglers: agent-2'],
   },
   {
-    name: 'customer add edits the one document',
+    name: 'customer add edits the configuration document',
     command: 'customer:add',
     args: ['new', 'name="New one"', 'requestWeight=1', 'guaranteedSlots=0', 'quotaAccelerators=8'],
     flags: { reason: 'contract' },
@@ -129,17 +129,17 @@
       },
     },
     sent: ['GET /api/config', 'PUT /api/config'],
-    shows: ['customers[new].name', 'version 8 is written'],
+    shows: ['customers[new].name', 'wrote version 8'],
   },
   {
-    name: 'job list says which cells are missing',
+    name: 'job list reports the cells that do not respond',
     command: 'job:list',
     flags: { customer: 'acme' },
     answers: {
       'GET /api/jobs': { jobs: [cliFixtures.JOB], unansweredCells: ['zone-b'] },
     },
     sent: ['GET /api/jobs'],
-    shows: ['plan-1', 'cell zone-b does not answer'],
+    shows: ['plan-1', 'cell zone-b does not respond'],
   },
   {
     name: 'job cancel finds the cell of the job',
@@ -154,7 +154,7 @@
     shows: ['plan-1'],
   },
   {
-    name: 'explain tells each decision with its version and where it comes from',
+    name: 'explain shows each decision with its configuration version, and the source of the record',
     command: 'explain',
     args: ['plan-1'],
     flags: { cell: 'zone-a' },
@@ -206,7 +206,7 @@
     shows: ['u1'],
   },
   {
-    name: 'ledger adds up by customer',
+    name: 'ledger sums by customer',
     command: 'ledger',
     flags: { cell: 'zone-a', customer: 'acme' },
     answers: cliFixtures.ledgerAnswers(cliFixtures.HOUR),
@@ -214,7 +214,7 @@
     shows: ['acme', '1.0000', 'total 1.0000 accelerator-hours'],
   },
   {
-    name: 'ledger --csv quotes and takes formulas apart',
+    name: 'ledger --csv quotes values and escapes formulas',
     command: 'ledger',
     flags: { cell: 'zone-a', csv: true },
     answers: cliFixtures.ledgerAnswers({
@@ -225,7 +225,7 @@
     shows: [`acme,"'=1,""2""",1,guarantee,,7,3600000`],
   },
   {
-    name: 'ledger --check is quiet about books that balance',
+    name: 'ledger --check passes for a balanced ledger',
     command: 'ledger',
     flags: { cell: 'zone-a', check: true },
     answers: cliFixtures.ledgerAnswers(cliFixtures.HOUR),
@@ -233,7 +233,7 @@
     shows: ['the books balance: 1 cells, 0 days, 1 hours'],
   },
   {
-    name: 'ledger --check fails where they do not',
+    name: 'ledger --check fails for an unbalanced ledger',
     command: 'ledger',
     flags: { cell: 'zone-a', check: true },
     answers: cliFixtures.ledgerAnswers({
@@ -245,7 +245,7 @@
     exitCode: 70,
   },
   {
-    name: 'burn shows what burns',
+    name: 'burn marks burning objectives',
     command: 'burn',
     answers: { 'GET /api/burn': cliFixtures.BURN },
     sent: ['GET /api/burn'],
@@ -295,13 +295,13 @@
 
 const REFUSALS: readonly Refusal[] = [
   {
-    name: 'a bad field',
+    name: 'an invalid field',
     command: 'customer:set',
     args: ['acme', 'requestWeight=-1'],
     kind: 'invalidRequest',
   },
   {
-    name: 'a word without =',
+    name: 'an argument without =',
     command: 'customer:set',
     args: ['acme', 'weight'],
     kind: 'invalidRequest',
@@ -312,12 +312,12 @@
     args: ['acme', 'wieght=1'],
     kind: 'invalidRequest',
   },
-  { name: 'an id that exists', command: 'customer:add', args: ['acme'], kind: 'conflict' },
+  { name: 'an existing id', command: 'customer:add', args: ['acme'], kind: 'conflict' },
   { name: 'an unknown item', command: 'rule:remove', args: ['none'], kind: 'notFound' },
 ];
 
 for (const { name, command, args, kind } of REFUSALS) {
-  test.test(`${command} refuses ${name} before anything is written`, async () => {
+  test.test(`${command} rejects ${name} before anything is written`, async () => {
     const entry = cliFixtures.createFakeEntry({
       'GET /api/config': { record: cliFixtures.RECORD },
     });
@@ -330,9 +330,9 @@
   });
 }
 
-test.test('a lost answer to a change is settled with the same write id', async () => {
-  // The entry wrote the new version and its answer is lost on the way. Another write id would be
-  // refused as a conflict with the operator's own change.
+test.test('a change is sent again with the same write id if the response is lost', async () => {
+  // The entry wrote the new version and its response is lost. With another write id the second
+  // request would be rejected as a conflict with the operator's own change.
   const ids: unknown[] = [];
   const entry = cliFixtures.createFakeEntry({
     'GET /api/config': { record: cliFixtures.RECORD },
@@ -345,12 +345,12 @@
   const trial = { args: ['acme', 'requestWeight=2'], flags: { reason: 'r' } };
   const result = await commands.DEFINITIONS['customer:set']?.run(inputOf(trial, entry.call));
   assert.deepEqual(ids, ['write-1', 'write-1']);
-  assert.ok(result?.lines.includes('version 8 is written'));
+  assert.ok(result?.lines.includes('wrote version 8'));
 });
 
-test.test('a conflict shows what the other operator changed and what this one wants', async () => {
-  // Two operators open version 7. One writes a new price, the other a new weight; the second must
-  // see the first one's change before deciding, and nothing of either is lost.
+test.test("a conflict shows the other operator's changes and this operator's", async () => {
+  // Two operators edit version 7. One writes a new price, then the other a new weight; the second
+  // must see the first one's change before deciding, so that neither change is lost.
   const document = JSON.parse(
     cliFixtures.documentText({ crossRegionPriceMs: 99 }).slice(13),
   ) as object;
@@ -378,7 +378,7 @@
   });
 });
 
-test.test('a lost answer to a cancellation says that the outcome is unknown', async () => {
+test.test('a cancellation whose response is lost fails with an unknown outcome', async () => {
   const call: http.HttpCall = () => Promise.reject(new http.HttpCallError('timeout', 'silent'));
   const trial = { args: ['plan-1'], flags: { cell: 'zone-a' } };
   const run = commands.DEFINITIONS['job:cancel']?.run(inputOf(trial, call));
@@ -388,7 +388,7 @@
   });
 });
 
-test.test('every command has examples that begin with its own name', () => {
+test.test('every command has examples that start with its name', () => {
   for (const [name, { summary, examples }] of Object.entries(commands.DEFINITIONS)) {
     assert.ok(summary.endsWith('.'), name);
     assert.ok(examples.length > 0, name);
--- a/src/cli/test/logGenerator.ts
+++ b/src/cli/test/logGenerator.ts
@@ -1,15 +1,15 @@
 /**
- * Writes a log of any size to standard output: `node logGenerator.js JOBS`, some 2.5 kB a job. Every fiftieth job
- * is late.
+ * Writes a log of any size to standard output, some 2.5 kB per job: `node logGenerator.js JOBS`. Every fiftieth
+ * job is late.
  */
 import * as stream from 'node:stream';
 
 const START_MS = Date.parse('2026-05-18T00:00:00.000Z');
-const EACH_MS = 100;
+const ARRIVAL_INTERVAL_MS = 100;
 const TASKS = 3;
 const RUN_MS = 60_000;
 const LATE_EVERY = 50;
-const JOBS_AT_ONCE = 100;
+const JOBS_PER_CHUNK = 100;
 
 const line = (atMs: number, event: string, role: string, rest: string): string =>
   `at=${new Date(START_MS + atMs).toISOString()} event=${event} role=${role} node=${role}-1 ` +
@@ -30,9 +30,9 @@
 };
 
 const jobLines = (index: number): string => {
-  // Ids without an order, as they are given.
+  // Ids in no order, like real ones.
   const jobId = (BigInt(index + 1) * 0x9e37_79b9_7f4a_7c15n).toString(16).slice(-16);
-  const atMs = index * EACH_MS;
+  const atMs = index * ARRIVAL_INTERVAL_MS;
   const customer = `queue=q${index % 4} customer=c${index % 52}`;
   const timeliness = index % LATE_EVERY === 0 ? 'late' : 'inTime';
   const endMs = atMs + RUN_MS + 100;
@@ -53,8 +53,8 @@
 
 const log = function* log(jobs: number): Generator<string> {
   yield line(-1000, 'loaded', 'scheduler', '');
-  for (let index = 0; index < jobs; index += JOBS_AT_ONCE) {
-    const count = Math.min(JOBS_AT_ONCE, jobs - index);
+  for (let index = 0; index < jobs; index += JOBS_PER_CHUNK) {
+    const count = Math.min(JOBS_PER_CHUNK, jobs - index);
     yield Array.from({ length: count }, (_, it) => jobLines(index + it)).join('');
   }
 };
--- a/src/cli/test/pipes.test.ts
+++ b/src/cli/test/pipes.test.ts
@@ -1,5 +1,5 @@
 /**
- * The built client at the end and at the beginning of pipes.
+ * The built client reading from and writing to pipes, files and devices.
  */
 import * as assert from 'node:assert/strict';
 import * as fs from 'node:fs';
@@ -38,14 +38,14 @@
 
 const VARIABLES = { LOG, LONG, MISSING, LOCKED, FOLDER };
 
-/** An entry that has one cell and a configuration of 300 kB. */
+/** An entry with one cell and a configuration of 300 kB. */
 const entry = http.createServer((request, response) => {
   const isCells = request.url === '/api/cells';
   const record = { document: 'Z'.repeat(300_000) };
   response.end(JSON.stringify(isCells ? cliFixtures.CELLS : { record }));
 });
 
-/** How the entry is reached. */
+/** Connection flags for the entry. */
 let access = '';
 
 test.before(() => {
@@ -71,122 +71,122 @@
 
 interface Case {
   readonly name: string;
-  /** What the case guards against. */
-  readonly story: string;
+  /** The failure that the case guards against. */
+  readonly failure: string;
   readonly line: string;
   readonly status?: number;
   readonly out?: readonly RegExp[];
-  /** The whole of standard error; nothing unless given. */
+  /** Matches standard error; empty by default. */
   readonly error?: RegExp;
   readonly skip?: string | false;
 }
 
-/** The late job of {@link LINES}, with its 25 ms of storing and 1,000 ms of running. */
+/** Matches the late job of {@link LINES}, with 25 ms of `store` and 1,000 ms of `running`. */
 const LATE = /^j +q +c +late +1030 +900 +5 +0 +0 +0 +0 +25 +1000 /m;
-const NOTHING_CUT = /passed over: 0 lines of other programs, 0 cut, 0 too long\n$/;
+const NOTHING_SKIPPED = /passed over: 0 lines of other programs, 0 cut, 0 too long\n$/;
 
 const READING: readonly Case[] = [
   {
     name: 'losses - reads a pipe',
-    story: 'a pipe that has nothing yet answers EAGAIN to a read that does not wait',
+    failure: 'a non-blocking read of an empty pipe fails with EAGAIN',
     line: '(sleep 3; cat "$LOG") | $RUN losses -',
-    out: [LATE, NOTHING_CUT],
+    out: [LATE, NOTHING_SKIPPED],
   },
   {
     name: 'losses without FILE reads a pipe',
-    story: 'what is piped is taken for the argument',
+    failure: 'piped data is taken as the argument',
     line: 'cat "$LOG" | $RUN losses',
-    out: [LATE, NOTHING_CUT],
+    out: [LATE, NOTHING_SKIPPED],
   },
   {
     name: 'losses without FILE reads a redirected file',
-    story: 'what is redirected is taken for the argument',
+    failure: 'redirected data is taken as the argument',
     line: '$RUN losses < "$LOG"',
-    out: [LATE, NOTHING_CUT],
+    out: [LATE, NOTHING_SKIPPED],
   },
   {
     name: 'losses reads a named pipe',
-    story: 'a FILE that is a pipe has no size and no end at the first read',
+    failure: 'a named pipe is read as a regular file, by its size',
     line: '$RUN losses <(head -c 250 "$LOG"; sleep 1; tail -c +251 "$LOG")',
-    out: [LATE, NOTHING_CUT],
+    out: [LATE, NOTHING_SKIPPED],
   },
   {
     name: 'trace reads a pipe that pauses within a line',
-    story: 'the pause is taken for the end, or splits a line',
+    failure: 'the pause is taken as the end of input, or splits a line',
     line: '(sleep 0.5; head -c 250 "$LOG"; sleep 1; tail -c +251 "$LOG") | $RUN trace j',
-    out: [/^0\.030 +n1 +startGiven/m, /^0\.030 +1000 +running/m, NOTHING_CUT],
+    out: [/^0\.030 +n1 +startGiven/m, /^0\.030 +1000 +running/m, NOTHING_SKIPPED],
   },
   {
     name: 'trace - reads a pipe that pauses within a character',
-    story: 'a character of two bytes that comes in two chunks turns into two that are none',
+    failure: 'a two-byte character split over two chunks is decoded as two invalid ones',
     line:
       'L="$(head -1 "$LOG")"; (echo "$L"; printf "%s why=\\303" "$L"; sleep 1; printf "\\274\\n") ' +
       '| $RUN trace j -',
-    out: [/why=ü$/m, NOTHING_CUT],
+    out: [/why=ü$/m, NOTHING_SKIPPED],
   },
   {
-    name: 'a pipe that is cut in mid-line',
-    story: 'the rest of a line reads like a whole one: run=12 that was cut is run=1',
+    name: 'a pipe that ends within a line',
+    failure: 'a truncated line is taken as complete: run=12 is read as run=1',
     line: 'head -c -30 "$LOG" | $RUN losses',
     out: [/^j +q +c +open/m, /passed over: 0 lines of other programs, 1 cut, 0 too long\n$/],
   },
   {
-    name: 'a pipe that is cut behind a pair',
-    story: 'the end of a value cannot be told from a cut within it',
+    name: 'a pipe that ends after a pair',
+    failure: 'a possibly truncated value is taken as complete',
     line: '(cat "$LOG"; printf %s "$(head -1 "$LOG")") | $RUN losses',
     out: [LATE, /passed over: 0 lines of other programs, 1 cut, 0 too long\n$/],
   },
   {
     name: 'a line of megabytes',
-    story: 'a line without an end fills the memory',
+    failure: 'an endless line exhausts the memory',
     line: '(cat "$LOG"; head -c 9000000 /dev/zero | tr "\\0" Z; echo; cat "$LOG") | $RUN losses',
     out: [/passed over: 0 lines of other programs, 0 cut, 1 too long\n$/],
   },
   {
     name: 'an empty pipe',
-    story: 'nothing to read reads like a job that never was',
+    failure: 'empty input gives an empty report instead of an error',
     line: 'true | $RUN losses',
     status: 10,
     error: /^error: invalidRequest: standard input: no line of a process's log\n$/,
   },
   {
-    name: 'a pipe without a line of ours',
-    story: 'what was piped is quoted as a whole',
+    name: 'a pipe without an auburnlift log line',
+    failure: 'the error quotes the whole input',
     line: 'head -c 90000 /dev/zero | tr "\\0" Z | $RUN trace j',
     status: 10,
     error: /^error: invalidRequest: standard input: no line of a process's log\n$/,
   },
   {
     name: 'an empty device',
-    story: 'a FILE that is no plain file is refused',
+    failure: 'a FILE that is not a regular file is rejected',
     line: '$RUN losses /dev/null',
     status: 10,
     error: /^error: invalidRequest: \/dev\/null: no line of a process's log\n$/,
   },
   {
     name: 'no standard input at all',
-    story: 'a program started without one gets a stack trace',
+    failure: 'a program started without standard input prints a stack trace',
     line: '$RUN losses <&-',
     status: 10,
     error: /^error: invalidRequest: standard input: no line of a process's log\n$/,
   },
   {
     name: 'a missing FILE',
-    story: 'the error does not name it',
+    failure: 'the error does not name it',
     line: '$RUN losses "$MISSING"',
     status: 13,
     error: /^error: notFound: \S+missing\.log: ENOENT: no such file or directory\n$/,
   },
   {
-    name: 'a folder',
-    story: 'the error does not name it',
+    name: 'a directory',
+    failure: 'the error does not name it',
     line: '$RUN trace j "$FOLDER"',
     status: 13,
     error: /^error: notFound: \S+pipes-\S+: EISDIR: illegal operation on a directory\n$/,
   },
   {
     name: 'a FILE that may not be read',
-    story: 'the error does not name it',
+    failure: 'the error does not name it',
     line: '$RUN losses "$LOCKED"',
     status: 13,
     error: /^error: notFound: \S+locked\.log: EACCES: permission denied\n$/,
@@ -194,14 +194,14 @@
   },
   {
     name: 'a FILE whose reads fail',
-    story: 'what fails after it was opened ends with a stack trace',
+    failure: 'a read error after opening prints a stack trace',
     line: '$RUN losses /proc/self/mem',
     status: 13,
     error: /^error: notFound: \/proc\/self\/mem: EIO: i\/o error\n$/,
   },
   {
     name: 'no FILE on a terminal',
-    story: 'the command waits for lines without a word',
+    failure: 'the command waits for input without a message',
     line: 'NO_COLOR=1 script -qec "$RUN losses" /dev/null < /dev/null',
     status: 2,
     out: [/^ › {3}Error: FILE is missing: give one, or pipe into the command\r\n$/],
@@ -209,28 +209,28 @@
   },
   {
     name: 'job submit without FILE reads a pipe that pauses',
-    story: 'what is piped is taken for the argument',
+    failure: 'piped data is taken as the argument',
     line: '(printf "{"; sleep 1; printf "}") | $RUN job submit --url http://127.0.0.1:1 --token t',
     status: 10,
     error: /^error: invalidRequest: job refused, nothing ran: jobId: [^\n]*\n$/,
   },
   {
     name: 'config check - reads a pipe that pauses',
-    story: 'a pipe that has nothing yet answers EAGAIN to a read that does not wait',
+    failure: 'a non-blocking read of an empty pipe fails with EAGAIN',
     line: '(sleep 0.5; printf "{") | $RUN config check - --url http://127.0.0.1:1 --token t',
     status: 10,
     error: /^error: invalidRequest: standard input: not JSON with comments: CloseBraceExpected\n$/,
   },
   {
     name: 'a document above its limit',
-    story: 'a document without an end fills the memory',
+    failure: 'an endless document exhausts the memory',
     line: 'yes | $RUN config check - --url http://127.0.0.1:1 --token t',
     status: 15,
     error: /^error: tooLarge: standard input: a document has 8388608 bytes at most\n$/,
   },
   {
-    name: 'a command with a word that is left out',
-    story: 'what is piped to others is taken for the argument',
+    name: 'a command with an omitted optional argument',
+    failure: 'data piped to other commands is taken as the argument',
     line: 'echo nothing | $RUN cells --url http://127.0.0.1:1 --token t',
     status: 42,
     error: /^error: peerUnreachable: [^\n]*\n$/,
@@ -239,31 +239,31 @@
 
 const WRITING: readonly Case[] = [
   {
-    name: 'a reader that is slow',
-    story: 'what the pipe does not hold at the end of the program is lost',
+    name: 'a slow reader',
+    failure: 'output beyond the pipe buffer is lost when the program exits',
     line: '$RUN trace j "$LONG" | (sleep 2; wc -l)',
     out: [/^10011\n$/],
   },
   {
     name: 'a slow reader of JSON',
-    story: 'half a document is no document',
+    failure: 'the document is truncated',
     line: '$RUN config get --json $ACCESS | (sleep 2; wc -c)',
     out: [/^3000\d\d\n$/],
   },
   {
-    name: 'a reader that closes',
-    story: 'a stack trace of EPIPE, or a status that fails a script',
+    name: 'a reader that closes the pipe',
+    failure: 'a stack trace of EPIPE, or an exit status that fails a script',
     line: '$RUN trace j "$LONG" | head -1',
     out: [/^AFTER S +WHERE +WHAT\n$/],
   },
   {
-    name: 'a reader that is gone before the first line',
-    story: 'a stack trace of EPIPE, or a status that fails a script',
+    name: 'a reader that exits before the first line',
+    failure: 'a stack trace of EPIPE, or an exit status that fails a script',
     line: '$RUN losses "$LONG" | true',
   },
   {
     name: 'a reader that closes while a command repeats',
-    story: 'the command goes on asking the entry for nobody',
+    failure: 'the command keeps polling the entry without a reader',
     line: 'timeout 60 $RUN cells --watch 1 $ACCESS | head -1',
     out: [/^CELL +REGION/],
   },
@@ -276,12 +276,12 @@
   assert.equal(run.status, status);
 };
 
-test.describe('what the client reads', { concurrency: 4 }, () => {
+test.describe('input of the client', { concurrency: 4 }, () => {
   for (const it of READING) {
-    test.it(`${it.name}: ${it.story}`, { skip: it.skip ?? false }, () => check(it));
+    test.it(`${it.name}: ${it.failure}`, { skip: it.skip ?? false }, () => check(it));
   }
 });
 
-test.describe('what the client writes', { concurrency: 4 }, () => {
-  for (const it of WRITING) test.it(`${it.name}: ${it.story}`, () => check(it));
+test.describe('output of the client', { concurrency: 4 }, () => {
+  for (const it of WRITING) test.it(`${it.name}: ${it.failure}`, () => check(it));
 });
--- a/src/cli/test/programRun.ts
+++ b/src/cli/test/programRun.ts
@@ -1,5 +1,5 @@
 /**
- * Runs the built client as people do, in a line of a shell, for tests of pipes.
+ * Runs the built client in a shell command, for tests of pipes and exit codes.
  */
 import * as childProcess from 'node:child_process';
 import * as path from 'node:path';
@@ -8,18 +8,18 @@
 const DIST = path.join(path.dirname(url.fileURLToPath(import.meta.url)), '../..');
 const PROGRAM = path.join(DIST, 'bin', 'auburnlift.js');
 
-/** What a line of the shell printed and ended with. */
+/** Output and exit status of a shell command. */
 export interface ShellRun {
   readonly out: string;
   readonly error: string;
-  /** The first status of the line's pipe, from its end, that is not 0. */
+  /** Status of the last command of the pipeline that failed, or 0. */
   readonly status: number | null;
 }
 
 /**
- * @param line - a line for the shell, in which `$RUN` is the client
- * @param variables - further variables of the line
- * @returns what it printed and ended with
+ * @param line - a shell command, in which `$RUN` is the client
+ * @param variables - further environment variables
+ * @returns its output and exit status
  */
 export const runShell = (
   line: string,
--- a/src/cli/test/quoting.test.ts
+++ b/src/cli/test/quoting.test.ts
@@ -1,5 +1,5 @@
 /**
- * The built client on words and documents of thousands of characters: its errors stay readable.
+ * The built client on arguments and documents of thousands of characters: errors must stay readable.
  */
 import * as assert from 'node:assert/strict';
 import * as http from 'node:http';
@@ -11,13 +11,13 @@
 
 const MAX_QUOTED = 200;
 
-/** The letter stands in no word of our own. */
+/** The letter occurs in no message of the client itself. */
 const LONG = 'Z'.repeat(5000);
 
-/** With blanks, as a document has them. */
+/** Long text with spaces, like a document. */
 const TEXT = 'ZZZZ ZZZZ '.repeat(500);
 
-/** An entry that has the configuration of the fixtures, and says again what it does not have. */
+/** An entry with the configuration of the fixtures; its errors repeat the path that was not found. */
 const entry = http.createServer((request, response) => {
   const isConfig = request.url === '/api/config';
   response.statusCode = isConfig ? 200 : 404;
@@ -28,14 +28,14 @@
   response.end(JSON.stringify(answer));
 });
 
-const reach = { access: '' };
+const connection = { access: '' };
 
 test.before(
   () =>
     new Promise<void>((resolve) => {
       entry.listen(0, '127.0.0.1', () => {
         const { port } = entry.address() as net.AddressInfo;
-        reach.access = `--url http://127.0.0.1:${port} --token t`;
+        connection.access = `--url http://127.0.0.1:${port} --token t`;
         resolve();
       });
     }),
@@ -50,16 +50,16 @@
   readonly name: string;
   readonly line: string;
   readonly status: number;
-  /** What the error says besides. */
+  /** Text that the error must also contain. */
   readonly says: RegExp;
 }
 
 const CASES: readonly Case[] = [
   { name: 'a FILE', line: '$RUN losses "$LONG"', status: 13, says: /ENAMETOOLONG/ },
   { name: 'a JOB', line: '$GENERATED | $RUN trace "$LONG"', status: 13, says: /no line names/ },
-  { name: 'a word too many', line: '$RUN losses a "$LONG"', status: 2, says: /Unexpected arg/ },
+  { name: 'an extra argument', line: '$RUN losses a "$LONG"', status: 2, says: /Unexpected arg/ },
   {
-    name: 'many words too many',
+    name: 'many extra arguments',
     line: '$RUN losses a $TEXT',
     status: 2,
     says: /Unexpected arg/,
@@ -67,19 +67,19 @@
   { name: 'an unknown flag', line: '$RUN losses --"$LONG"', status: 2, says: /Nonexistent flag/ },
   { name: 'an unknown command', line: '$RUN "$LONG"', status: 2, says: /Error: command Z/ },
   {
-    name: 'a value that is none of the list',
+    name: 'a value that is not an option',
     line: '$RUN job list --state "$LONG"',
     status: 2,
     says: /Expected --state/,
   },
   {
-    name: 'a value that is no number',
+    name: 'a value that is not a number',
     line: '$RUN cells --watch "$LONG"',
     status: 2,
     says: /Expected an integer/,
   },
   {
-    name: 'a word without =',
+    name: 'an argument without =',
     line: '$RUN customer set acme "$LONG" --reason r $ACCESS',
     status: 10,
     says: /field=value is expected/,
@@ -109,13 +109,13 @@
     says: /notFound: no cell has a job/,
   },
   {
-    name: 'what an entry says again',
+    name: 'input repeated by an entry',
     line: '$RUN upstream drain "$TEXT" $ACCESS',
     status: 13,
     says: /notFound: no \/api\/upstreams/,
   },
   {
-    name: 'what an entry says again, for programs',
+    name: 'input repeated by an entry, as JSON',
     line: '$RUN upstream drain "$LONG" --json $ACCESS',
     status: 13,
     says: /"kind":"notFound"/,
@@ -127,7 +127,7 @@
     says: /standard input refused, nothing ran: customers/,
   },
   {
-    name: 'a field of a document, for programs',
+    name: 'a field of a document, as JSON',
     line: `printf '{"%s": 1}' "$LONG" | $RUN config check --json $ACCESS`,
     status: 10,
     says: /"issues"/,
@@ -143,11 +143,16 @@
 const GENERATED =
   'echo at=2026-05-18T14:00:00.000Z event=jobAccepted role=entry node=e level=info job=j';
 
-test.describe('errors quote 200 characters at most', { concurrency: 4 }, () => {
+test.describe('errors quote at most 200 characters', { concurrency: 4 }, () => {
   for (const { name, line, status, says } of CASES) {
     test.it(name, async () => {
-      const run = await programRun.runShell(line, { LONG, TEXT, GENERATED, ACCESS: reach.access });
-      // Each place of the JSON of an error quotes by itself.
+      const run = await programRun.runShell(line, {
+        LONG,
+        TEXT,
+        GENERATED,
+        ACCESS: connection.access,
+      });
+      // In JSON each string is limited separately.
       const quotes = run.error.startsWith('{') ? run.error.split('"') : [run.error];
       const longest = Math.max(...quotes.map((it) => it.replace(/[^Z]/g, '').length));
       assert.ok(longest <= MAX_QUOTED, `${longest} characters are quoted`);
--- a/src/cli/test/wholeClient.test.ts
+++ b/src/cli/test/wholeClient.test.ts
@@ -1,5 +1,5 @@
 /**
- * The client against a hosted deployment: a job from its submission to its accelerator-hours.
+ * End-to-end test of the client against a hosted deployment: a job from submission to accelerator-hours.
  */
 import * as assert from 'node:assert/strict';
 import * as fs from 'node:fs';
@@ -34,8 +34,8 @@
   payload: '{"runMs":300}',
 };
 
-/** What one run of the client printed and ended with. */
-interface Ran {
+/** Output and exit code of one run of the client. */
+interface ClientRun {
   readonly out: string;
   readonly error: string;
   readonly exitCode: number;
@@ -44,8 +44,12 @@
 const isExit = (thrown: unknown): thrown is { readonly oclif: { readonly exit: number } } =>
   typeof thrown === 'object' && thrown !== null && 'oclif' in thrown;
 
-/** Runs a command in this process, as the program does, and catches what it prints. */
-const run = async (config: oclif.Config, id: string, args: readonly string[]): Promise<Ran> => {
+/** Runs a command in this process, as the program does, and captures its output. */
+const run = async (
+  config: oclif.Config,
+  id: string,
+  args: readonly string[],
+): Promise<ClientRun> => {
   const printed = { out: '', error: '' };
   const { write: writeOut } = process.stdout;
   const { write: writeError } = process.stderr;
@@ -64,14 +68,14 @@
     if (!isExit(thrown)) throw thrown;
     return { ...printed, exitCode: thrown.oclif.exit };
   } finally {
-    // oclif leaves the command's status in the process, which is the test's own here.
+    // oclif sets the exit code of the process, which here is that of the test.
     process.exitCode = undefined;
     process.stdout.write = writeOut;
     process.stderr.write = writeError;
   }
 };
 
-test.test('an operator submits a job, and the client explains and accounts for it', async () => {
+test.test('the client submits, explains and accounts for a job', async () => {
   const fileOf = (name: string): string => path.join(EXAMPLE, name);
   const machines = settingsFile.readSettings(deployment.Deployment, fileOf('deployment.jsonc'));
   const document = settingsFile.readSettings(
@@ -82,9 +86,9 @@
   const config = await oclif.Config.load(ROOT);
   const { operatorsUrl } = host.entries[0]?.program ?? { operatorsUrl: '' };
   const access = ['--url', operatorsUrl, '--token', host.operatorToken];
-  const client = (id: string, ...args: readonly string[]): Promise<Ran> =>
+  const client = (id: string, ...args: readonly string[]): Promise<ClientRun> =>
     run(config, id, [...args, ...access]);
-  const until = async (id: string, args: readonly string[], text: string): Promise<Ran> => {
+  const until = async (id: string, args: readonly string[], text: string): Promise<ClientRun> => {
     let last = await client(id, ...args);
     for (let turn = 0; turn < TRIES && !last.out.includes(text); turn += 1) {
       await new Promise((resolve) => {
--- a/src/cli/textTable.ts
+++ b/src/cli/textTable.ts
@@ -1,8 +1,8 @@
 /**
- * Rows as text: aligned columns for people, comma-separated values for programs.
+ * Formats rows as text: aligned columns for people, comma-separated values for programs.
  */
 
-/** A cell of a table; numbers stand at the right. */
+/** A cell of a table; numbers are aligned to the right. */
 export type Cell = string | number | boolean | undefined;
 
 /** A table with the names of its columns. */
@@ -11,8 +11,8 @@
   readonly rows: readonly (readonly Cell[])[];
 }
 
-/** What a terminal would take for a command is shown as a question mark. */
-// eslint-disable-next-line no-control-regex -- control characters are what is looked for
+/** Control characters, which a terminal could execute, are shown as question marks. */
+// eslint-disable-next-line no-control-regex -- matches control characters on purpose
 const CONTROL = /[\u0000-\u001f\u007f-\u009f]/g;
 
 const textOf = (cell: Cell): string => (cell === undefined ? '-' : String(cell));
@@ -32,7 +32,7 @@
       .map((width, index) => {
         const text = printable(row[index]);
         if (typeof row[index] === 'number') return text.padStart(width);
-        // One long text at the end must not make every row as long.
+        // The last column is not padded: one long text would make every row as long.
         return index === widths.length - 1 ? text : text.padEnd(width);
       })
       .join('  ')
@@ -40,7 +40,7 @@
   return [format(table.columns.map((it) => it.toUpperCase())), ...table.rows.map(format)];
 };
 
-/** A spreadsheet takes a text that begins so for a formula. */
+/** Matches the start of texts that a spreadsheet would interpret as a formula. */
 const FORMULA = /^[=+\-@\t\r]/;
 
 const quote = (cell: Cell): string => {
@@ -51,7 +51,7 @@
 
 /**
  * @param table - rows of any width
- * @returns lines as RFC 4180 wants them, with a heading
+ * @returns lines in the format of RFC 4180, with a heading
  */
 export const formatCsv = (table: Table): readonly string[] =>
   [table.columns, ...table.rows].map((row) => row.map(quote).join(','));
