--- a/src/transport/node/answerTimeout.ts
+++ b/src/transport/node/answerTimeout.ts
@@ -1,26 +1,26 @@
 /**
- * How long an exchange waits for its answer: until it begins, and then from piece to piece.
+ * Timeout of an HTTP response: first until its first bytes arrive, then between chunks.
  *
- * Guards against an answer that is longer than a line carries in the time given: begun again from its first
- * byte each time, it never arrives, and keeps the line full for everybody else.
+ * With one fixed timeout, a response too long for the link never arrives: each retry starts again at the
+ * first byte, and the retries use up the link's bandwidth for all other traffic.
  */
 import type * as clock from '../../base/common/clock.js';
 import type * as disposable from '../../base/common/disposable.js';
 import type * as http from '../../base/common/http.js';
 
-/** The wait for one answer. */
+/** Running timeout of one response. */
 export interface AnswerTimeout extends disposable.Disposable {
-  /** A piece of the answer has come. */
-  readonly noteArrival: () => void;
+  /** Restarts the timeout when a chunk arrives; without `transfer` limits it does nothing. */
+  readonly recordArrival: () => void;
 }
 
 const MS_PER_S = 1000;
 
 /**
  * @param time - the clock
- * @param request - how long the wait may be, and what is sent before it
- * @param onExpire - called once where the wait is over, unless it was disposed before
- * @returns the wait, which has begun
+ * @param request - time limits, and the request body, whose sending time is added if `transfer` is set
+ * @param onExpire - called once when the timeout expires, unless it is disposed first
+ * @returns the timeout, already running
  */
 export const startAnswerTimeout = (
   time: clock.Clock,
@@ -33,7 +33,7 @@
   let timer = time.after(timeoutMs + sendingMs, onExpire);
   let endMs: number | undefined;
   return {
-    noteArrival: () => {
+    recordArrival: () => {
       if (transfer === undefined) return;
       const nowMs = time.monotonicMs();
       endMs ??= nowMs + transfer.maxMs;
--- a/src/transport/node/httpClient.ts
+++ b/src/transport/node/httpClient.ts
@@ -1,10 +1,10 @@
 /**
- * HTTP exchanges over pooled connections that are kept open, with whole answers only.
+ * HTTP client with pooled keep-alive connections that returns complete responses only.
  *
- * Guards against connections that have gone silent while new ones work: when an exchange times out
- * or is cut, every idle connection to that address is closed with it, since whatever lost track of
- * one has probably lost track of the others; and no connection is used beyond a bounded age, which
- * lies below the usual state time-outs of balancers and firewalls.
+ * Guards against established connections that stop carrying data while new ones work: when an exchange
+ * times out or breaks off, all idle connections to that address are closed too, since a firewall that lost
+ * the state of one has probably lost the others. Connections are also replaced at a maximum age below
+ * the usual state timeouts of load balancers and firewalls.
  */
 import * as nodeHttp from 'node:http';
 
@@ -14,31 +14,31 @@
 
 import * as answerTimeout from './answerTimeout.js';
 
-/** Limits of the pool. */
+/** Limits of the connection pools. */
 export interface HttpClientOptions {
-  /** Connections to one address, in use or idle. */
+  /** Maximum number of connections to one address, in use or idle. */
   readonly maxConnections: number;
-  /** An idle connection is closed after this time. */
+  /** Idle time after which a connection is closed. */
   readonly maxIdleMs: number;
-  /** A connection is given no new exchange after this time; by default 50 s. */
+  /** Age after which a connection gets no new exchange; by default 50 s. */
   readonly maxAgeMs?: number;
-  /** A larger answer is an error. */
+  /** Maximum length of a response body; a longer one is an error. */
   readonly maxReplyBytes: number;
   readonly clock: clock.Clock;
 }
 
-/** Below a minute, where the usual state time-outs of balancers and firewalls start. */
+/** Below a minute, the shortest usual state timeout of load balancers and firewalls. */
 const DEFAULT_MAX_AGE_MS = 50_000;
 
 interface Pool {
   readonly agent: nodeHttp.Agent;
-  readonly madeAtMs: number;
+  readonly createdAtMs: number;
 }
 
-/** A pool of connections. Disposing it closes them all. */
+/** HTTP client with a connection pool per address. Disposing it closes all connections. */
 export interface HttpClient extends disposable.Disposable {
   readonly call: http.HttpCall;
-  /** Forgets all idle connections to an address. */
+  /** Closes all idle connections to an address. */
   readonly dropIdle: (address: http.Address) => void;
 }
 
@@ -59,57 +59,59 @@
     scheduling: 'lifo',
   });
 
-/** What has come of an answer. */
-interface Arrived {
+/** What has been received of a response so far. */
+interface ReceivedState {
   readonly status: number | undefined;
   readonly bytes: number;
 }
 
-const describeArrived = ({ status, bytes }: Arrived): string =>
-  status === undefined ? 'nothing came' : `status ${status} and ${bytes} bytes came`;
+const describeReceived = ({ status, bytes }: ReceivedState): string =>
+  status === undefined
+    ? 'nothing was received'
+    : `status ${status} and ${bytes} bytes were received`;
 
-/** A body up to this length costs less than the connection that is closed where it is left unread. */
+/** Reading a body up to this length costs less than closing the connection, which skipping it requires. */
 const SHORT_BODY_BYTES = 16_384;
 
-const isLeftUnread = (request: http.HttpRequest, message: nodeHttp.IncomingMessage): boolean => {
+const shouldSkipBody = (request: http.HttpRequest, message: nodeHttp.IncomingMessage): boolean => {
   const isOfNoUse = request.unreadStatuses?.includes(message.statusCode ?? 0) ?? false;
   const length = Number(message.headers['content-length'] ?? Infinity);
   return isOfNoUse && length > SHORT_BODY_BYTES;
 };
 
-/** Who hears of an answer. */
+/** Callbacks for the progress of a response. */
 interface Collector {
-  /** Its head has come, or a piece of its body. */
-  readonly onArrival: (arrived: Arrived, piece?: Uint8Array) => void;
-  readonly onWhole: (reply: http.HttpReply) => void;
-  readonly onCut: (reason: string) => void;
+  /** Called when the head arrives, without a chunk, and then for each chunk of the body. */
+  readonly onArrival: (received: ReceivedState, chunk?: Uint8Array) => void;
+  readonly onComplete: (reply: http.HttpReply) => void;
+  readonly onBroken: (reason: string) => void;
 }
 
-/** Collects an answer; only one that arrived whole is given on. */
+/** Collects a response body; `onComplete` is called only if the whole body was received. */
 const collect = (
   message: nodeHttp.IncomingMessage,
   maxBytes: number,
-  { onArrival, onWhole, onCut }: Collector,
+  { onArrival, onComplete, onBroken }: Collector,
 ): void => {
   const chunks: Buffer[] = [];
   let size = 0;
-  const note = (piece?: Uint8Array): void =>
-    onArrival({ status: message.statusCode, bytes: size }, piece);
-  note();
+  const reportArrival = (chunk?: Uint8Array): void =>
+    onArrival({ status: message.statusCode, bytes: size }, chunk);
+  reportArrival();
   message.on('data', (chunk: Buffer) => {
     size += chunk.length;
     chunks.push(chunk);
-    note(chunk);
-    if (size > maxBytes) message.destroy(new Error(`answer above ${maxBytes} bytes`));
+    reportArrival(chunk);
+    if (size > maxBytes) message.destroy(new Error(`response longer than ${maxBytes} bytes`));
   });
-  message.on('error', (error) => onCut(error.message));
+  message.on('error', (error) => onBroken(error.message));
   message.on('close', () => {
-    if (!message.complete) onCut('the answer was cut short');
+    if (!message.complete) onBroken('the response was cut short');
   });
   message.on('end', () => {
     if (!message.complete) return;
     const status = message.statusCode ?? 0;
-    onWhole({ status, headers: headersOf(message), body: Buffer.concat(chunks, size) });
+    onComplete({ status, headers: headersOf(message), body: Buffer.concat(chunks, size) });
   });
 };
 
@@ -120,12 +122,12 @@
 ): Promise<http.HttpReply> =>
   new Promise((resolve, reject) => {
     if (request.signal?.aborted === true) {
-      // A request that is made and destroyed at once fails where nobody listens yet, which ends the process.
-      reject(new http.HttpCallError(http.HttpFailure.aborted, 'withdrawn'));
+      // Creating and immediately destroying a request emits an error before a listener exists, which ends the process.
+      reject(new http.HttpCallError(http.HttpFailure.aborted, 'aborted by the caller'));
       return;
     }
     let isConnected = false;
-    let arrived: Arrived = { status: undefined, bytes: 0 };
+    let received: ReceivedState = { status: undefined, bytes: 0 };
     const outgoing = nodeHttp.request({
       agent,
       host: request.address.host,
@@ -142,29 +144,29 @@
     const timer = answerTimeout.startAnswerTimeout(options.clock, request, () =>
       fail(
         http.HttpFailure.timeout,
-        `no whole answer within ${request.timeoutMs} ms; ${describeArrived(arrived)}`,
+        `no complete response within ${request.timeoutMs} ms; ${describeReceived(received)}`,
       ),
     );
-    const onAbort = (): void => fail(http.HttpFailure.aborted, 'withdrawn');
+    const onAbort = (): void => fail(http.HttpFailure.aborted, 'aborted by the caller');
     request.signal?.addEventListener('abort', onAbort, { once: true });
-    const cut = (message: string): void =>
+    const failTransport = (message: string): void =>
       fail(isConnected ? http.HttpFailure.lost : http.HttpFailure.notSent, message);
     outgoing.on('socket', (socket) => {
-      // A pooled connection may have carried bytes to the other side before it broke.
+      // A pooled connection is already established, so the peer may have received bytes before it broke.
       isConnected = !socket.connecting;
       if (isConnected) return;
       socket.once('connect', () => {
         isConnected = true;
       });
     });
-    outgoing.on('error', (error) => cut(error.message));
+    outgoing.on('error', (error) => failTransport(error.message));
     outgoing.on('close', () => request.signal?.removeEventListener('abort', onAbort));
     const settle = (reply: http.HttpReply): void => {
       void timer.dispose();
       resolve(reply);
     };
     outgoing.on('response', (message) => {
-      if (isLeftUnread(request, message)) {
+      if (shouldSkipBody(request, message)) {
         const status = message.statusCode ?? 0;
         request.onArrival?.(status);
         settle({ status, headers: headersOf(message), body: Buffer.alloc(0) });
@@ -172,43 +174,43 @@
         return;
       }
       collect(message, options.maxReplyBytes, {
-        onArrival: (seen, piece) => {
-          arrived = seen;
-          timer.noteArrival();
-          request.onArrival?.(message.statusCode ?? 0, piece);
+        onArrival: (state, chunk) => {
+          received = state;
+          timer.recordArrival();
+          request.onArrival?.(message.statusCode ?? 0, chunk);
         },
-        onWhole: settle,
-        onCut: cut,
+        onComplete: settle,
+        onBroken: failTransport,
       });
     });
     outgoing.end(request.body);
   });
 
 /**
- * @param options - limits of the pool
- * @returns a pool without connections
+ * @param options - limits of the connection pools
+ * @returns a client without open connections
  */
 export const createHttpClient = (options: HttpClientOptions): HttpClient => {
   const pools = new Map<string, Pool>();
   const maxAgeMs = options.maxAgeMs ?? DEFAULT_MAX_AGE_MS;
-  /** No connection is older than its pool, so that the pool's age bounds theirs. */
+  /** Replaces a pool at the maximum age; no connection is older than its pool, so its age is bounded too. */
   const agentFor = (address: http.Address): nodeHttp.Agent => {
     const key = http.formatAddress(address);
     const nowMs = options.clock.monotonicMs();
     const known = pools.get(key);
-    if (known !== undefined && nowMs - known.madeAtMs < maxAgeMs) return known.agent;
+    if (known !== undefined && nowMs - known.createdAtMs < maxAgeMs) return known.agent;
     dropIdle(address);
-    const pool = { agent: createAgent(options), madeAtMs: nowMs };
+    const pool = { agent: createAgent(options), createdAtMs: nowMs };
     pools.set(key, pool);
     return pool.agent;
   };
-  /** Open exchanges keep their connections; the next exchange gets a new pool. */
+  /** Exchanges in flight keep their connections; the next exchange gets a new pool. */
   const dropIdle = (address: http.Address): void => {
     const key = http.formatAddress(address);
     const agent = pools.get(key)?.agent;
     if (agent === undefined) return;
     pools.delete(key);
-    // Connections in use are closed when their exchange ends; nothing would use them again.
+    // Connections in use are closed when their exchange ends, since this pool gets no new exchanges.
     agent.maxFreeSockets = 0;
     for (const sockets of Object.values(agent.freeSockets)) {
       sockets?.forEach((socket) => socket.destroy());
--- a/src/transport/node/httpServer.ts
+++ b/src/transport/node/httpServer.ts
@@ -1,5 +1,5 @@
 /**
- * HTTP servers of the system: bounded bodies, typed errors, and a shutdown that cuts off nothing.
+ * HTTP server with bounded bodies, typed errors, and a shutdown that lets open requests finish within a time limit.
  */
 import * as nodeHttp from 'node:http';
 import type * as net from 'node:net';
@@ -9,7 +9,7 @@
 import * as errors from '../../base/common/errors.js';
 import type * as http from '../../base/common/http.js';
 
-/** A request with its whole body. */
+/** A request with its complete body. */
 export interface ServerRequest {
   readonly method: string;
   /** Path without the query. */
@@ -17,24 +17,24 @@
   readonly query: URLSearchParams;
   readonly headers: nodeHttp.IncomingHttpHeaders;
   readonly body: Uint8Array;
-  /** Aborted when the caller goes away before it has its answer. */
+  /** Aborted if the caller disconnects before the response is sent. */
   readonly signal: AbortSignal;
 }
 
-/** An answer with its whole body. */
+/** A response with its complete body. */
 export interface ServerReply {
   readonly status: number;
   readonly headers?: Readonly<Record<string, string>>;
   readonly body?: string | Uint8Array;
 }
 
-/** Answers one request; what it throws is answered from the error table. */
+/** Handles one request; a thrown error is turned into a response by the error table. */
 export type Handler = (request: ServerRequest) => Promise<ServerReply>;
 
 /** Limits of a server. */
 export interface HttpServerOptions {
   readonly host: string;
-  /** 0 takes any free port. */
+  /** 0 selects any free port. */
   readonly port: number;
   readonly maxBodyBytes: number;
   readonly maxConnections: number;
@@ -43,43 +43,43 @@
 /** A listening server. */
 export interface HttpServer extends disposable.Disposable {
   readonly address: http.Address;
-  /** Requests whose answers are not yet sent. */
+  /** Number of requests whose responses have not been sent. */
   readonly openRequests: () => number;
-  /** Asks callers to close their connections with their next answer; goes on accepting. */
+  /** Asks callers to close their connections after the next response; new connections are still accepted. */
   readonly discourage: () => void;
   /**
-   * Answers what is open, asks callers to close their connections and stops accepting.
+   * Stops accepting connections, asks callers to close theirs and waits for open requests to finish.
    *
-   * @param timeoutMs - after it, what is still open is cut
+   * @param timeoutMs - time after which requests still open are cut off
    */
   readonly drain: (timeoutMs: number) => Promise<void>;
 }
 
-/** Time an idle connection is kept for its caller. */
+/** Time after which an idle connection is closed. */
 const KEEP_ALIVE_MS = 65_000;
 
-/** How often a draining server looks whether it is empty. */
+/** Interval at which a draining server checks for open requests. */
 const DRAIN_POLL_MS = 10;
 
-/** Bytes of bodies that a server holds at once, from their arrival to the end of their answers. */
-interface HeldBytes {
-  now: number;
+/** Request body bytes in memory, counted from their arrival until the response is closed. */
+interface BufferedBytes {
+  current: number;
   readonly max: number;
 }
 
-/** Time after which a caller may find room again. */
-const HELD_RETRY_MS = 1000;
+/** Retry delay sent to callers that were refused because of buffered bytes. */
+const BUFFER_RETRY_MS = 1000;
 
 const readBody = async (
   message: nodeHttp.IncomingMessage,
   maxBytes: number,
-  hold: (bytes: number) => void,
+  reserve: (bytes: number) => void,
 ): Promise<Uint8Array> => {
   const chunks: Buffer[] = [];
   let size = 0;
   for await (const chunk of message) {
     size += (chunk as Buffer).length;
-    hold((chunk as Buffer).length);
+    reserve((chunk as Buffer).length);
     if (size > maxBytes) {
       throw errors.fail('tooLarge', `the body is larger than ${maxBytes} bytes; nothing ran`, {
         field: 'body',
@@ -92,7 +92,7 @@
 
 /**
  * @param thrown - anything caught
- * @returns the answer from the error table
+ * @returns the response that the error table gives for it
  */
 export const errorReply = (thrown: unknown): ServerReply => {
   const error = errors.normalize(thrown);
@@ -108,9 +108,9 @@
 };
 
 /**
- * @param value - anything that JSON can hold
+ * @param value - anything that JSON can represent
  * @param status - HTTP status
- * @returns the answer
+ * @returns the JSON response
  */
 export const jsonReply = (value: unknown, status = 200): ServerReply => ({
   status,
@@ -121,7 +121,7 @@
 /**
  * @param request - a request
  * @returns its body as JSON
- * @throws AuburnliftError `invalidRequest` where it is not JSON
+ * @throws AuburnliftError `invalidRequest` if it is not JSON
  */
 export const parseJsonBody = (request: ServerRequest): unknown => {
   try {
@@ -148,45 +148,45 @@
 };
 
 /**
- * @param handler - answers the requests
- * @param maxBodyBytes - limit of a body
- * @param maxHeldBytes - limit of all bodies that are held; a burst of large ones would otherwise
- *   take the process's memory long before the limit on requests is reached
+ * @param handler - handles the requests
+ * @param maxBodyBytes - limit of one body
+ * @param maxBufferedBytes - limit of all bodies in memory together; without it a burst of large ones
+ *   would use up the process's memory long before the limit on requests is reached
  * @returns a listener for a plain Node server
  */
 export const toListener = (
   handler: Handler,
   maxBodyBytes: number,
-  maxHeldBytes = Infinity,
+  maxBufferedBytes = Infinity,
 ): ((message: nodeHttp.IncomingMessage, response: nodeHttp.ServerResponse) => Promise<void>) => {
-  const held: HeldBytes = { now: 0, max: maxHeldBytes };
+  const buffered: BufferedBytes = { current: 0, max: maxBufferedBytes };
   return async (message, response) => {
-    const gone = new AbortController();
-    let own = 0;
-    const hold = (bytes: number): void => {
-      own += bytes;
-      held.now += bytes;
-      if (held.now > held.max) {
-        throw errors.fail('overloaded', 'too many bytes are held; nothing ran', {
-          retryAfterMs: HELD_RETRY_MS,
+    const disconnected = new AbortController();
+    let requestBytes = 0;
+    const reserve = (bytes: number): void => {
+      requestBytes += bytes;
+      buffered.current += bytes;
+      if (buffered.current > buffered.max) {
+        throw errors.fail('overloaded', 'too many body bytes are buffered; nothing ran', {
+          retryAfterMs: BUFFER_RETRY_MS,
         });
       }
     };
     response.on('close', () => {
-      held.now -= own;
-      own = 0;
-      if (!response.writableFinished) gone.abort();
+      buffered.current -= requestBytes;
+      requestBytes = 0;
+      if (!response.writableFinished) disconnected.abort();
     });
     let reply: ServerReply;
     try {
-      const body = await readBody(message, maxBodyBytes, hold);
-      reply = await handler(toServerRequest(message, body, gone.signal));
+      const body = await readBody(message, maxBodyBytes, reserve);
+      reply = await handler(toServerRequest(message, body, disconnected.signal));
     } catch (thrown) {
       reply = errorReply(thrown);
     }
     if (response.destroyed) return;
     const body = Buffer.from(reply.body ?? '');
-    // A body that was not read to its end leaves the connection in the middle of a request.
+    // The unread rest of the body would be parsed as the next request, so the connection can't be reused.
     if (!message.complete) response.setHeader('connection', 'close');
     response.writeHead(reply.status, {
       ...reply.headers,
@@ -196,7 +196,7 @@
   };
 };
 
-/** Answers a request by Node's own objects; used where a library brings the handler. */
+/** Handles a request with Node's own objects; needed for handlers that a library provides. */
 export type Listener = (
   message: nodeHttp.IncomingMessage,
   response: nodeHttp.ServerResponse,
@@ -212,9 +212,9 @@
 };
 
 /**
- * @param options - where to listen, and limits
- * @param listener - answers the requests
- * @returns the server, once it listens
+ * @param options - listening address and limits
+ * @param listener - handles the requests
+ * @returns the server, once it is listening
  */
 export const listen = async (
   options: HttpServerOptions,
@@ -235,7 +235,7 @@
     server.listen(options.port, options.host, resolve);
   });
   const { port } = server.address() as net.AddressInfo;
-  /** Answers under way are told too: their callers' next requests would come to a closed server. */
+  /** Includes open responses: their callers would otherwise send the next request to a closed server. */
   const discourage = (): void => {
     isDraining = true;
     open.forEach((it) => {
--- a/src/transport/node/test/answerTimeout.test.ts
+++ b/src/transport/node/test/answerTimeout.test.ts
@@ -1,5 +1,5 @@
 /**
- * When an exchange gives its answer up.
+ * Tests when the timeout of a response expires.
  */
 import * as assert from 'node:assert/strict';
 import * as test from 'node:test';
@@ -12,9 +12,9 @@
   readonly name: string;
   readonly transfer?: http.TransferLimits;
   readonly sentBytes?: number;
-  /** When pieces come. */
+  /** Times at which chunks arrive. */
   readonly arrivalsMs: readonly number[];
-  /** When it is given up, where nobody ends it. */
+  /** Expected expiry if the timeout is not disposed. */
   readonly expiresAtMs: number;
 }
 
@@ -22,49 +22,49 @@
 const TRANSFER: http.TransferLimits = { maxMs: 5000, maxPauseMs: 600, minBytesPerS: 100_000 };
 
 const CASES: readonly Case[] = [
-  { name: 'nothing comes', arrivalsMs: [], expiresAtMs: 450 },
+  { name: 'nothing arrives', arrivalsMs: [], expiresAtMs: 450 },
   {
-    name: 'nothing comes of what may be long',
+    name: 'nothing arrives of a response that may be long',
     transfer: TRANSFER,
     arrivalsMs: [],
     expiresAtMs: 450,
   },
   {
-    name: 'nothing comes after a long request',
+    name: 'nothing arrives after a long request with transfer limits',
     transfer: TRANSFER,
     sentBytes: 50_000,
     arrivalsMs: [],
     expiresAtMs: 950,
   },
   {
-    name: 'nothing comes after a long request that has to be short',
+    name: 'nothing arrives after a long request without transfer limits',
     sentBytes: 50_000,
     arrivalsMs: [],
     expiresAtMs: 450,
   },
   {
-    name: 'pieces come of what has to be short',
+    name: 'chunks arrive without transfer limits',
     arrivalsMs: [100, 300],
     expiresAtMs: 450,
   },
   {
-    name: 'pieces come for longer than the wait, then none',
+    name: 'chunks arrive for longer than the timeout, then stop',
     transfer: TRANSFER,
     arrivalsMs: [300, 700, 1100, 1500],
     expiresAtMs: 2100,
   },
   {
-    name: 'pieces never end',
+    name: 'chunks never stop arriving',
     transfer: { ...TRANSFER, maxMs: 1000 },
     arrivalsMs: [200, 500, 800, 1100],
     expiresAtMs: 1200,
   },
 ];
 
-// Guards against an answer that is given up while it comes, and against one that never ends.
-test.describe('the wait for an answer', () => {
+// Guards against abandoning a response that is still arriving, and against waiting forever for one that never ends.
+test.describe('response timeout', () => {
   for (const { name, transfer, sentBytes = 0, arrivalsMs, expiresAtMs } of CASES) {
-    test.it(`ends at ${expiresAtMs} ms where ${name}`, async () => {
+    test.it(`expires at ${expiresAtMs} ms if ${name}`, async () => {
       const time = clock.createFakeClock();
       let expiredAtMs: number | undefined;
       const body = new Uint8Array(sentBytes);
@@ -73,27 +73,27 @@
         body,
         ...(transfer === undefined ? {} : { transfer }),
       };
-      const wait = answerTimeout.startAnswerTimeout(time, request, () => {
+      const timeout = answerTimeout.startAnswerTimeout(time, request, () => {
         expiredAtMs = time.monotonicMs();
       });
       for (const atMs of arrivalsMs) {
         await time.advance(atMs - time.monotonicMs());
-        wait.noteArrival();
+        timeout.recordArrival();
       }
       await time.advance(10_000);
       assert.equal(expiredAtMs, expiresAtMs);
     });
   }
 
-  test.it('does not end once it is disposed', async () => {
+  test.it('does not expire after it is disposed', async () => {
     const time = clock.createFakeClock();
     let isExpired = false;
     const request = { timeoutMs: TIMEOUT_MS, transfer: TRANSFER, body: new Uint8Array(0) };
-    const wait = answerTimeout.startAnswerTimeout(time, request, () => {
+    const timeout = answerTimeout.startAnswerTimeout(time, request, () => {
       isExpired = true;
     });
-    wait.noteArrival();
-    await wait.dispose();
+    timeout.recordArrival();
+    await timeout.dispose();
     await time.advance(10_000);
     assert.equal(isExpired, false);
   });
--- a/src/transport/node/test/connections.test.ts
+++ b/src/transport/node/test/connections.test.ts
@@ -1,5 +1,5 @@
 /**
- * Connections that go silent or old, and servers that leave, over real sockets.
+ * Tests over real sockets: stalled, old and cut connections, and servers that drain.
  */
 import * as assert from 'node:assert/strict';
 import * as net from 'node:net';
@@ -27,25 +27,25 @@
 const serve = (handler: httpServer.Handler): Promise<httpServer.HttpServer> =>
   httpServer.listen(LISTEN, httpServer.toListener(handler, LISTEN.maxBodyBytes));
 
-/** Passes bytes between client and server until it is told to lose track of what it has. */
-const createLine = async (
+/** TCP proxy between client and server; `forget` stops forwarding on its current connections without closing them. */
+const createProxy = async (
   target: http.Address,
 ): Promise<{
   address: http.Address;
   forget: () => void;
-  made: () => number;
+  connectionCount: () => number;
   close: () => void;
 }> => {
   const pairs: net.Socket[] = [];
-  let made = 0;
-  const server = net.createServer((near) => {
-    made += 1;
-    const far = net.connect(target.port, target.host);
-    [near, far].forEach((it) => it.on('error', () => {}));
-    near.pipe(far).pipe(near);
-    near.on('close', () => far.destroy());
-    far.on('close', () => near.destroy());
-    pairs.push(near, far);
+  let connectionCount = 0;
+  const server = net.createServer((clientSocket) => {
+    connectionCount += 1;
+    const serverSocket = net.connect(target.port, target.host);
+    [clientSocket, serverSocket].forEach((it) => it.on('error', () => {}));
+    clientSocket.pipe(serverSocket).pipe(clientSocket);
+    clientSocket.on('close', () => serverSocket.destroy());
+    serverSocket.on('close', () => clientSocket.destroy());
+    pairs.push(clientSocket, serverSocket);
   });
   await new Promise<void>((resolve) => {
     server.listen(0, '127.0.0.1', resolve);
@@ -58,7 +58,7 @@
         it.unpipe();
         it.pause();
       }),
-    made: () => made,
+    connectionCount: () => connectionCount,
     close: () => {
       server.close();
       pairs.forEach((it) => it.destroy());
@@ -66,23 +66,23 @@
   };
 };
 
-test.test('after one silent exchange every idle connection is replaced', async () => {
-  // A firewall loses track of the open connections between entry and agent: each looks open and
-  // carries nothing. If only the one that timed out were closed, every other would cost a caller
-  // its deadline in turn.
+test.test('after one exchange without a response every idle connection is replaced', async () => {
+  // A firewall drops the state of the connections between entry and agent: each looks open but
+  // carries no data. If only the connection that timed out were closed, each of the others would
+  // make one more caller miss its deadline.
   const server = await serve(() => Promise.resolve({ status: 200 }));
-  const line = await createLine(server.address);
+  const proxy = await createProxy(server.address);
   const client = httpClient.createHttpClient({ ...LIMITS, clock: systemClock.systemClock });
-  const four = () => Promise.all([1, 2, 3, 4].map(() => client.call(requestTo(line.address))));
-  await four();
-  line.forget();
-  await assert.rejects(client.call(requestTo(line.address, 100)), { failure: 'timeout' });
-  const replies = await four();
+  const sendFour = () => Promise.all([1, 2, 3, 4].map(() => client.call(requestTo(proxy.address))));
+  await sendFour();
+  proxy.forget();
+  await assert.rejects(client.call(requestTo(proxy.address, 100)), { failure: 'timeout' });
+  const replies = await sendFour();
   assert.deepEqual(
     replies.map((it) => it.status),
     [200, 200, 200, 200],
   );
-  line.close();
+  proxy.close();
   await client.dispose();
   await server.dispose();
 });
@@ -95,13 +95,28 @@
 }
 
 const UNREAD_CASES: readonly UnreadCase[] = [
-  { name: 'a long body of no use is left unread', bodyBytes: 900_000, status: 412, readBytes: 0 },
-  { name: 'a short one is read', bodyBytes: 100, status: 412, readBytes: 100 },
-  { name: 'a long one of use is read', bodyBytes: 900_000, status: 200, readBytes: 900_000 },
+  {
+    name: 'a long body with an unneeded status is not read',
+    bodyBytes: 900_000,
+    status: 412,
+    readBytes: 0,
+  },
+  {
+    name: 'a short body with an unneeded status is read',
+    bodyBytes: 100,
+    status: 412,
+    readBytes: 100,
+  },
+  {
+    name: 'a long body with another status is read',
+    bodyBytes: 900_000,
+    status: 200,
+    readBytes: 900_000,
+  },
 ];
 
 for (const { name, bodyBytes, status, readBytes } of UNREAD_CASES) {
-  // Guards against refusals that carry a large record, one copy a call, over a narrow line.
+  // Guards against low-bandwidth links filled by refusals that carry a copy of a large record each.
   test.test(`${name}, and the next exchange works`, async () => {
     const server = await serve(() =>
       Promise.resolve({ status, body: Buffer.alloc(bodyBytes, 'x') }),
@@ -119,18 +134,18 @@
   });
 }
 
-test.test('a connection gets no exchange beyond its age', async () => {
+test.test('a connection gets no new exchange after its maximum age', async () => {
   const server = await serve(() => Promise.resolve({ status: 200 }));
-  const line = await createLine(server.address);
+  const proxy = await createProxy(server.address);
   const time = clock.createFakeClock();
   const client = httpClient.createHttpClient({ ...LIMITS, clock: time, maxAgeMs: 1000 });
-  await client.call(requestTo(line.address));
-  await client.call(requestTo(line.address));
-  assert.equal(line.made(), 1);
+  await client.call(requestTo(proxy.address));
+  await client.call(requestTo(proxy.address));
+  assert.equal(proxy.connectionCount(), 1);
   await time.advance(1000);
-  await client.call(requestTo(line.address));
-  assert.equal(line.made(), 2);
-  line.close();
+  await client.call(requestTo(proxy.address));
+  assert.equal(proxy.connectionCount(), 2);
+  proxy.close();
   await client.dispose();
   await server.dispose();
 });
@@ -142,7 +157,7 @@
 ];
 
 for (const { name, bytes } of CUT_ANSWERS) {
-  test.test(`an answer that is cut ${name} is never given on`, async () => {
+  test.test(`a response that is cut off ${name} is reported as lost`, async () => {
     const server = net.createServer((socket) => {
       socket.once('data', () => socket.end(bytes));
     });
@@ -157,69 +172,75 @@
   });
 }
 
-test.test('a server that leaves answers what it has and asks callers to close', async () => {
-  // An entry is replaced while a plan is being made. Its caller must get the whole plan, and its
-  // next call must go to another entry.
-  let finish = (): void => {};
-  const isReached = new Promise<void>((reached) => {
-    finish = reached;
-  });
-  let answer = (): void => {};
-  const server = await serve(async () => {
-    await new Promise<void>((resolve) => {
-      answer = resolve;
-      finish();
+test.test(
+  'a draining server answers open requests and asks callers to close their connections',
+  async () => {
+    // An entry is replaced while it handles a request. The caller must get the complete response, and
+    // its next call must go to another entry.
+    let markEntered = (): void => {};
+    const handlerEntered = new Promise<void>((resolve) => {
+      markEntered = resolve;
     });
-    return { status: 200, body: 'the whole plan' };
-  });
-  const client = httpClient.createHttpClient({ ...LIMITS, clock: systemClock.systemClock });
-  const open = client.call(requestTo(server.address));
-  await isReached;
-  server.discourage();
-  const drained = server.drain(5000);
-  answer();
-  const reply = await open;
-  assert.equal(Buffer.from(reply.body).toString('utf8'), 'the whole plan');
-  assert.equal(reply.headers.connection, 'close');
-  await drained;
-  await assert.rejects(client.call(requestTo(server.address)), { failure: 'notSent' });
-  await client.dispose();
-});
-
-test.test('bodies are held within a bound, and room comes back', async () => {
-  // A burst of large plans arrives at an entry with little memory. What does not fit is refused and
-  // did not run; when the first is answered there is room again.
-  let answer = (): void => {};
-  let runs = 0;
-  const handler: httpServer.Handler = async () => {
-    runs += 1;
-    if (runs === 1) {
+    let answer = (): void => {};
+    const server = await serve(async () => {
       await new Promise<void>((resolve) => {
         answer = resolve;
+        markEntered();
       });
-    }
-    return { status: 200 };
-  };
-  const server = await httpServer.listen(LISTEN, httpServer.toListener(handler, 1000, 1500));
-  const client = httpClient.createHttpClient({ ...LIMITS, clock: systemClock.systemClock });
-  const send = () =>
-    client.call({ ...requestTo(server.address), method: 'POST', body: new Uint8Array(900) });
-  const first = send();
-  while (runs === 0) {
-    await new Promise((resolve) => {
-      setImmediate(resolve);
+      return { status: 200, body: 'the whole plan' };
     });
-  }
-  const refused = await send();
-  assert.deepEqual([refused.status, runs], [503, 1]);
-  answer();
-  assert.equal((await first).status, 200);
-  assert.equal((await send()).status, 200);
-  await client.dispose();
-  await server.dispose();
-});
+    const client = httpClient.createHttpClient({ ...LIMITS, clock: systemClock.systemClock });
+    const open = client.call(requestTo(server.address));
+    await handlerEntered;
+    server.discourage();
+    const drained = server.drain(5000);
+    answer();
+    const reply = await open;
+    assert.equal(Buffer.from(reply.body).toString('utf8'), 'the whole plan');
+    assert.equal(reply.headers.connection, 'close');
+    await drained;
+    await assert.rejects(client.call(requestTo(server.address)), { failure: 'notSent' });
+    await client.dispose();
+  },
+);
+
+test.test(
+  'buffered bodies are bounded, and capacity is free again after the response',
+  async () => {
+    // A burst of large bodies arrives at an entry with little memory. What exceeds the limit is refused
+    // without running; once the first request is answered, new bodies are accepted.
+    let answer = (): void => {};
+    let runs = 0;
+    const handler: httpServer.Handler = async () => {
+      runs += 1;
+      if (runs === 1) {
+        await new Promise<void>((resolve) => {
+          answer = resolve;
+        });
+      }
+      return { status: 200 };
+    };
+    const server = await httpServer.listen(LISTEN, httpServer.toListener(handler, 1000, 1500));
+    const client = httpClient.createHttpClient({ ...LIMITS, clock: systemClock.systemClock });
+    const send = () =>
+      client.call({ ...requestTo(server.address), method: 'POST', body: new Uint8Array(900) });
+    const first = send();
+    while (runs === 0) {
+      await new Promise((resolve) => {
+        setImmediate(resolve);
+      });
+    }
+    const refused = await send();
+    assert.deepEqual([refused.status, runs], [503, 1]);
+    answer();
+    assert.equal((await first).status, 200);
+    assert.equal((await send()).status, 200);
+    await client.dispose();
+    await server.dispose();
+  },
+);
 
-test.test('a drain is bounded: what hangs is cut when its time is over', async () => {
+test.test('a drain is bounded: requests still open at its timeout are cut off', async () => {
   const server = await serve(() => new Promise(() => {}));
   const client = httpClient.createHttpClient({ ...LIMITS, clock: systemClock.systemClock });
   const open = assert.rejects(client.call(requestTo(server.address)), { failure: 'lost' });
@@ -233,23 +254,23 @@
   await client.dispose();
 });
 
-// A process ended with exit code 1 because it sent a call that was withdrawn already: the request was
-// made and destroyed, and its error came where nobody listened yet.
-test.test('a call that is withdrawn before it is sent fails, and nothing else', async () => {
+// A call whose signal was already aborted ended the process with exit code 1: the request was created and
+// destroyed, and its error was emitted before a listener was attached.
+test.test('a call aborted before it is sent is rejected without an uncaught error', async () => {
   const server = await serve(() => Promise.reject(new Error('nothing may arrive')));
   const client = httpClient.createHttpClient({ ...LIMITS, clock: systemClock.systemClock });
-  const unheard: Error[] = [];
-  const note = (error: Error): void => {
-    unheard.push(error);
+  const uncaught: Error[] = [];
+  const recordError = (error: Error): void => {
+    uncaught.push(error);
   };
-  process.on('uncaughtException', note);
+  process.on('uncaughtException', recordError);
   const call = { ...requestTo(server.address), signal: AbortSignal.abort() };
   await assert.rejects(client.call(call), { failure: 'aborted' });
   await new Promise((resolve) => {
     setTimeout(resolve, 50);
   });
-  process.off('uncaughtException', note);
-  assert.deepEqual(unheard, []);
+  process.off('uncaughtException', recordError);
+  assert.deepEqual(uncaught, []);
   await client.dispose();
   await server.dispose();
 });
