--- a/src/transport/node/callObserver.ts
+++ b/src/transport/node/callObserver.ts
@@ -1,5 +1,5 @@
 /**
- * Tells how each request to an upstream ended, refusals at the door included.
+ * Reports how each request to an upstream ended, including requests refused at the ingress.
  */
 import type * as clock from '../../base/common/clock.js';
 import * as errors from '../../base/common/errors.js';
@@ -7,34 +7,34 @@
 import * as callerApi from './callerApi.js';
 import type * as httpServer from './httpServer.js';
 
-const isCall = (path: string): boolean =>
+const isUpstreamRequest = (path: string): boolean =>
   path === callerApi.CALL_PREFIX || path.startsWith(`${callerApi.CALL_PREFIX}/`);
 
 /**
  * @param handler - the callers' API
  * @param timeSource - clock
- * @param note - called with each request that has ended
- * @returns the same API, observed
+ * @param onRequestEnd - called once per finished request to an upstream
+ * @returns a handler with the same replies and errors that also reports each request's end
  */
 export const observeCalls =
   (
     handler: httpServer.Handler,
     timeSource: clock.Clock,
-    note: (end: serviceLevelCounters.RequestEnd) => void,
+    onRequestEnd: (end: serviceLevelCounters.RequestEnd) => void,
   ): httpServer.Handler =>
   async (request) => {
-    if (!isCall(request.path)) return handler(request);
+    if (!isUpstreamRequest(request.path)) return handler(request);
     const startedMs = timeSource.monotonicMs();
-    const noteEnd = (error: serviceLevelCounters.RequestEnd['error']): void => {
+    const reportEnd = (error: serviceLevelCounters.RequestEnd['error']): void => {
       const customerId = String(request.headers['auburnlift-customer'] ?? '');
-      note({ customerId, tookMs: timeSource.monotonicMs() - startedMs, error });
+      onRequestEnd({ customerId, tookMs: timeSource.monotonicMs() - startedMs, error });
     };
     try {
       const reply = await handler(request);
-      noteEnd(undefined);
+      reportEnd(undefined);
       return reply;
     } catch (thrown) {
-      noteEnd(errors.normalize(thrown).kind);
+      reportEnd(errors.normalize(thrown).kind);
       throw thrown;
     }
   };
--- a/src/transport/node/callerApi.ts
+++ b/src/transport/node/callerApi.ts
@@ -1,5 +1,5 @@
 /**
- * What callers and customers reach: requests to upstreams, and their jobs.
+ * HTTP API for callers and customers: requests to upstreams, and jobs.
  */
 import type * as nodeHttp from 'node:http';
 
@@ -12,17 +12,17 @@
 import * as healthApi from './healthApi.js';
 import * as httpServer from './httpServer.js';
 
-/** Prefix of requests to upstreams; what follows is the upstream's path. */
+/** Path prefix of requests to upstreams; the rest is the path at the upstream. */
 export const CALL_PREFIX = '/call';
 
-/** Jobs as the entry reaches them. */
+/** Job operations that the entry offers. */
 export interface JobGateway {
   readonly submit: (spec: job.JobSpec) => Promise<job.JobRecord>;
   readonly show: (cell: string, jobId: string) => Promise<job.JobRecord>;
   readonly cancel: (cell: string, jobIds: readonly string[]) => Promise<readonly job.JobRecord[]>;
 }
 
-/** What the callers' API needs. */
+/** Options of the callers' API. */
 export interface CallerApiOptions {
   readonly health: healthApi.HealthOptions;
   readonly router: requestRouter.RequestRouter;
@@ -30,7 +30,7 @@
   readonly defaultDeadlineMs: () => number;
   readonly isKnownCustomer: (customerId: string) => boolean;
   readonly newId: () => string;
-  /** Requests that the entry holds at once. */
+  /** Maximum number of requests in flight at this entry. */
   readonly maxOpenRequests: number;
   readonly isDraining: () => boolean;
 }
@@ -73,7 +73,9 @@
 const flagOf = (headers: nodeHttp.IncomingHttpHeaders, name: string): boolean => {
   const text = headerOf(headers, name) ?? 'false';
   if (text === 'true' || text === 'false') return text === 'true';
-  throw errors.fail('invalidRequest', `${name}: true or false; nothing ran`, { field: name });
+  throw errors.fail('invalidRequest', `${name}: true or false expected; nothing ran`, {
+    field: name,
+  });
 };
 
 const toCallerRequest = (
@@ -102,12 +104,12 @@
   body: answer.body,
 });
 
-const assertRoom = (options: CallerApiOptions): void => {
+const assertCapacity = (options: CallerApiOptions): void => {
   if (options.isDraining()) {
-    throw errors.fail('draining', 'this entry is leaving; nothing ran', { retryAfterMs: 0 });
+    throw errors.fail('draining', 'this entry is shutting down; nothing ran', { retryAfterMs: 0 });
   }
   if (options.router.openRequestCount() >= options.maxOpenRequests) {
-    throw errors.fail('overloaded', 'this entry is full; nothing ran', {
+    throw errors.fail('overloaded', 'this entry has too many open requests; nothing ran', {
       retryAfterMs: BUSY_RETRY_MS,
     });
   }
@@ -140,8 +142,8 @@
     return httpServer.jsonReply({ job: await options.jobs.submit(spec) }, 201);
   }
   if (request.method === 'POST' && request.path === '/v1/jobs/cancel') {
-    const { cell: in_, jobIds } = parseCancel(request);
-    return httpServer.jsonReply({ jobs: await options.jobs.cancel(in_, jobIds) });
+    const { cell: targetCell, jobIds } = parseCancel(request);
+    return httpServer.jsonReply({ jobs: await options.jobs.cancel(targetCell, jobIds) });
   }
   if (request.method === 'GET' && cell !== undefined && jobId !== undefined) {
     const record = await options.jobs.show(cell, decodeURIComponent(jobId));
@@ -151,8 +153,8 @@
 };
 
 /**
- * @param options - what the callers' API needs
- * @returns its handler
+ * @param options - dependencies and limits
+ * @returns the handler of the callers' API
  */
 export const createCallerApi =
   (options: CallerApiOptions): httpServer.Handler =>
@@ -160,7 +162,7 @@
     const health = healthApi.answerHealth(options.health, request);
     if (health !== undefined) return health;
     if (request.path === CALL_PREFIX || request.path.startsWith(`${CALL_PREFIX}/`)) {
-      assertRoom(options);
+      assertCapacity(options);
       return toReply(await options.router.route(toCallerRequest(options, request)));
     }
     if (request.path.startsWith('/v1/jobs')) return answerJobs(options, request);
--- a/src/transport/node/exchangeServer.ts
+++ b/src/transport/node/exchangeServer.ts
@@ -1,5 +1,5 @@
 /**
- * The agent's side of the exchange of callers' requests.
+ * HTTP listener of the agent for callers' requests that entries forward.
  */
 import * as errors from '../../base/common/errors.js';
 import * as schemaIssues from '../../base/common/schemaIssues.js';
@@ -10,14 +10,14 @@
 import * as httpServer from './httpServer.js';
 import * as rpcServer from './rpcServer.js';
 
-/** What the listener needs. */
+/** Options of the listener. */
 export interface ExchangeListenerOptions {
   readonly peerSecret: string;
   readonly maxBodyBytes: number;
   readonly sender: () => envelope.Sender;
   readonly host: requestHost.RequestHost;
   readonly noteVersion: (version: number) => void;
-  /** Answers every other path. */
+  /** Handles all other paths. */
   readonly otherwise: httpServer.Listener;
 }
 
@@ -58,8 +58,8 @@
 };
 
 /**
- * @param options - what the listener needs
- * @returns a listener that answers exchanges and hands everything else on
+ * @param options - dependencies and limits
+ * @returns a listener that handles forwarded requests and passes all others to `otherwise`
  */
 export const createExchangeListener = (options: ExchangeListenerOptions): httpServer.Listener => {
   const handler: httpServer.Handler = async (request) => {
--- a/src/transport/node/healthApi.ts
+++ b/src/transport/node/healthApi.ts
@@ -1,22 +1,22 @@
 /**
- * What every program answers to the platform: health, readiness and metrics.
+ * Health, readiness and metrics endpoints that every program serves to the platform.
  */
 import type * as metrics from '../../base/common/metrics.js';
 import * as httpServer from './httpServer.js';
 
-/** What health is told from. */
+/** Sources of the health and metrics replies. */
 export interface HealthOptions {
-  /** Why the process should get no traffic now; undefined where it should. */
+  /** Why the process should receive no traffic now; undefined if it is ready. */
   readonly notReadyReason: () => string | undefined;
   readonly metrics: metrics.Metrics;
-  /** What is wrong although the process serves; told beside its readiness. */
+  /** Problems that don't stop the process from serving; listed in the readiness reply. */
   readonly warnings?: () => readonly string[];
 }
 
 /**
- * @param options - what health is told from
+ * @param options - sources of the replies
  * @param request - a request
- * @returns the answer, or undefined where the path is none of these
+ * @returns the reply, or undefined if the path is not one of these endpoints
  */
 export const answerHealth = (
   options: HealthOptions,
--- a/src/transport/node/operatorApi.ts
+++ b/src/transport/node/operatorApi.ts
@@ -1,5 +1,5 @@
 /**
- * What operators reach with a token: the configuration, cells, jobs and the ledger as JSON.
+ * JSON API for operators, authenticated by token: configuration, cells, jobs and the ledger.
  * `docs/operators/operators-api.md` lists the routes.
  */
 import * as Schema from 'effect/Schema';
@@ -13,14 +13,14 @@
 import type * as operatorGateway from './operatorGateway.js';
 import * as operatorRoutes from './operatorRoutes.js';
 
-/** A change as it is sent. */
+/** Request body of a configuration change. */
 export const ChangeBody = Schema.Struct({
   baseVersion: units.Count,
   writeId: units.CallerKey,
   reason: units.ShortText.check(Schema.isMinLength(1)),
-  /** Decoded apart from the rest, so that complaints name paths within the document. */
+  /** Decoded separately, so that validation errors give paths within the document. */
   document: Schema.Unknown,
-  /** Whether running guaranteed jobs may lose their guarantee. */
+  /** Whether the change may take guarantees from running guaranteed jobs. */
   isStrandingAccepted: Schema.optionalKey(Schema.Boolean),
 });
 
@@ -67,8 +67,8 @@
   (gateway: operatorGateway.OperatorGateway): Handle =>
   async ({ request, param }) => {
     const body = httpServer.parseJsonBody(request);
-    const wish = schemaIssues.decodeOrFail(QuarantineBody, body, 'quarantine');
-    const { workerId, isQuarantined, reason } = wish;
+    const quarantineRequest = schemaIssues.decodeOrFail(QuarantineBody, body, 'quarantine');
+    const { workerId, isQuarantined, reason } = quarantineRequest;
     return httpServer.jsonReply(
       await gateway.quarantine(param('cell'), workerId, isQuarantined, reason),
     );
@@ -83,7 +83,7 @@
     return httpServer.jsonReply({ upstream });
   };
 
-const reading = (
+const readRoute = (
   pattern: string,
   read: (context: operatorRoutes.RouteContext) => Promise<unknown>,
 ): operatorRoutes.Route => ({
@@ -94,43 +94,43 @@
 });
 
 /**
- * @param gateway - what operators can do
+ * @param gateway - operations of the operators
  * @returns the routes of the JSON API
  */
 export const createApiRoutes = (
   gateway: operatorGateway.OperatorGateway,
 ): readonly operatorRoutes.Route[] => [
-  reading('/api/config', () => Promise.resolve({ record: gateway.configuration() ?? null })),
+  readRoute('/api/config', () => Promise.resolve({ record: gateway.configuration() ?? null })),
   { method: 'PUT', pattern: '/api/config', role: 'write', handle: putConfiguration(gateway) },
-  reading('/api/config/history', async () => ({ versions: await gateway.history() })),
-  reading('/api/config/history/:version', async ({ param }) => ({
+  readRoute('/api/config/history', async () => ({ versions: await gateway.history() })),
+  readRoute('/api/config/history/:version', async ({ param }) => ({
     record: await gateway.historyVersion(parseVersion(param('version'))),
   })),
-  reading('/api/config/status', () => gateway.status()),
-  reading('/api/cells', async () => ({ cells: await gateway.cells() })),
-  reading('/api/cells/:cell', ({ param }) => gateway.cell(param('cell'))),
+  readRoute('/api/config/status', () => gateway.status()),
+  readRoute('/api/cells', async () => ({ cells: await gateway.cells() })),
+  readRoute('/api/cells/:cell', ({ param }) => gateway.cell(param('cell'))),
   {
     method: 'POST',
     pattern: '/api/cells/:cell/quarantine',
     role: 'write',
     handle: postQuarantine(gateway),
   },
-  reading('/api/jobs', () => gateway.jobs()),
-  reading('/api/upstreams', async () => ({ upstreams: await gateway.upstreams() })),
+  readRoute('/api/jobs', () => gateway.jobs()),
+  readRoute('/api/upstreams', async () => ({ upstreams: await gateway.upstreams() })),
   {
     method: 'POST',
     pattern: '/api/upstreams/:upstream/drain',
     role: 'write',
     handle: postDrain(gateway),
   },
-  reading('/api/ledger/:cell', async ({ param }) => ({
+  readRoute('/api/ledger/:cell', async ({ param }) => ({
     hours: await gateway.ledger(param('cell')),
   })),
 ];
 
 /**
- * @param routes - all routes, those of other modules included
- * @param authenticate - gives the operator of a token
+ * @param routes - all routes, including those of other modules
+ * @param authenticate - returns the operator for a token
  * @returns the handler of the operators' API, under `/api/`
  */
 export const createOperatorApi =
--- a/src/transport/node/operatorAuth.ts
+++ b/src/transport/node/operatorAuth.ts
@@ -1,5 +1,5 @@
 /**
- * Who an operator is: tokens are kept hashed, and a token that is not known costs the entry little.
+ * Authentication of operators by token: tokens are stored hashed, and checks of unknown tokens are limited.
  */
 import * as crypto from 'node:crypto';
 import * as util from 'node:util';
@@ -7,56 +7,56 @@
 import * as errors from '../../base/common/errors.js';
 import type * as settings from '../../state/common/settings.js';
 
-/** What an operator may do. */
+/** Permission level of an operator. */
 export type Role = settings.OperatorToken['role'];
 
-/** An operator who has shown a token. */
+/** An operator authenticated by a token. */
 export interface Operator {
   readonly operatorId: string;
   readonly role: Role;
 }
 
-/** Gives the operator of a token. */
+/** Returns the operator for a token. */
 export type Authenticator = (token: string) => Promise<Operator>;
 
 const HASH_BYTES = 32;
 const TOKEN_PATTERN = /^[\x21-\x7e]{8,256}$/;
 
 /**
- * Load: somebody tries tokens in a loop. Each try costs about 50 ms of a core for each known token;
- * more than two at once would take the threads that name look-ups and files need as well.
+ * Limits the cost of guessing tokens in a loop. Each attempt takes about 50 ms of CPU per known token; more
+ * than two concurrent checks would occupy the thread pool that DNS look-ups and file access need.
  */
-const MAX_CHECKS_AT_ONCE = 2;
+const MAX_CONCURRENT_CHECKS = 2;
 const BUSY_RETRY_MS = 1000;
 
 type Scrypt = (token: string, salt: Buffer, length: number) => Promise<Buffer>;
 const scrypt = util.promisify(crypto.scrypt) as Scrypt;
 
-const isMatch = async (token: string, known: settings.OperatorToken): Promise<boolean> => {
+const matchesToken = async (token: string, known: settings.OperatorToken): Promise<boolean> => {
   const hash = await scrypt(token, Buffer.from(known.saltHex, 'hex'), HASH_BYTES);
   return crypto.timingSafeEqual(hash, Buffer.from(known.hashHex, 'hex'));
 };
 
 /**
  * @param tokens - known tokens, hashed
- * @returns a function that gives the operator of a token; scrypt is slow on purpose, so tokens that
- *   were right once are remembered by a plain hash
+ * @returns a function that returns the operator for a token; scrypt is slow by design, so tokens that
+ *   were accepted are cached by a plain hash
  */
 export const createAuthenticator = (tokens: readonly settings.OperatorToken[]): Authenticator => {
-  const seen = new Map<string, Operator>();
-  let checks = 0;
+  const accepted = new Map<string, Operator>();
+  let runningChecks = 0;
   const find = async (token: string): Promise<Operator | undefined> => {
-    if (checks >= MAX_CHECKS_AT_ONCE) {
+    if (runningChecks >= MAX_CONCURRENT_CHECKS) {
       throw errors.fail('overloaded', 'too many tokens are being checked; nothing ran', {
         retryAfterMs: BUSY_RETRY_MS,
       });
     }
-    checks += 1;
+    runningChecks += 1;
     try {
-      for (const it of tokens) if (await isMatch(token, it)) return it;
+      for (const it of tokens) if (await matchesToken(token, it)) return it;
       return undefined;
     } finally {
-      checks -= 1;
+      runningChecks -= 1;
     }
   };
   return async (token) => {
@@ -64,10 +64,10 @@
       throw errors.fail('unauthenticated', 'the token is missing or malformed');
     }
     const digest = crypto.createHash('sha256').update(token).digest('hex');
-    const known = seen.get(digest) ?? (await find(token));
-    if (known === undefined) throw errors.fail('unauthenticated', 'the token is not known');
+    const known = accepted.get(digest) ?? (await find(token));
+    if (known === undefined) throw errors.fail('unauthenticated', 'the token is unknown');
     const { operatorId, role } = known;
-    seen.set(digest, { operatorId, role });
+    accepted.set(digest, { operatorId, role });
     return { operatorId, role };
   };
 };
@@ -75,7 +75,7 @@
 /**
  * @param header - an Authorization header
  * @returns its bearer token
- * @throws AuburnliftError `unauthenticated` where there is none
+ * @throws AuburnliftError `unauthenticated` if there is none
  */
 export const bearerToken = (header: string | undefined): string => {
   const token = /^Bearer (\S+)$/.exec(header ?? '')?.[1];
@@ -84,9 +84,9 @@
 };
 
 /**
- * @param operator - who asks
- * @param role - what the operation needs
- * @throws AuburnliftError `forbidden` where a reader asks for a write
+ * @param operator - the operator who sent the request
+ * @param role - role that the operation requires
+ * @throws AuburnliftError `forbidden` if the operation requires write and the operator may only read
  */
 export const assertRole = (operator: Operator, role: Role): void => {
   if (role === 'read' || operator.role === 'write') return;
--- a/src/transport/node/operatorGateway.ts
+++ b/src/transport/node/operatorGateway.ts
@@ -1,5 +1,5 @@
 /**
- * What operators can do, as the entry does it. The API and the console both stand on it.
+ * Operations of operators as the entry implements them; used by the API and the console.
  */
 import type * as configuration from '../../state/common/configuration.js';
 import type * as configurationDifference from '../../state/common/configurationDifference.js';
@@ -8,7 +8,7 @@
 import type * as entrySchedulerMessages from '../../protocol/common/entrySchedulerMessages.js';
 import type * as configurationStore from '../../coordination/node/configurationStore.js';
 
-/** One line of the list of cells. */
+/** Summary of a cell for the list of cells. */
 export interface CellSummary {
   readonly cell: string;
   readonly region: string;
@@ -17,48 +17,48 @@
   readonly isLed: boolean;
 }
 
-/** A change with what the operator accepts of its effects. */
+/** A configuration change with the effects that the operator accepts. */
 export interface OperatorChange extends configurationStore.ConfigurationChange {
-  /** Whether running guaranteed jobs may lose their guarantee. */
+  /** Whether the change may take guarantees from running guaranteed jobs. */
   readonly isStrandingAccepted: boolean;
 }
 
-/** What a change would do. */
+/** Differences and effects of a change that has not been written. */
 export interface ChangePreview {
   readonly baseVersion: number;
   readonly changes: readonly configurationDifference.DocumentChange[];
   readonly effects: readonly configurationDifference.ChangeEffect[];
 }
 
-/** The configuration version that one process has in force. */
+/** The active configuration version of one process. */
 export interface ProcessVersion {
   readonly processId: string;
   readonly role: string;
   readonly zone: string;
-  /** Undefined where the process does not answer. */
+  /** Undefined if the process does not respond. */
   readonly version: number | undefined;
 }
 
-/** How far the configuration has come. */
+/** Rollout of the current configuration version. */
 export interface ConfigurationStatus {
   readonly version: number;
   readonly writtenAtMs: number;
   readonly processes: readonly ProcessVersion[];
-  /** Ids of processes with an older version, or without an answer. */
+  /** Ids of processes that have an older version or do not respond. */
   readonly stragglers: readonly string[];
   /**
-   * From the write to the first look that found every process at the version, twice a second;
-   * undefined before that, and at entries that did not take the write.
+   * Time from the write to the first poll, at two polls a second, that found the version active at every
+   * process; undefined before that, and at entries that did not handle the write.
    */
   readonly inForceAfterMs: number | undefined;
-  /** What is wrong with the store's copy. */
+  /** Problems with the stored copy of the configuration. */
   readonly warnings: readonly string[];
 }
 
 /** An earlier version without its document. */
 export type VersionSummary = Omit<configuration.ConfigurationRecord, 'document'>;
 
-/** One upstream as an entry of its region knows it. */
+/** State of an upstream as known to an entry of its region. */
 export interface UpstreamSummary {
   readonly upstreamId: string;
   readonly agentId: string;
@@ -71,20 +71,20 @@
   readonly isLeaving: boolean;
 }
 
-/** Jobs of all cells that answered. */
+/** Jobs of all cells whose leader responded. */
 export interface JobList {
   readonly jobs: readonly job.JobRecord[];
-  /** Cells whose leader did not answer. */
+  /** Cells whose leader did not respond. */
   readonly unansweredCells: readonly string[];
 }
 
-/** What operators can do. */
+/** Operations of operators. */
 export interface OperatorGateway {
   readonly configuration: () => configuration.ConfigurationRecord | undefined;
   readonly writeConfiguration: (
     change: OperatorChange,
   ) => Promise<configuration.ConfigurationRecord>;
-  /** Says what a change would do, without writing. */
+  /** Returns the differences and effects of a change without writing it. */
   readonly previewConfiguration: (
     baseVersion: number,
     document: configuration.ConfigurationDocument,
--- a/src/transport/node/operatorJobsApi.ts
+++ b/src/transport/node/operatorJobsApi.ts
@@ -1,6 +1,6 @@
 /**
- * Operators' routes to jobs: submit, cancel, and one job with its decisions, also when the cell's
- * leader no longer has it.
+ * Operators' routes for jobs: submit, cancel, and show one job with its decisions, from the archive
+ * if the cell's leader no longer has it.
  */
 import * as Schema from 'effect/Schema';
 
@@ -11,10 +11,10 @@
 import * as httpServer from './httpServer.js';
 import type * as operatorRoutes from './operatorRoutes.js';
 
-/** What the routes stand on. */
+/** Operations that the routes use. */
 export interface JobsGateway {
   readonly jobs: callerApi.JobGateway;
-  /** Looks for an ended job in the archive. */
+  /** Looks up an ended job in the archive. */
   readonly archived: (cell: string, jobId: string) => Promise<job.JobRecord | undefined>;
 }
 
@@ -41,7 +41,7 @@
   return httpServer.jsonReply({ jobs: await gateway.jobs.cancel(cell, jobIds) });
 };
 
-/** The leader's word first; where it has none or does not answer, the archive may. */
+/** Asks the leader first; if that fails for any reason, looks in the archive. */
 const show = async (
   gateway: JobsGateway,
   cell: string,
@@ -57,7 +57,7 @@
 };
 
 /**
- * @param gateway - what the routes stand on
+ * @param gateway - operations that the routes use
  * @returns the routes
  */
 export const createJobRoutes = (gateway: JobsGateway): readonly operatorRoutes.Route[] => [
--- a/src/transport/node/operatorLedgerApi.ts
+++ b/src/transport/node/operatorLedgerApi.ts
@@ -1,20 +1,20 @@
 /**
- * Operators' routes to the older part of the ledger and to service levels; the hours themselves are
- * answered by `operatorApi`.
+ * Operators' routes for the older part of the ledger, summed by day, and for service levels; `operatorApi`
+ * serves the ledger's hours.
  */
 import type * as serviceLevelReport from '../../coordination/common/serviceLevelReport.js';
 import type * as ledgerEntry from '../../state/common/ledgerEntry.js';
 import * as httpServer from './httpServer.js';
 import type * as operatorRoutes from './operatorRoutes.js';
 
-/** What the routes stand on. */
+/** Operations that the routes use. */
 export interface LedgerGateway {
   readonly ledgerDays: (cell: string) => Promise<readonly ledgerEntry.LedgerDay[]>;
   readonly serviceLevels: () => Promise<serviceLevelReport.ServiceLevelReport>;
 }
 
 /**
- * @param gateway - what the routes stand on
+ * @param gateway - operations that the routes use
  * @returns the routes
  */
 export const createLedgerRoutes = (gateway: LedgerGateway): readonly operatorRoutes.Route[] => [
--- a/src/transport/node/operatorRoutes.ts
+++ b/src/transport/node/operatorRoutes.ts
@@ -1,22 +1,22 @@
 /**
- * The table of the operators' routes: method, path pattern, role and handler.
+ * Routing of operators' requests by method, path pattern and role.
  */
 import * as errors from '../../base/common/errors.js';
 import type * as httpServer from './httpServer.js';
 import * as operatorAuth from './operatorAuth.js';
 
-/** What a handler is given. */
+/** Input of a route handler. */
 export interface RouteContext {
   readonly operator: operatorAuth.Operator;
   readonly request: httpServer.ServerRequest;
-  /** Value of a `:name` in the pattern, decoded. */
+  /** Decoded value of a `:name` segment; empty if the pattern has none. */
   readonly param: (name: string) => string;
 }
 
-/** One route. */
+/** A route of the table. */
 export interface Route {
   readonly method: 'GET' | 'PUT' | 'POST';
-  /** Path with `:name` for a part that varies. */
+  /** Path with `:name` for variable segments. */
   readonly pattern: string;
   readonly role: operatorAuth.Role;
   readonly handle: (context: RouteContext) => Promise<httpServer.ServerReply>;
@@ -24,41 +24,41 @@
 
 type Params = ReadonlyMap<string, string>;
 
-const decodePart = (part: string): string | undefined => {
+const decodeSegment = (segment: string): string | undefined => {
   try {
-    return decodeURIComponent(part);
+    return decodeURIComponent(segment);
   } catch {
     return undefined;
   }
 };
 
 /**
- * @param pattern - path with `:name` for a part that varies
+ * @param pattern - path with `:name` for variable segments
  * @param path - path of a request
- * @returns the values of the parts that vary, or undefined where the path is another one
+ * @returns the decoded values of the variable segments, or undefined if the path does not match
  */
 export const matchPath = (pattern: string, path: string): Params | undefined => {
   const expected = pattern.split('/');
   const given = path.split('/');
   if (expected.length !== given.length) return undefined;
   const params = new Map<string, string>();
-  for (const [index, part] of expected.entries()) {
-    const value = decodePart(given[index] ?? '');
+  for (const [index, segment] of expected.entries()) {
+    const value = decodeSegment(given[index] ?? '');
     if (value === undefined) return undefined;
-    if (part.startsWith(':')) {
+    if (segment.startsWith(':')) {
       if (value === '') return undefined;
-      params.set(part.slice(1), value);
-    } else if (part !== value) return undefined;
+      params.set(segment.slice(1), value);
+    } else if (segment !== value) return undefined;
   }
   return params;
 };
 
 /**
- * @param routes - the table
+ * @param routes - the routes
  * @param request - a request
- * @param identify - gives the operator; called before anything is told about the path
- * @returns the route's answer
- * @throws AuburnliftError `notFound`, or `forbidden` where the role does not suffice
+ * @param identify - authenticates the operator; called first, so that unknown callers learn nothing about paths
+ * @returns the route's reply
+ * @throws AuburnliftError `notFound`, or `forbidden` if the operator's role is insufficient
  */
 export const dispatch = async (
   routes: readonly Route[],
--- a/src/transport/node/rpcClient.ts
+++ b/src/transport/node/rpcClient.ts
@@ -1,5 +1,5 @@
 /**
- * Clients of the routers of other processes, over the shared pool of connections.
+ * RPC clients for the other processes of the system, over the shared connection pool.
  */
 import * as stream from 'node:stream';
 
@@ -13,31 +13,31 @@
 import type * as poolRouters from '../../protocol/node/poolRouters.js';
 import type * as schedulerRouter from '../../protocol/node/schedulerRouter.js';
 
-/** Path under which every process serves its router. */
+/** Path prefix of the RPC router in every process. */
 export const RPC_PATH = '/rpc';
 
-/** Header that carries the secret shared by the system's processes. */
+/** Header with the secret shared by the system's processes. */
 export const PEER_SECRET_HEADER = 'auburnlift-peer-secret';
 
-/** A configuration version that another process has in force. */
+/** The active configuration version of another process, as sent in its reply. */
 export interface HeardVersion {
   readonly version: number;
   readonly url: string;
 }
 
-/** How other processes are reached. */
+/** Options of the RPC clients. */
 export interface RpcClientOptions {
   readonly call: http.HttpCall;
   readonly timeoutMs: number;
-  /** For messages whose length has no small bound; see {@link http.HttpRequest}. */
+  /** Transfer limits for messages that may be long; see {@link http.HttpRequest}. */
   readonly transfer?: http.TransferLimits;
   /** Shared by the system's processes; never logged. */
   readonly peerSecret: string;
-  /** Hears the configuration version of each answer, and who gave it. */
+  /** Called with the configuration version in each reply and the URL of its sender. */
   readonly noteVersion?: (heard: HeardVersion) => void;
 }
 
-/** The part of a fetch request that tRPC uses. */
+/** The options of a fetch request that tRPC sets. */
 interface FetchInit {
   readonly method?: string;
   readonly headers?: Readonly<Record<string, string>>;
@@ -70,12 +70,12 @@
     } as unknown as Response;
   };
 
-const bodyOf = (error: trpcClient.TRPCClientError<trpcServer.AnyTRPCRouter>): unknown =>
+const errorBodyOf = (error: trpcClient.TRPCClientError<trpcServer.AnyTRPCRouter>): unknown =>
   (error.data as { body?: unknown } | null | undefined)?.body;
 
-const toKnown = (thrown: unknown): errors.AuburnliftError => {
+const toAuburnliftError = (thrown: unknown): errors.AuburnliftError => {
   if (thrown instanceof trpcClient.TRPCClientError) {
-    const body = bodyOf(thrown);
+    const body = errorBodyOf(thrown);
     if (body !== undefined) return errors.fromBody(body);
     const { cause } = thrown;
     if (cause instanceof http.HttpCallError && cause.failure === http.HttpFailure.notSent) {
@@ -90,7 +90,7 @@
   readonly from: { readonly configVersion: number };
 }
 
-const wrapFor =
+const createWrapper =
   (options: RpcClientOptions, url: string) =>
   <TInput, TOutput extends Answer>(target: { mutate: (input: TInput) => Promise<TOutput> }) =>
   async (input: TInput): Promise<TOutput> => {
@@ -99,16 +99,17 @@
       options.noteVersion?.({ version: answer.from.configVersion, url });
       return answer;
     } catch (thrown) {
-      throw toKnown(thrown);
+      throw toAuburnliftError(thrown);
     }
   };
 
-/** Whole answers, one call a request. */
-const wholeLink: (options: object) => trpcClient.TRPCLink<trpcServer.AnyTRPCRouter> = (options) =>
-  trpcClient.httpLink(options as Parameters<typeof trpcClient.httpLink>[0]);
+/** Link with complete replies, one call per request. */
+const bufferedLink: (options: object) => trpcClient.TRPCLink<trpcServer.AnyTRPCRouter> = (
+  options,
+) => trpcClient.httpLink(options as Parameters<typeof trpcClient.httpLink>[0]);
 
-/** Answers that come in pieces: they begin at once. A call does not wait for the long answer of another one. */
-const streamingLink: typeof wholeLink = (options) =>
+/** Link with streamed replies: data is sent as it is ready. One call per request, so that no call waits for another. */
+const streamingLink: typeof bufferedLink = (options) =>
   trpcClient.httpBatchStreamLink({ ...options, maxItems: 1 } as Parameters<
     typeof trpcClient.httpBatchStreamLink
   >[0]);
@@ -116,7 +117,7 @@
 const create = <TRouter extends trpcServer.AnyTRPCRouter>(
   options: RpcClientOptions,
   url: string,
-  toLink = wholeLink,
+  toLink = bufferedLink,
 ): trpcClient.TRPCClient<TRouter> => {
   const link = toLink({ url: url + RPC_PATH, fetch: fetchOver(options) });
   return trpcClient.createTRPCClient<TRouter>({ links: [link as trpcClient.TRPCLink<TRouter>] });
@@ -124,13 +125,13 @@
 
 const agentClient = (options: RpcClientOptions, url: string) => {
   const client = create<agentRouter.AgentRouter>(options, url);
-  const wrap = wrapFor(options, url);
+  const wrap = createWrapper(options, url);
   return { fence: wrap(client.fence), command: wrap(client.command), drain: wrap(client.drain) };
 };
 
 const entryClient = (options: RpcClientOptions, url: string) => {
   const client = create<entryRouter.EntryRouter>(options, url);
-  const wrap = wrapFor(options, url);
+  const wrap = createWrapper(options, url);
   return {
     register: wrap(client.register),
     configuration: wrap(client.configuration),
@@ -143,7 +144,7 @@
 
 const schedulerClient = (options: RpcClientOptions, url: string) => {
   const client = create<schedulerRouter.SchedulerRouter>(options, url);
-  const wrap = wrapFor(options, url);
+  const wrap = createWrapper(options, url);
   return {
     report: wrap(client.report),
     submit: wrap(client.submit),
@@ -157,42 +158,42 @@
 
 const poolAgentClient = (options: RpcClientOptions, url: string) => {
   const client = create<poolRouters.PoolAgentRouter>(options, url);
-  const wrap = wrapFor(options, url);
+  const wrap = createWrapper(options, url);
   return { sync: wrap(client.sync), order: wrap(client.order) };
 };
 
 const poolSchedulerClient = (options: RpcClientOptions, url: string) => {
   const client = create<poolRouters.PoolSchedulerRouter>(options, url);
-  const wrap = wrapFor(options, url);
+  const wrap = createWrapper(options, url);
   return { pending: wrap(client.pending), jobChanged: wrap(client.jobChanged) };
 };
 
 const poolEntryClient = (options: RpcClientOptions, url: string) => {
   const client = create<poolRouters.PoolEntryRouter>(options, url);
   const streaming = create<poolRouters.PoolEntryRouter>(options, url, streamingLink);
-  const wrap = wrapFor(options, url);
+  const wrap = createWrapper(options, url);
   return { relay: wrap(streaming.relay), configuration: wrap(client.configuration) };
 };
 
-/** An entry of pools as other entries call it. */
+/** Client of a pool entry, used by other entries. */
 export type PoolEntryClient = ReturnType<typeof poolEntryClient>;
 
-/** An agent of a pool as the leader calls it. */
+/** Client of a pool agent, used by the leader. */
 export type PoolAgentClient = ReturnType<typeof poolAgentClient>;
 
-/** A scheduler of pools as entries call it. */
+/** Client of a pool scheduler, used by entries. */
 export type PoolSchedulerClient = ReturnType<typeof poolSchedulerClient>;
 
-/** An agent as other processes call it. */
+/** Client of an agent. */
 export type AgentClient = ReturnType<typeof agentClient>;
 
-/** An entry as other processes call it. */
+/** Client of an entry. */
 export type EntryClient = ReturnType<typeof entryClient>;
 
-/** A scheduler as other processes call it. */
+/** Client of a scheduler. */
 export type SchedulerClient = ReturnType<typeof schedulerClient>;
 
-/** Clients by address. */
+/** Client factories by URL. */
 export interface RpcClients {
   readonly agent: (url: string) => AgentClient;
   readonly entry: (url: string) => EntryClient;
@@ -203,17 +204,17 @@
 }
 
 const memoize = <T>(make: (url: string) => T): ((url: string) => T) => {
-  const made = new Map<string, T>();
+  const clients = new Map<string, T>();
   return (url) => {
-    const client = made.get(url) ?? make(url);
-    made.set(url, client);
+    const client = clients.get(url) ?? make(url);
+    clients.set(url, client);
     return client;
   };
 };
 
 /**
- * @param options - how other processes are reached
- * @returns clients by address, made once each
+ * @param options - transport, limits and shared secret
+ * @returns client factories; each client is created once per URL
  */
 export const createRpcClients = (options: RpcClientOptions): RpcClients => ({
   agent: memoize((url) => agentClient(options, url)),
--- a/src/transport/node/rpcServer.ts
+++ b/src/transport/node/rpcServer.ts
@@ -1,5 +1,5 @@
 /**
- * Serves a process's router to the other processes of the system.
+ * Serves a process's RPC router to the other processes of the system.
  */
 import * as crypto from 'node:crypto';
 import type * as nodeHttp from 'node:http';
@@ -11,7 +11,7 @@
 import * as httpServer from './httpServer.js';
 import * as rpcClient from './rpcClient.js';
 
-/** Largest message between processes. */
+/** Maximum length of a message between processes. */
 export const MAX_RPC_BYTES = 2_097_152;
 
 const digest = (text: string): Buffer => crypto.createHash('sha256').update(text).digest();
@@ -19,7 +19,7 @@
 /**
  * @param message - a request
  * @param peerSecret - secret shared by the system's processes
- * @returns whether the sender knows the secret; compared in constant time
+ * @returns whether the request carries the secret; compared in constant time
  */
 export const isPeer = (message: nodeHttp.IncomingMessage, peerSecret: string): boolean => {
   const given = message.headers[rpcClient.PEER_SECRET_HEADER];
@@ -27,9 +27,9 @@
 };
 
 /**
- * @param router - the process's router
+ * @param router - the process's RPC router
  * @param peerSecret - secret shared by the system's processes
- * @param otherwise - answers requests outside the router's path
+ * @param otherwise - handles requests outside the router's path
  * @returns a listener for a plain Node server
  */
 export const createRpcListener = (
--- a/src/transport/node/test/operatorJobsApi.test.ts
+++ b/src/transport/node/test/operatorJobsApi.test.ts
@@ -1,5 +1,5 @@
 /**
- * Operators' routes to jobs, ledger days and service levels, and the observer of callers' requests.
+ * Tests operators' routes for jobs, ledger days and service levels, and the observer of callers' requests.
  */
 import * as assert from 'node:assert/strict';
 import * as test from 'node:test';
@@ -58,7 +58,7 @@
   operatorRoutes.dispatch(routes, request, () => Promise.resolve({ operatorId: 'ada', role }));
 
 for (const { shown, isArchived, expected } of SHOW_CASES) {
-  test.test(`a job that is ${shown} and ${isArchived ? '' : 'not '}archived`, async () => {
+  test.test(`show a job: leader ${shown}, ${isArchived ? '' : 'not '}archived`, async () => {
     const request = requestOf('GET', '/api/jobs/zone-a/a');
     const answered = await dispatch(jobRoutes(shown, isArchived), request, 'read').then(
       (reply) => (JSON.parse(String(reply.body)) as { readonly source: string }).source,
@@ -70,7 +70,7 @@
 
 const CANCEL = { cell: 'zone-a', jobIds: ['a'] };
 
-/** Method, path, body and role, then the status or the kind of the refusal. */
+/** Method, path, body and role, then the expected status or error kind. */
 const ROLE_CASES = [
   ['POST', '/api/jobs', RECORD.spec, 'write', 201],
   ['POST', '/api/jobs', RECORD.spec, 'read', 'forbidden'],
@@ -96,7 +96,7 @@
   });
 }
 
-test.test('ledger days and burn are answered to readers', async () => {
+test.test('ledger days and burn rates are served to readers', async () => {
   const routes = operatorLedgerApi.createLedgerRoutes({
     ledgerDays: () => Promise.resolve([]),
     serviceLevels: () => Promise.resolve({ atMs: 1, configVersion: 1, objectives: [] }),
@@ -107,7 +107,7 @@
   assert.equal(await bodyOf('/api/burn'), '{"atMs":1,"configVersion":1,"objectives":[]}');
 });
 
-/** Path and what the handler does, then what is told of it. */
+/** Path and error kind that the handler throws, then the expected reports. */
 const OBSERVED = [
   ['/call/plan', undefined, [{ customerId: 'acme', tookMs: 30, error: undefined }]],
   ['/call', 'overloaded', [{ customerId: 'acme', tookMs: 30, error: 'overloaded' }]],
@@ -116,17 +116,17 @@
 ] as const;
 
 for (const [path, kind, expected] of OBSERVED) {
-  test.test(`the observer is told of ${path}, ${kind ?? 'answered'}`, async () => {
+  test.test(`the observer's reports for ${path}, ${kind ?? 'answered'}`, async () => {
     const time = clock.createFakeClock();
-    const told: serviceLevelCounters.RequestEnd[] = [];
+    const reports: serviceLevelCounters.RequestEnd[] = [];
     const handler: httpServer.Handler = async () => {
       await time.advance(30);
       if (kind !== undefined) throw errors.fail(kind, 'full');
       return { status: 200 };
     };
-    const observed = callObserver.observeCalls(handler, time, (end) => told.push(end));
+    const observed = callObserver.observeCalls(handler, time, (end) => reports.push(end));
     const request = requestOf('POST', path, null, { 'auburnlift-customer': 'acme' });
     await observed(request).catch(() => undefined);
-    assert.deepEqual(told, expected);
+    assert.deepEqual(reports, expected);
   });
 }
