--- a/src/transport/node/console/burnPage.ts
+++ b/src/transport/node/console/burnPage.ts
@@ -1,5 +1,5 @@
 /**
- * The page of service levels: each objective with its burn rates and what is left of its budget.
+ * Page of service levels: each objective with its burn rates and remaining error budget.
  */
 import type * as burnRate from '../../../coordination/common/burnRate.js';
 import type * as serviceLevelReport from '../../../coordination/common/serviceLevelReport.js';
@@ -38,12 +38,12 @@
   pattern: '/console/burn',
   handle: async (context) => {
     const report = await context.options.serviceLevels();
-    const headings = ['Objective', 'Customer', 'Promise', 'Events', 'Budget left', 'Burn', 'State'];
+    const headings = ['Objective', 'Customer', 'Target', 'Events', 'Budget left', 'Burn', 'State'];
     const caption = `Objectives of version ${report.configVersion}`;
     const body = html.table(headings, report.objectives.map(rowOf), caption);
     return layout.pageReply({ title: 'Service levels', body }, context.visitor);
   },
 };
 
-/** Routes of service levels. */
+/** Routes of the service-level page. */
 export const BURN_ROUTES: readonly consoleContext.ConsoleRoute[] = [show];
--- a/src/transport/node/console/cellPicture.ts
+++ b/src/transport/node/console/cellPicture.ts
@@ -1,18 +1,18 @@
 /**
- * The picture of a cell: each accelerator by rack and worker, with who holds it and why.
+ * Diagram of a cell: each accelerator by rack and worker, with the job it is allocated to and why.
  */
 import type * as entrySchedulerMessages from '../../../protocol/common/entrySchedulerMessages.js';
 import * as job from '../../../state/common/job.js';
 import * as html from './html.js';
 
-/** Who holds one accelerator. */
-export interface Holding {
+/** Allocation of one accelerator to a job. */
+export interface AcceleratorAllocation {
   readonly record: job.JobRecord;
   readonly workerId: string;
   readonly accelerator: number;
 }
 
-/** Colours that stay apart from each other for most colour-blind readers. */
+/** Colours that most colour-blind readers can tell apart. */
 const COLOURS = [
   '#0072b2',
   '#e69f00',
@@ -26,7 +26,7 @@
 const FREE_COLOUR = '#ffffff';
 const UNUSABLE_COLOUR = '#d0d4d9';
 
-/** Name of the decision that gives a job its accelerators. */
+/** Name of the decision that allocates accelerators to a job. */
 const PLACED = 'placed';
 
 const SIZE = 22;
@@ -36,26 +36,26 @@
 const LEGEND_WIDTH = 150;
 
 /**
- * @param record - a job that holds accelerators
- * @returns by which right, and why it was placed or waits
+ * @param record - a job
+ * @returns its guaranteed shape or spare rule, its state, and the reason of its placement or last decision
  */
 export const reasonOf = (record: job.JobRecord): string => {
   const { spec, ruleId, state } = record;
-  const right =
+  const claimText =
     spec.claim === job.Claim.guaranteed
       ? `guaranteed shape ${spec.shapeId ?? ''}`
       : `spare rule ${ruleId ?? ''}`;
-  // The decision that gave the accelerators, rather than what has happened since.
+  // Prefers the decision that placed the job over later ones.
   const placed = record.decisions.findLast((it) => it.what === PLACED);
-  const why = (placed ?? record.decisions.at(-1))?.why ?? '';
-  return `${right}; ${state}${why === '' ? '' : `; ${why}`}`;
+  const reason = (placed ?? record.decisions.at(-1))?.why ?? '';
+  return `${claimText}; ${state}${reason === '' ? '' : `; ${reason}`}`;
 };
 
 /**
  * @param jobs - jobs of a cell
- * @returns every held accelerator
+ * @returns the allocated accelerators of all jobs that have not ended
  */
-export const holdingsOf = (jobs: readonly job.JobRecord[]): readonly Holding[] =>
+export const allocationsOf = (jobs: readonly job.JobRecord[]): readonly AcceleratorAllocation[] =>
   jobs
     .filter((it) => !job.isTerminal(it.state))
     .flatMap((record) =>
@@ -78,7 +78,7 @@
 /**
  * @param customerIds - customers of the configuration
  * @param customerId - one of them
- * @returns its colour, the same on every page
+ * @returns its colour by position in the list, so that it is the same on every page
  */
 const colourOf = (customerIds: readonly string[], customerId: string): string =>
   COLOURS[Math.max(0, customerIds.indexOf(customerId)) % COLOURS.length] ?? FREE_COLOUR;
@@ -103,23 +103,23 @@
 const squaresOf = (
   view: WorkerView,
   y: number,
-  holdings: readonly Holding[],
+  allocations: readonly AcceleratorAllocation[],
   customerIds: readonly string[],
 ): readonly html.Html[] =>
   Array.from({ length: view.worker.accelerators }, (_unused, accelerator) => {
     const { workerId } = view.worker;
-    const holding = holdings.find(
+    const allocation = allocations.find(
       (it) => it.workerId === workerId && it.accelerator === accelerator,
     );
     const x = LABEL_WIDTH + accelerator * (SIZE + GAP);
     const place = `${workerId} accelerator ${accelerator}`;
-    if (holding === undefined) {
+    if (allocation === undefined) {
       const isReady = view.health === 'ready';
       const title = `${place}: ${isReady ? 'free' : view.health}`;
       const colour = isReady ? FREE_COLOUR : UNUSABLE_COLOUR;
       return renderSquare({ x, y, colour, title, isBorrowed: false });
     }
-    const { record } = holding;
+    const { record } = allocation;
     const { customerId, jobId, claim } = record.spec;
     return renderSquare({
       x,
@@ -150,15 +150,15 @@
 };
 
 /**
- * @param cell - a cell as its leader sees it
- * @param customerIds - customers of the configuration, which give the colours
- * @returns the picture with its legend
+ * @param cell - state of the cell from its leader
+ * @param customerIds - customers of the configuration, which determine the colours
+ * @returns the diagram with its legend
  */
-export const renderPicture = (
+export const renderDiagram = (
   cell: entrySchedulerMessages.CellReply,
   customerIds: readonly string[],
 ): html.Html => {
-  const holdings = holdingsOf(cell.jobs);
+  const allocations = allocationsOf(cell.jobs);
   const parts: html.Html[] = [];
   let y = 0;
   for (const [rack, workers] of byRack(cell.workers)) {
@@ -166,14 +166,14 @@
     y += RACK_GAP;
     for (const view of workers) {
       parts.push(html.html`<text x="12" y="${y + 15}">${view.worker.workerId}</text>`);
-      parts.push(...squaresOf(view, y, holdings, customerIds));
+      parts.push(...squaresOf(view, y, allocations, customerIds));
       y += SIZE + GAP;
     }
     y += GAP;
   }
   const most = Math.max(0, ...cell.workers.map((it) => it.worker.accelerators));
   const width = LABEL_WIDTH + most * (SIZE + GAP);
-  return html.html`<p class="hint">A dot marks a borrower; the table below says the same.</p>
+  return html.html`<p class="hint">A dot marks a borrower; the table below shows the same.</p>
 ${legend(customerIds)}<br>
 <svg role="img" aria-label="Accelerators of ${cell.cell} by rack and worker" width="${width}"
 height="${y}">${parts}</svg>`;
--- a/src/transport/node/console/changeForms.ts
+++ b/src/transport/node/console/changeForms.ts
@@ -1,5 +1,5 @@
 /**
- * Sending a change of the configuration from the console: consent, conflicts, and what was typed.
+ * Configuration changes by console forms: preview, consent, conflicts, and resending entered values.
  */
 import * as errors from '../../../base/common/errors.js';
 import type * as configuration from '../../../state/common/configuration.js';
@@ -13,12 +13,12 @@
 
 type Document = configuration.ConfigurationDocument;
 
-/** Fields by which every change is made, besides those of its item. */
+/** Fields of every change form, in addition to those of the edited item. */
 export const CHANGE_FIELDS: readonly fields.Field[] = [
   { name: 'reason', label: 'Reason', kind: 'text', hint: 'Kept in the history for the audit.' },
 ];
 
-/** The version that a form was opened with, and the write id of its change. */
+/** The configuration version that a form was opened with, and the write id of its change. */
 export interface FormBase {
   readonly baseVersion: number;
   readonly writeId: string;
@@ -29,7 +29,7 @@
 
 /**
  * @param context - the request
- * @returns the base of a form that is opened now
+ * @returns the base for a newly opened form
  */
 export const newBase = (context: consoleContext.PageContext): FormBase => ({
   baseVersion: context.options.gateway.configuration()?.version ?? 0,
@@ -37,15 +37,15 @@
 });
 
 /**
- * @param form - a post
+ * @param form - fields of a POST
  * @returns the base that the form was opened with
- * @throws AuburnliftError `invalidRequest` where the hidden fields were changed
+ * @throws AuburnliftError `invalidRequest` if the hidden fields are missing or malformed
  */
 export const readBase = (form: URLSearchParams): FormBase => {
   const version = form.get('baseVersion') ?? '';
   const writeId = form.get('writeId') ?? '';
   if (!VERSION_PATTERN.test(version) || !WRITE_ID_PATTERN.test(writeId)) {
-    throw errors.fail('invalidRequest', 'the form is not whole; open it again', {
+    throw errors.fail('invalidRequest', 'the form is incomplete; open it again', {
       field: 'baseVersion',
     });
   }
@@ -55,7 +55,7 @@
 /**
  * @param context - the request
  * @param base - version and write id
- * @returns the hidden fields of a change
+ * @returns the hidden fields of a change form
  */
 export const hiddenFields = (
   context: consoleContext.PageContext,
@@ -67,7 +67,7 @@
 /**
  * @param context - the request
  * @param version - version that a form was opened with
- * @returns its document, from the history where another is in force; undefined before the first
+ * @returns its document
  */
 export const documentAt = async (
   context: consoleContext.PageContext,
@@ -77,13 +77,13 @@
 const COPIED_FIELDS = new Set(['csrf', 'baseVersion', 'writeId']);
 
 /**
- * The form again with all that was typed, to be sent as it is but for what is given.
+ * Renders a form that sends the entered values again with another base and extra fields.
  *
  * @param context - the request
- * @param action - path that the form is sent to
- * @param base - version and write id of the new try
+ * @param action - path that the form is posted to
+ * @param base - version and write id of the new attempt
  * @param extra - further fields
- * @param label - what the button says
+ * @param label - text of the button
  * @returns the form
  */
 export const resendForm = (
@@ -106,13 +106,13 @@
   change: FormChange,
   error: errors.AuburnliftError,
 ): layout.Page => {
-  const { action, before, document, isWhole = false } = change;
+  const { action, before, document, isWholeDocument = false } = change;
   const current = error.detail.facts?.current as configuration.ConfigurationRecord | undefined;
   const theirs =
     current === undefined ? [] : configurationDifference.compareDocuments(before, current.document);
   const ours = configurationDifference.compareDocuments(before, document);
   const base = { baseVersion: current?.version ?? 0, writeId: context.options.newId() };
-  const label = isWhole
+  const label = isWholeDocument
     ? 'Write my document and undo their change'
     : 'Make my change on top of theirs';
   const body = html.html`<p class="alert" role="alert">${error.message}</p>
@@ -134,7 +134,7 @@
   const consent = html.html`<input type="hidden" name="isStrandingAccepted" value="on">`;
   const body = html.html`<p class="alert" role="alert">Running guaranteed work would lose its
 guarantee. Nothing was written.</p>${differenceView.renderEffects(effects)}
-${resendForm(context, action, base, consent, 'Make the change all the same')}`;
+${resendForm(context, action, base, consent, 'Make the change anyway')}`;
   return { title: 'This change takes guarantees from running work', body, status: 409 };
 };
 
@@ -153,26 +153,26 @@
   return { title: 'Preview', body };
 };
 
-/** A change as a form asks for it. */
+/** A configuration change submitted by a form. */
 export interface FormChange {
-  /** Path that the form is sent to. */
+  /** Path that the form is posted to. */
   readonly action: string;
   /** Page that shows the result. */
-  readonly next: string;
+  readonly resultPath: string;
   readonly base: FormBase;
   /** The document that the form was opened with. */
   readonly before: Document | undefined;
   readonly document: Document;
-  /** Whether the form holds the whole document, so that sending it again undoes what others wrote. */
-  readonly isWhole?: boolean;
+  /** Whether the form contains the whole document, so that resending it overwrites the changes of others. */
+  readonly isWholeDocument?: boolean;
 }
 
 /**
- * Writes the change, or shows its preview, the conflict or the consent that it needs.
+ * Writes the change, or shows its preview, a conflict, or a request for the consent that it needs.
  *
  * @param context - the request
- * @param change - what the form asks for
- * @returns the answer
+ * @param change - the submitted change
+ * @returns the reply
  */
 export const submitChange = async (
   context: consoleContext.PageContext,
@@ -190,7 +190,7 @@
       reason: (context.form.get('reason') ?? '').trim(),
       isStrandingAccepted: context.form.get('isStrandingAccepted') === 'on',
     });
-    return layout.redirectReply(`${change.next}?written=${record.version}`);
+    return layout.redirectReply(`${change.resultPath}?written=${record.version}`);
   } catch (thrown) {
     const error = errors.normalize(thrown);
     const { facts } = error.detail;
@@ -204,7 +204,7 @@
 
 /**
  * @param context - the request
- * @returns a line that tells which version was written, after a redirect
+ * @returns a notice of the written version, if the redirect after a write gave one
  */
 export const writtenNotice = (context: consoleContext.PageContext): html.Html => {
   const version = context.query.get('written') ?? '';
--- a/src/transport/node/console/consoleApp.ts
+++ b/src/transport/node/console/consoleApp.ts
@@ -1,5 +1,5 @@
 /**
- * The console: signing in, the guard before every page and form, and errors as pages.
+ * The operators' console: sign-in, access checks before every page and form, and error pages.
  */
 import * as errorKinds from '../../../base/common/errorKinds.js';
 import * as errors from '../../../base/common/errors.js';
@@ -17,13 +17,13 @@
 import * as viewPages from './viewPages.js';
 import * as wholeDocumentPages from './wholeDocumentPages.js';
 
-/** What the console needs. */
+/** Options of the console. */
 export interface ConsoleAppOptions extends consoleContext.ConsoleOptions {
   readonly sessions: session.Sessions;
   readonly authenticate: operatorAuth.Authenticator;
 }
 
-/** Path under which every page lies. */
+/** Path prefix of all pages. */
 export const CONSOLE_PATH = '/console';
 
 const SIGN_IN_PATH = `${CONSOLE_PATH}/sign-in`;
@@ -40,11 +40,11 @@
 const formOf = (request: httpServer.ServerRequest): URLSearchParams =>
   new URLSearchParams(Buffer.from(request.body).toString('utf8'));
 
-const signInPage = (complaint: string | undefined, status: number): httpServer.ServerReply => {
-  const body = html.html`${html.when(complaint !== undefined, () => html.html`<p class="alert" role="alert">${complaint}</p>`)}
+const signInPage = (problem: string | undefined, status: number): httpServer.ServerReply => {
+  const body = html.html`${html.when(problem !== undefined, () => html.html`<p class="alert" role="alert">${problem}</p>`)}
 <form class="card" method="post" action="${SIGN_IN_PATH}"><div class="field">
 <label for="token">Operator's token</label>
-<p class="hint" id="token-hint">The token itself is not kept.</p>
+<p class="hint" id="token-hint">The token itself is not stored.</p>
 <input type="password" id="token" name="token" autocomplete="current-password"
 aria-describedby="token-hint"></div><button type="submit">Sign in</button></form>`;
   return layout.pageReply({ title: 'Sign in', body, status }, undefined);
@@ -75,15 +75,15 @@
   const { httpStatus: status, isRetryable } = errorKinds.ERROR_TABLE[error.kind];
   const isChange = context?.form.has('writeId') === true && context.form.has('baseVersion');
   const canResend = isChange && (isRetryable || error.kind === 'outcomeUnknown');
-  const again =
+  const resend =
     context === undefined || !canResend
       ? html.EMPTY
       : html.html`<p>Sending the form again is safe: it carries the same write id.</p>
 ${changeForms.resendForm(context, action, changeForms.readBase(context.form), html.EMPTY, 'Send again')}`;
-  const body = html.html`<p class="alert" role="alert">${error.message}</p>${again}
+  const body = html.html`<p class="alert" role="alert">${error.message}</p>${resend}
 <p><a href="${CONSOLE_PATH}">Overview</a>,
 <a href="/console/document">the whole document</a></p>`;
-  return layout.pageReply({ title: 'That did not work', body, status }, context?.visitor);
+  return layout.pageReply({ title: 'Request failed', body, status }, context?.visitor);
 };
 
 const findRoute = (
@@ -128,14 +128,14 @@
 
 /**
  * @param path - path of a request
- * @returns whether the console answers it
+ * @returns whether the console handles it
  */
 export const isConsolePath = (path: string): boolean =>
   path === '/' || path === CONSOLE_PATH || path.startsWith(`${CONSOLE_PATH}/`);
 
 /**
- * @param options - what the console needs
- * @returns its handler
+ * @param options - dependencies of the console
+ * @returns the handler of the console
  */
 export const createConsole =
   (options: ConsoleAppOptions): httpServer.Handler =>
--- a/src/transport/node/console/consoleContext.ts
+++ b/src/transport/node/console/consoleContext.ts
@@ -1,5 +1,5 @@
 /**
- * What the console's pages are given.
+ * Types shared by the console's pages: options, request context and route.
  */
 import type * as serviceLevelReport from '../../../coordination/common/serviceLevelReport.js';
 import type * as httpServer from '../httpServer.js';
@@ -7,26 +7,26 @@
 import type * as layout from './layout.js';
 import type * as session from './session.js';
 
-/** What the pages stand on. */
+/** Dependencies of the pages. */
 export interface ConsoleOptions {
   readonly gateway: operatorGateway.OperatorGateway;
   readonly newId: () => string;
   readonly serviceLevels: () => Promise<serviceLevelReport.ServiceLevelReport>;
 }
 
-/** One request of somebody who is signed in. */
+/** A request of a signed-in operator. */
 export interface PageContext {
   readonly options: ConsoleOptions;
   readonly session: session.Session;
   readonly visitor: layout.Visitor;
-  /** Fields of a post; empty for a get. */
+  /** Fields of a POST; empty for a GET. */
   readonly form: URLSearchParams;
   readonly query: URLSearchParams;
-  /** Value of a `:name` in the pattern. */
+  /** Value of a `:name` segment of the pattern. */
   readonly param: (name: string) => string;
 }
 
-/** One page or form of the console. */
+/** Route of a page or form. */
 export interface ConsoleRoute {
   readonly method: 'GET' | 'POST';
   readonly pattern: string;
--- a/src/transport/node/console/differenceView.ts
+++ b/src/transport/node/console/differenceView.ts
@@ -1,12 +1,12 @@
 /**
- * Differences and effects of configuration changes as HTML.
+ * Renders differences and effects of configuration changes as HTML.
  */
 import * as configurationDifference from '../../../state/common/configurationDifference.js';
 import * as html from './html.js';
 
 /**
  * @param changes - fields that differ
- * @param caption - what the table shows
+ * @param caption - caption of the table
  * @returns a table
  */
 export const renderChanges = (
@@ -17,15 +17,15 @@
     ['Field', 'Before', 'After'],
     changes.map((it) => [
       html.html`<code>${it.path}</code>`,
-      it.before ?? 'not there',
+      it.before ?? 'absent',
       it.after ?? 'removed',
     ]),
     caption,
   );
 
 /**
- * @param effects - what a change does
- * @returns a list, those that need consent marked
+ * @param effects - effects of a change
+ * @returns a paragraph for each; all but notes are shown as alerts
  */
 export const renderEffects = (
   effects: readonly configurationDifference.ChangeEffect[],
--- a/src/transport/node/console/documentEdit.ts
+++ b/src/transport/node/console/documentEdit.ts
@@ -1,5 +1,5 @@
 /**
- * Edits of the configuration document by forms: one item or part at a time.
+ * Applies form edits to the configuration document, one item or part at a time.
  */
 import type * as schemaIssues from '../../../base/common/schemaIssues.js';
 import type * as configuration from '../../../state/common/configuration.js';
@@ -20,8 +20,8 @@
 /**
  * @param document - the document
  * @param editor - the form
- * @param id - id of an item; ignored for a part that stands once
- * @returns the item, undefined where there is none
+ * @param id - id of an item; ignored for a part that is not a list
+ * @returns the item, or undefined if there is none
  */
 export const findItem = (
   document: Document,
@@ -32,10 +32,10 @@
     ? document[editor.name as editors.PartName]
     : itemsOf(document, editor).find((it) => it[editor.idKey ?? ''] === id);
 
-/** An edited document, not validated, with the place of the edited item. */
+/** An edited document, not validated, with the index of the edited item. */
 export interface Edited {
   readonly document: unknown;
-  /** Index in the list; -1 for a part that stands once. */
+  /** Index in the list; -1 for a part that is not a list. */
   readonly index: number;
 }
 
@@ -44,7 +44,7 @@
  * @param editor - the form
  * @param id - id of the edited item; empty for a new one
  * @param item - the new content
- * @returns the whole document with the item in its place
+ * @returns the whole document with the item replaced or appended
  */
 export const withItem = (
   document: Document,
@@ -73,13 +73,13 @@
 });
 
 /**
- * Puts complaints beside the fields that were typed.
+ * Assigns validation errors to the form fields that they concern.
  *
- * @param issues - complaints about the whole document
+ * @param issues - validation errors of the whole document
  * @param editor - the form
- * @param index - place of the edited item
- * @param typed - what was typed
- * @returns complaints by field; what belongs to no field of the form stands under the empty name
+ * @param index - index of the edited item
+ * @param typed - entered values
+ * @returns errors by field; those of no field of the form have the empty name
  */
 export const errorsByField = (
   issues: readonly schemaIssues.FieldIssue[],
@@ -94,7 +94,7 @@
     const name = String(path[prefix.length] ?? '');
     const isKnown = isOfItem && Object.hasOwn(typed, name);
     const key = isKnown ? name : '';
-    // The number that could not be read is told as it was typed.
+    // Shows a number that could not be parsed as it was entered.
     const text = isKnown
       ? message.replace('NaN', JSON.stringify(typed[name]))
       : `${field}: ${message}`;
--- a/src/transport/node/console/documentPages.ts
+++ b/src/transport/node/console/documentPages.ts
@@ -38,11 +38,14 @@
   throw errors.fail('storeUnavailable', 'no configuration is in force yet');
 };
 
-/** Forms of single items are opened on a document, never before the first. */
+/** Returns the document that a form of a single item was opened with; such forms need an existing document. */
 const openedDocument = async (context: Context, version: number) => {
   const document = await changeForms.documentAt(context, version);
   if (document !== undefined) return document;
-  throw errors.fail('invalidRequest', 'the form was opened before there was a configuration');
+  throw errors.fail(
+    'invalidRequest',
+    'the form was opened before the first configuration was written',
+  );
 };
 
 const renderForm = (context: Context, state: FormState): html.Html => {
@@ -106,8 +109,8 @@
 };
 
 /**
- * @param typed - what was typed
- * @returns what is wrong with the reason
+ * @param typed - entered values
+ * @returns validation errors of the reason
  */
 export const reasonErrors = (typed: fields.Typed): readonly string[] => {
   const { reason = '' } = typed;
@@ -139,7 +142,7 @@
   }
   const action = actionOf(editor, id);
   const { value: document } = decoded;
-  const change = { action, next: pathOf(editor), base, before, document };
+  const change = { action, resultPath: pathOf(editor), base, before, document };
   return changeForms.submitChange(context, change);
 };
 
@@ -153,17 +156,17 @@
   const reason = reasonErrors({ reason: (context.form.get('reason') ?? '').trim() });
   const decoded = configurationChecks.decodeDocument(documentEdit.withoutItem(before, editor, id));
   if (!decoded.isValid || reason.length > 0) {
-    const complaints = decoded.isValid ? [] : decoded.issues;
+    const issues = decoded.isValid ? [] : decoded.issues;
     const body = html.html`<p class="alert" role="alert">Nothing was removed.</p><ul>
-${complaints.map((it) => html.html`<li><code>${it.field}</code>: ${it.message}</li>`)}
+${issues.map((it) => html.html`<li><code>${it.field}</code>: ${it.message}</li>`)}
 ${reason.map((it) => html.html`<li>reason: ${it}</li>`)}</ul>
 <p><a href="${actionOf(editor, id)}">Back</a></p>`;
-    const title = `${editor.itemTitle} ${id} can not be removed`;
+    const title = `${editor.itemTitle} ${id} cannot be removed`;
     return layout.pageReply({ title, body, status: 400 }, context.visitor);
   }
   const action = `${pathOf(editor)}/delete/${encodeURIComponent(id)}`;
   const { value: document } = decoded;
-  const change = { action, next: pathOf(editor), base, before, document };
+  const change = { action, resultPath: pathOf(editor), base, before, document };
   return changeForms.submitChange(context, change);
 };
 
@@ -175,7 +178,7 @@
   ): consoleContext.ConsoleRoute => ({
     method: 'GET',
     pattern,
-    // The page is made inside the promise, so that what it throws becomes an error page.
+    // Rendered inside the promise, so that a thrown error becomes an error page.
     handle: (context) => Promise.resolve().then(() => show(context)),
   });
   const post = (
@@ -198,6 +201,6 @@
   ];
 };
 
-/** Routes of all forms of the document. */
+/** Routes of all document forms. */
 export const DOCUMENT_ROUTES: readonly consoleContext.ConsoleRoute[] =
   editors.EDITORS.flatMap(listRoutes);
--- a/src/transport/node/console/editors.ts
+++ b/src/transport/node/console/editors.ts
@@ -1,27 +1,27 @@
 /**
- * The forms of the configuration document: which part each edits, and with which fields.
+ * Definitions of the forms of the configuration document: the part that each edits, and its fields.
  */
 import type * as configuration from '../../../state/common/configuration.js';
 import type * as fields from './fields.js';
 
 type Document = configuration.ConfigurationDocument;
 
-/** Lists of the document. */
+/** Parts of the document that are lists. */
 export type ListName = 'customers' | 'shapes' | 'rules' | 'cells' | 'objectives';
 
-/** Parts of the document that stand once. */
+/** Parts of the document that are single objects. */
 export type PartName = 'placement' | 'routing';
 
-/** The form of one kind of item. */
+/** Definition of the form for one kind of item. */
 export interface Editor {
   readonly name: ListName | PartName;
   readonly title: string;
-  /** What one item is called. */
+  /** Singular name of an item. */
   readonly itemTitle: string;
-  /** Key of an item's id; undefined for a part that stands once. */
+  /** Key of an item's id; undefined for a part that is not a list. */
   readonly idKey: string | undefined;
   readonly fields: (document: Document) => readonly fields.Field[];
-  /** What a new item starts with. */
+  /** Initial values of a new item. */
   readonly initial: fields.Typed;
 }
 
@@ -46,14 +46,14 @@
   hint = '',
 ): fields.Field => ({ name, label, kind: 'select', choices, hint });
 
-const ID_HINT = 'Lower-case letters, digits, dots, dashes or underscores; it can not be changed.';
+const ID_HINT = 'Lower-case letters, digits, dots, dashes or underscores; it cannot be changed.';
 
 const customerIds = (document: Document): readonly string[] =>
   document.customers.map((it) => it.customerId);
 
 const cellIds = (document: Document): readonly string[] => document.cells.map((it) => it.cell);
 
-/** All forms. */
+/** All form definitions. */
 export const EDITORS: readonly Editor[] = [
   {
     name: 'customers',
@@ -146,7 +146,7 @@
       number('largeJobWaitMs', 'Large job wait', 'Milliseconds before it gets a reservation.'),
       number('quarantineFailures', 'Quarantine after', 'Distinct jobs that fail, 1 to 100.'),
       number('quarantineCapShare', 'Quarantine cap', 'Part of the workers of a cell, 0 to 1.'),
-      number('unrunnableFailures', 'Give a job up after', 'Good workers that it fails on.'),
+      number('unrunnableFailures', 'Abandon a job after', 'Healthy workers that it fails on.'),
       number('taskLeaseMs', 'Task lease', 'Milliseconds, 1000 to 3600000.'),
     ],
   },
--- a/src/transport/node/console/fields.ts
+++ b/src/transport/node/console/fields.ts
@@ -1,29 +1,29 @@
 /**
- * Form fields: how they are shown, what was typed, and the value that it stands for.
+ * Form fields: rendering, and conversion between entered text and values of the document.
  */
 import * as html from './html.js';
 
-/** How a field is typed. */
+/** Input kind of a field. */
 export type FieldKind = 'text' | 'number' | 'checkbox' | 'select' | 'list';
 
-/** One field of a form. */
+/** A field of a form. */
 export interface Field {
   /** Key in the document. */
   readonly name: string;
   readonly label: string;
   readonly kind: FieldKind;
-  /** Unit, limits and meaning in a few words. */
+  /** Short note on unit, limits and meaning. */
   readonly hint?: string;
   /** Choices of a select. */
   readonly choices?: readonly string[];
-  /** Whether an empty text leaves the key out. */
+  /** Whether the key is omitted if the text is empty. */
   readonly isOptional?: boolean;
 }
 
-/** What was typed, by field. */
+/** Entered values by field. */
 export type Typed = Readonly<Record<string, string>>;
 
-/** Complaints by field; those of no field stand under the empty name. */
+/** Validation errors by field; those of no field have the empty name. */
 export type FieldErrors = ReadonlyMap<string, readonly string[]>;
 
 const LIST_SEPARATOR = ', ';
@@ -38,15 +38,15 @@
 /**
  * @param fields - fields of the form
  * @param item - an item of the document
- * @returns the item as it would have been typed
+ * @returns the item as form input
  */
 export const toTyped = (fields: readonly Field[], item: Readonly<Record<string, unknown>>): Typed =>
   Object.fromEntries(fields.map((it) => [it.name, toText(item[it.name])]));
 
 /**
  * @param fields - fields of the form
- * @param form - a post
- * @returns what was typed
+ * @param form - fields of a POST
+ * @returns the entered values, trimmed
  */
 export const readTyped = (fields: readonly Field[], form: URLSearchParams): Typed =>
   Object.fromEntries(fields.map((it) => [it.name, (form.get(it.name) ?? '').trim()]));
@@ -54,7 +54,7 @@
 const toValue = (field: Field, text: string): unknown => {
   switch (field.kind) {
     case 'number':
-      // What is no number fails the schema's limits, whose message then names them.
+      // Text that is not a number becomes NaN, which the schema rejects with a message that gives the limits.
       return text === '' ? Number.NaN : Number(text);
     case 'checkbox':
       return text !== '';
@@ -67,7 +67,7 @@
 
 /**
  * @param fields - fields of the form
- * @param typed - what was typed
+ * @param typed - entered values
  * @returns the item, not validated
  */
 export const toItem = (fields: readonly Field[], typed: Typed): Record<string, unknown> =>
@@ -99,24 +99,24 @@
 
 /**
  * @param field - the field
- * @param text - what stands in it
- * @param complaints - what is wrong with it
- * @returns label, hint, control and complaints, tied together for screen readers
+ * @param text - its entered text
+ * @param problems - its validation errors
+ * @returns label, hint, control and errors, linked for screen readers
  */
 export const renderField = (
   field: Field,
   text: string,
-  complaints: readonly string[] = [],
+  problems: readonly string[] = [],
 ): html.Html => {
   const hintId = `${field.name}-hint`;
   const errorId = `${field.name}-error`;
-  const isInvalid = complaints.length > 0;
+  const isInvalid = problems.length > 0;
   const described = isInvalid ? `${errorId} ${hintId}` : hintId;
   const invalid = isInvalid ? html.html` aria-invalid="true"` : html.EMPTY;
   const attributes = html.html` id="${field.name}" name="${field.name}" aria-describedby="${described}"${invalid}`;
   return html.html`<div class="field"><label for="${field.name}">${field.label}</label>
 <p class="hint" id="${hintId}">${field.hint ?? ''}</p>
 ${control(field, text, attributes)}
-${html.when(isInvalid, () => html.html`<p class="error" id="${errorId}" role="alert">${complaints.join('; ')}</p>`)}
+${html.when(isInvalid, () => html.html`<p class="error" id="${errorId}" role="alert">${problems.join('; ')}</p>`)}
 </div>`;
 };
--- a/src/transport/node/console/historyPages.ts
+++ b/src/transport/node/console/historyPages.ts
@@ -1,5 +1,5 @@
 /**
- * Pages of earlier versions: what each changed, and its undoing by a new version.
+ * Pages of earlier configuration versions: their changes, and a rollback that writes a new version.
  */
 import * as configurationDifference from '../../../state/common/configurationDifference.js';
 import * as changeForms from './changeForms.js';
@@ -13,7 +13,7 @@
 
 /**
  * @param ms - milliseconds since the Unix epoch
- * @returns the time for people, in UTC
+ * @returns the time as readable text, in UTC
  */
 export const formatTime = (ms: number): string =>
   `${new Date(ms).toISOString().slice(0, 19).replace('T', ' ')} UTC`;
@@ -40,7 +40,7 @@
   },
 };
 
-const undoForm = (context: Context, version: number): html.Html =>
+const rollbackForm = (context: Context, version: number): html.Html =>
   html.html`<form class="card" method="post" action="/console/history/${version}/undo">
 ${changeForms.hiddenFields(context, changeForms.newBase(context))}
 <div class="field"><label for="reason">Reason</label>
@@ -61,16 +61,16 @@
         ? undefined
         : (await gateway.historyVersion(version - 1).catch(() => undefined))?.document;
     const changes = configurationDifference.compareDocuments(before, record.document);
-    const isInForce = gateway.configuration()?.version === version;
+    const isActive = gateway.configuration()?.version === version;
     const body = html.html`<p>Written ${formatTime(record.writtenAtMs)} by ${record.author}:
 ${record.reason}</p><p class="hint">Write id <code>${record.writeId}</code></p>
-${differenceView.renderChanges(changes, `Against version ${version - 1}`)}
-${html.when(!isInForce, () => undoForm(context, version))}`;
+${differenceView.renderChanges(changes, `Changes since version ${version - 1}`)}
+${html.when(!isActive, () => rollbackForm(context, version))}`;
     return layout.pageReply({ title: `Version ${version}`, body }, context.visitor);
   },
 };
 
-const undo: consoleContext.ConsoleRoute = {
+const rollback: consoleContext.ConsoleRoute = {
   method: 'POST',
   pattern: '/console/history/:version/undo',
   handle: async (context) => {
@@ -84,14 +84,21 @@
     const { document } = await context.options.gateway.historyVersion(version);
     const before = await changeForms.documentAt(context, base.baseVersion);
     const action = `/console/history/${version}/undo`;
-    const change = { action, next: '/console/history', base, before, document, isWhole: true };
+    const change = {
+      action,
+      resultPath: '/console/history',
+      base,
+      before,
+      document,
+      isWholeDocument: true,
+    };
     return changeForms.submitChange(context, change);
   },
 };
 
-/** Routes of the history. */
+/** Routes of the history pages. */
 export const HISTORY_ROUTES: readonly consoleContext.ConsoleRoute[] = [
   showHistory,
   showVersion,
-  undo,
+  rollback,
 ];
--- a/src/transport/node/console/html.ts
+++ b/src/transport/node/console/html.ts
@@ -1,14 +1,14 @@
 /**
- * HTML from templates in which every value is escaped, so that no text from outside becomes markup.
+ * HTML templates that escape every value, so that external text never becomes markup.
  */
 import * as escaping from '../../../base/common/escapeHtml.js';
 
-/** Text that is safe to send as HTML. Only {@link html} and {@link join} make it. */
+/** Text that is safe to send as HTML; created by {@link html}. */
 export interface Html {
   readonly safe: string;
 }
 
-/** What a template may hold. */
+/** A value in a template. */
 export type HtmlValue = Html | readonly Html[] | string | number | undefined;
 
 const isHtml = (value: unknown): value is Html =>
@@ -25,27 +25,27 @@
 
 /**
  * @param parts - literal parts of the template
- * @param values - values, escaped unless they are HTML already
+ * @param values - values, escaped unless they are already HTML
  * @returns the HTML
  */
 export const html = (parts: TemplateStringsArray, ...values: readonly HtmlValue[]): Html => ({
   safe: parts.map((part, index) => part + render(values[index])).join(''),
 });
 
-/** Nothing. */
+/** Empty HTML. */
 export const EMPTY: Html = { safe: '' };
 
 /**
- * @param condition - whether the part is wanted
- * @param make - makes it
- * @returns the part or nothing
+ * @param condition - whether to render the part
+ * @param make - renders it
+ * @returns the part, or empty HTML
  */
 export const when = (condition: boolean, make: () => Html): Html => (condition ? make() : EMPTY);
 
 /**
  * @param headings - heading of each column
  * @param rows - cells of each row
- * @param caption - what the table shows
+ * @param caption - caption of the table
  * @returns a table
  */
 export const table = (
--- a/src/transport/node/console/layout.ts
+++ b/src/transport/node/console/layout.ts
@@ -1,5 +1,5 @@
 /**
- * The frame of every console page: navigation, stylesheet and the headers that keep scripts out.
+ * Layout of every console page: navigation, stylesheet and the security headers that block scripts.
  */
 import * as crypto from 'node:crypto';
 
@@ -51,7 +51,7 @@
 
 const STYLE_HASH = crypto.createHash('sha256').update(STYLE).digest('base64');
 
-/** Scripts, frames, images and foreign posts are all refused; only the one stylesheet is let in. */
+/** Blocks scripts, frames, images and form posts to other sites; allows only the one stylesheet. */
 const SECURITY_HEADERS: Readonly<Record<string, string>> = {
   'content-security-policy':
     `default-src 'none'; style-src 'sha256-${STYLE_HASH}'; form-action 'self'; ` +
@@ -61,7 +61,7 @@
   'cache-control': 'no-store',
 };
 
-/** Pages of the navigation. */
+/** Navigation links: path and label. */
 const NAVIGATION: readonly (readonly [string, string])[] = [
   ['/console', 'Overview'],
   ['/console/customers', 'Customers'],
@@ -79,14 +79,14 @@
   ['/console/burn', 'Burn'],
 ];
 
-/** Who is signed in, as the frame shows it. */
+/** The signed-in operator, as the layout shows it. */
 export interface Visitor {
   readonly operatorId: string;
   readonly role: string;
   readonly csrf: string;
 }
 
-/** A page. */
+/** Content of a page. */
 export interface Page {
   readonly title: string;
   readonly body: html.Html;
@@ -94,8 +94,8 @@
 }
 
 /**
- * @param visitor - who is signed in
- * @returns the hidden field that proves that a form came from the console
+ * @param visitor - the signed-in operator
+ * @returns the hidden field with the CSRF token of the session
  */
 export const csrfField = (visitor: Visitor): html.Html =>
   html.html`<input type="hidden" name="csrf" value="${visitor.csrf}">`;
@@ -110,9 +110,9 @@
 
 /**
  * @param page - the page
- * @param visitor - who is signed in, where anybody is
+ * @param visitor - the signed-in operator, if any
  * @param headers - further headers
- * @returns the answer
+ * @returns the reply
  */
 export const pageReply = (
   page: Page,
@@ -135,9 +135,9 @@
 };
 
 /**
- * @param location - path to go to with a GET
+ * @param location - path that the browser opens with a GET
  * @param headers - further headers
- * @returns the answer to a form that did something
+ * @returns the redirect after a successful form post
  */
 export const redirectReply = (
   location: string,
--- a/src/transport/node/console/session.ts
+++ b/src/transport/node/console/session.ts
@@ -1,11 +1,11 @@
 /**
- * Sessions of the console. Entries keep nothing, and the balancer sends each request to any of them,
- * so a session is a signed cookie that every entry can check: the key comes from the secret that
- * the system's processes share.
+ * Sessions of the console. Entries store no sessions, and the load balancer sends each request to any
+ * of them, so a session is a signed cookie that every entry can verify: the key is derived from the
+ * secret shared by the system's processes.
  *
- * Guards against forged posts from other sites: the cookie is not sent along with them
- * (SameSite=Strict), they lack the form's token, and their Origin is another one. Each suffices
- * where a browser fails at the others.
+ * Three independent defences against cross-site request forgery, in case a browser fails to enforce one:
+ * the cookie is not sent with such posts (SameSite=Strict), they lack the form's token, and their Origin
+ * differs.
  */
 import * as crypto from 'node:crypto';
 import type * as nodeHttp from 'node:http';
@@ -13,38 +13,38 @@
 import * as errors from '../../../base/common/errors.js';
 import type * as operatorAuth from '../operatorAuth.js';
 
-/** A session as the cookie says. */
+/** A session, decoded from the cookie. */
 export interface Session {
   readonly operator: operatorAuth.Operator;
   readonly expiresAtMs: number;
-  /** Token that each form of the session carries. */
+  /** Token that each form of the session must contain. */
   readonly csrf: string;
 }
 
-/** What sessions need. */
+/** Options of the sessions. */
 export interface SessionOptions {
   /** Shared by the entries; never sent. */
   readonly peerSecret: string;
   readonly nowMs: () => number;
-  /** Operators who still have a token, with their present role. */
+  /** Operators who have a token in the settings, with their current role. */
   readonly operators: readonly operatorAuth.Operator[];
 }
 
-/** Makes and checks sessions. */
+/** Creates and verifies sessions. */
 export interface Sessions {
   /** @returns the Set-Cookie header of a new session */
   readonly begin: (operator: operatorAuth.Operator, isSecure: boolean) => string;
-  /** @returns the session, undefined where the cookie is missing, forged or over */
+  /** @returns the session, or undefined if the cookie is missing, forged or expired */
   readonly find: (headers: nodeHttp.IncomingHttpHeaders) => Session | undefined;
 }
 
-/** A working day; longer would outlive a lost laptop, shorter would lose half-filled forms. */
+/** A working day: longer would leave a lost laptop signed in, shorter would lose half-filled forms. */
 const SESSION_MS = 8 * 3_600_000;
 const MS_PER_SECOND = 1000;
 const COOKIE = 'auburnlift-session';
 const KEY_BYTES = 32;
 
-/** Ends the session in the browser. */
+/** Cookie header that removes the session from the browser. */
 export const END_COOKIE = `${COOKIE}=; HttpOnly; SameSite=Strict; Path=/console; Max-Age=0`;
 
 const isEqual = (given: string, expected: string): boolean => {
@@ -60,8 +60,8 @@
     ?.slice(COOKIE.length + 1);
 
 /**
- * @param options - what sessions need
- * @returns sessions
+ * @param options - secret, clock and operators
+ * @returns the sessions
  */
 export const createSessions = (options: SessionOptions): Sessions => {
   const derived = crypto.hkdfSync('sha256', options.peerSecret, '', 'console session', KEY_BYTES);
@@ -86,7 +86,7 @@
       const [text = '', signature = ''] = (cookieOf(headers) ?? '').split('.');
       if (text === '' || !isEqual(signature, sign(text))) return undefined;
       const { operatorId, expiresAtMs } = parse(text);
-      // A token that was taken from the settings ends its sessions too, and so does a role.
+      // Uses the current settings: removing a token ends its sessions, and a changed role applies immediately.
       const operator = options.operators.find((it) => it.operatorId === operatorId);
       if (operator === undefined || expiresAtMs <= options.nowMs()) return undefined;
       return { operator, expiresAtMs, csrf: sign(`form ${text}`) };
@@ -95,8 +95,8 @@
 };
 
 /**
- * @param headers - headers of a post
- * @throws AuburnliftError `forbidden` where it comes from another site or does not say from where
+ * @param headers - headers of a POST
+ * @throws AuburnliftError `forbidden` if the Origin header is missing or names another site
  */
 export const assertOwnOrigin = (headers: nodeHttp.IncomingHttpHeaders): void => {
   const { origin, host } = headers;
@@ -105,9 +105,9 @@
 };
 
 /**
- * @param form - the fields of a post
+ * @param form - fields of a POST
  * @param session - the session
- * @throws AuburnliftError `forbidden` where the form's token is missing or another session's
+ * @throws AuburnliftError `forbidden` if the form's token is missing or belongs to another session
  */
 export const assertForm = (form: URLSearchParams, session: Session): void => {
   if (isEqual(form.get('csrf') ?? '', session.csrf)) return;
--- a/src/transport/node/console/test/consoleGuards.test.ts
+++ b/src/transport/node/console/test/consoleGuards.test.ts
@@ -1,5 +1,5 @@
 /**
- * Who may: what the operators' API and the console refuse, without sockets.
+ * Tests access control of the operators' API and the console, without sockets.
  */
 import * as assert from 'node:assert/strict';
 import * as crypto from 'node:crypto';
@@ -96,10 +96,10 @@
     assert.equal(reply.status, 303);
     return reply.headers['set-cookie'] ?? '';
   };
-  const move = (durationMs: number): void => {
+  const advance = (durationMs: number): void => {
     nowMs += durationMs;
   };
-  return { send, cookieOf, written, move };
+  return { send, cookieOf, written, advance };
 };
 
 const valueOf = (page: string, name: string): string =>
@@ -111,38 +111,44 @@
   readonly name: string;
   readonly token: string;
   readonly origin: string | undefined;
-  readonly spoil: (form: URLSearchParams) => void;
+  readonly tamper: (form: URLSearchParams) => void;
   readonly status: number;
 }
 
-const keep = (): void => undefined;
+const noTampering = (): void => undefined;
 const OWN = `https://${HOST}`;
 
 const POSTS: readonly PostCase[] = [
-  { name: 'a writer', token: WRITER, origin: OWN, spoil: keep, status: 303 },
-  { name: 'a reader', token: READER, origin: OWN, spoil: keep, status: 403 },
-  { name: 'another site', token: WRITER, origin: 'https://evil.example', spoil: keep, status: 403 },
-  { name: 'a site that hides itself', token: WRITER, origin: 'null', spoil: keep, status: 403 },
-  { name: 'nobody knows where', token: WRITER, origin: undefined, spoil: keep, status: 403 },
+  { name: 'a writer', token: WRITER, origin: OWN, tamper: noTampering, status: 303 },
+  { name: 'a reader', token: READER, origin: OWN, tamper: noTampering, status: 403 },
+  {
+    name: 'another site',
+    token: WRITER,
+    origin: 'https://evil.example',
+    tamper: noTampering,
+    status: 403,
+  },
+  { name: 'an opaque origin', token: WRITER, origin: 'null', tamper: noTampering, status: 403 },
+  { name: 'an unknown origin', token: WRITER, origin: undefined, tamper: noTampering, status: 403 },
   {
     name: 'a form without its token',
     token: WRITER,
     origin: OWN,
-    spoil: (form) => form.delete('csrf'),
+    tamper: (form) => form.delete('csrf'),
     status: 403,
   },
   {
     name: 'a form of another session',
     token: WRITER,
     origin: OWN,
-    spoil: (form) => form.set('csrf', 'x'.repeat(43)),
+    tamper: (form) => form.set('csrf', 'x'.repeat(43)),
     status: 403,
   },
   {
     name: 'a form without a reason',
     token: WRITER,
     origin: OWN,
-    spoil: (form) => form.set('reason', ' '),
+    tamper: (form) => form.set('reason', ' '),
     status: 400,
   },
 ];
@@ -154,7 +160,7 @@
     const page = await send('GET', '/console/customers/edit/red', { cookie });
     const form = new URLSearchParams({ ...FORM, quotaAccelerators: '32', reason: 'why' });
     for (const name of ['csrf', 'baseVersion', 'writeId']) form.set(name, valueOf(page.text, name));
-    it.spoil(form);
+    it.tamper(form);
     const headers = { cookie, ...(it.origin === undefined ? {} : { origin: it.origin }) };
     const reply = await send('POST', '/console/customers/edit/red', headers, form.toString());
     assert.equal(reply.status, it.status);
@@ -234,12 +240,12 @@
       authorization === undefined ? {} : { authorization },
     );
     assert.equal(reply.status, it.status);
-    // Neither what was sent nor what is kept is told back.
+    // The reply contains neither the sent token nor the stored hashes and secret.
     assert.doesNotMatch(reply.text, /token-0123456789|hashHex|peer-secret/);
   });
 }
 
-test.test('markup in names, authors and reasons stays text', async () => {
+test.test('markup in names, authors and reasons is escaped', async () => {
   const { send, cookieOf } = create();
   const cookie = await cookieOf(READER);
   const pages = ['/console/customers', '/console/customers/edit/red', '/console/history'];
@@ -252,7 +258,7 @@
   }
 });
 
-test.test('a complaint keeps what was typed and escapes it', async () => {
+test.test('a validation error keeps the entered text and escapes it', async () => {
   const { send, cookieOf, written } = create();
   const cookie = await cookieOf(WRITER);
   const page = await send('GET', '/console/customers/edit/red', { cookie });
@@ -266,49 +272,51 @@
   assert.deepEqual(written, []);
 });
 
-test.test('a cookie is refused when it is forged, over, or its operator has gone', async () => {
-  const { send, cookieOf, move } = create();
-  const cookie = (await cookieOf(WRITER)).split(';')[0] ?? '';
-  assert.match(await cookieOf(WRITER), /HttpOnly; SameSite=Strict; Path=\/console/);
-  const isIn = async (it: string): Promise<boolean> =>
-    (await send('GET', '/console/customers', { cookie: it })).status === 200;
-  const other = session.createSessions({
-    peerSecret: 'x'.repeat(16),
-    nowMs: () => 0,
-    operators: [],
-  });
-  const foreign = other.begin({ operatorId: 'will', role: 'write' }, false);
-  const same = { peerSecret: PEER_SECRET, nowMs: () => 0, operators: [] };
-  const gone = session.createSessions(same).begin({ operatorId: 'eve', role: 'write' }, false);
-  const verdicts = [cookie, `${cookie}x`, cookie.replace('=e', '=f'), foreign, gone, ''];
-  assert.deepEqual(await Promise.all(verdicts.map(isIn)), [
-    true,
-    false,
-    false,
-    false,
-    false,
-    false,
-  ]);
-  move(8 * 3_600_000);
-  assert.equal(await isIn(cookie), false);
-});
-
 test.test(
-  'wrong tokens in a burst take two checks at once, and the rest are turned away',
+  'a cookie is refused if it is forged or expired, or its operator has no token',
   async () => {
-    // Somebody tries tokens in a loop. Each check costs tens of milliseconds of a core; without a
-    // limit the operators' own requests would wait behind thousands of them.
-    const authenticate = operatorAuth.createAuthenticator(TOKENS);
-    const kinds = await Promise.all(
-      Array.from({ length: 20 }, (_unused, index) =>
-        authenticate(`guess-number-${index}`).then(
-          () => 'accepted',
-          (thrown: unknown) => errors.normalize(thrown).kind,
-        ),
-      ),
-    );
-    assert.equal(kinds.filter((it) => it === 'unauthenticated').length, 2);
-    assert.equal(kinds.filter((it) => it === 'overloaded').length, 18);
-    assert.equal((await authenticate(WRITER)).operatorId, 'will');
+    const { send, cookieOf, advance } = create();
+    const cookie = (await cookieOf(WRITER)).split(';')[0] ?? '';
+    assert.match(await cookieOf(WRITER), /HttpOnly; SameSite=Strict; Path=\/console/);
+    const isIn = async (it: string): Promise<boolean> =>
+      (await send('GET', '/console/customers', { cookie: it })).status === 200;
+    const other = session.createSessions({
+      peerSecret: 'x'.repeat(16),
+      nowMs: () => 0,
+      operators: [],
+    });
+    const otherKey = other.begin({ operatorId: 'will', role: 'write' }, false);
+    const currentOptions = { peerSecret: PEER_SECRET, nowMs: () => 0, operators: [] };
+    const removed = session
+      .createSessions(currentOptions)
+      .begin({ operatorId: 'eve', role: 'write' }, false);
+    const cookies = [cookie, `${cookie}x`, cookie.replace('=e', '=f'), otherKey, removed, ''];
+    assert.deepEqual(await Promise.all(cookies.map(isIn)), [
+      true,
+      false,
+      false,
+      false,
+      false,
+      false,
+    ]);
+    advance(8 * 3_600_000);
+    assert.equal(await isIn(cookie), false);
   },
 );
+
+test.test('in a burst of wrong tokens two are checked and the rest are refused', async () => {
+  // Somebody guesses tokens in a loop. Each check takes tens of milliseconds of CPU; without a limit
+  // the operators' own requests would queue behind thousands of them.
+  const authenticate = operatorAuth.createAuthenticator(TOKENS);
+  const kinds = await Promise.all(
+    Array.from({ length: 20 }, (_unused, index) =>
+      authenticate(`guess-number-${index}`).then(
+        () => 'accepted',
+        (thrown: unknown) => errors.normalize(thrown).kind,
+      ),
+    ),
+  );
+  assert.equal(kinds.filter((it) => it === 'unauthenticated').length, 2);
+  assert.equal(kinds.filter((it) => it === 'overloaded').length, 18);
+  assert.equal((await authenticate(WRITER)).operatorId, 'will');
+});
--- a/src/transport/node/console/viewPages.ts
+++ b/src/transport/node/console/viewPages.ts
@@ -1,5 +1,5 @@
 /**
- * Pages that show what runs: overview, configuration in force, cells, jobs, upstreams.
+ * Pages of the system's state: overview, active configuration, cells, jobs and upstreams.
  */
 import * as errors from '../../../base/common/errors.js';
 import * as job from '../../../state/common/job.js';
@@ -24,7 +24,7 @@
 const alerts = (warnings: readonly string[]): html.Html =>
   html.html`${warnings.map((it) => html.html`<p class="alert" role="alert">${it}</p>`)}`;
 
-const forceLine = (status: operatorGateway.ConfigurationStatus): html.Html => {
+const rolloutNotice = (status: operatorGateway.ConfigurationStatus): html.Html => {
   const { version, stragglers, inForceAfterMs } = status;
   if (stragglers.length > 0) {
     return html.html`<p class="alert">Version ${version} is not yet in force at
@@ -56,7 +56,7 @@
   handle: async (context) => {
     const { gateway } = context.options;
     const [status, cells] = await Promise.all([gateway.status(), gateway.cells()]);
-    const body = html.html`${alerts(status.warnings)}${forceLine(status)}${cellTable(cells)}`;
+    const body = html.html`${alerts(status.warnings)}${rolloutNotice(status)}${cellTable(cells)}`;
     return reply(context, 'Overview', body);
   },
 };
@@ -74,7 +74,7 @@
         ? html.html`<span class="bad">no answer</span>`
         : html.html`<span class="${it.version < status.version ? 'bad' : 'good'}">${it.version}</span>`,
     ]);
-    const body = html.html`${alerts(status.warnings)}${forceLine(status)}
+    const body = html.html`${alerts(status.warnings)}${rolloutNotice(status)}
 <p>Written ${historyPages.formatTime(status.writtenAtMs)}</p>
 ${html.table(['Process', 'Role', 'Zone', 'Version'], rows, 'Version of each process')}`;
     return reply(context, 'Configuration in force', body);
@@ -134,7 +134,7 @@
     const waiting = cell.jobs.filter((it) => it.state === job.JobState.queued);
     const body = html.html`${alerts(cell.warnings)}
 <p>Led by ${cell.leaderId}, epoch ${cell.epoch}</p>
-${cellPicture.renderPicture(cell, customerIds)}
+${cellPicture.renderDiagram(cell, customerIds)}
 <h2>Jobs</h2>${jobTable(held, 'Jobs that hold accelerators')}${jobTable(waiting, 'Waiting')}
 <h2>Workers</h2>${workerTable(context, cell)}`;
     return reply(context, `Cell ${cell.cell}`, body);
@@ -215,7 +215,7 @@
   },
 };
 
-/** Routes of the views. */
+/** Routes of the state pages. */
 export const VIEW_ROUTES: readonly consoleContext.ConsoleRoute[] = [
   overview,
   statusPage,
--- a/src/transport/node/console/wholeDocumentPages.ts
+++ b/src/transport/node/console/wholeDocumentPages.ts
@@ -1,5 +1,5 @@
 /**
- * The whole document as text: for the first configuration, and for changes of many parts at once.
+ * Page to edit the whole document as JSON: for the first configuration, and for changes of several parts.
  */
 import type * as schemaIssues from '../../../base/common/schemaIssues.js';
 import * as configurationChecks from '../../../state/common/configurationChecks.js';
@@ -21,15 +21,15 @@
   readonly base: changeForms.FormBase;
   readonly text: string;
   readonly reason: string;
-  readonly complaints: readonly string[];
+  readonly problems: readonly string[];
 }
 
 const textPage = (context: Context, state: TextState, status = 200): httpServer.ServerReply => {
-  const { complaints } = state;
-  const invalid = complaints.length > 0 ? html.html` aria-invalid="true"` : html.EMPTY;
+  const { problems } = state;
+  const invalid = problems.length > 0 ? html.html` aria-invalid="true"` : html.EMPTY;
   const reasonFields = changeForms.CHANGE_FIELDS.map((it) => fields.renderField(it, state.reason));
   const body = html.html`${changeForms.writtenNotice(context)}
-${complaints.map((it) => html.html`<p class="alert" role="alert">${it}</p>`)}
+${problems.map((it) => html.html`<p class="alert" role="alert">${it}</p>`)}
 <form class="card" method="post" action="${PATH}">
 ${changeForms.hiddenFields(context, state.base)}
 <div class="field"><label for="document">Document</label>
@@ -51,7 +51,7 @@
   }
 };
 
-const complain = (issues: readonly schemaIssues.FieldIssue[]): readonly string[] =>
+const describeIssues = (issues: readonly schemaIssues.FieldIssue[]): readonly string[] =>
   issues.map((it) => `${it.field}: ${it.message}`);
 
 const show: consoleContext.ConsoleRoute = {
@@ -61,7 +61,7 @@
     const document = context.options.gateway.configuration()?.document;
     const text = document === undefined ? '' : JSON.stringify(document, undefined, INDENT);
     const base = changeForms.newBase(context);
-    return Promise.resolve(textPage(context, { base, text, reason: '', complaints: [] }));
+    return Promise.resolve(textPage(context, { base, text, reason: '', problems: [] }));
   },
 };
 
@@ -75,18 +75,25 @@
     const parsed = parse(text);
     const decoded = configurationChecks.decodeDocument(parsed);
     const ofText = parsed === undefined ? ['the document is not JSON'] : [];
-    const ofFields = decoded.isValid || parsed === undefined ? [] : complain(decoded.issues);
+    const ofFields = decoded.isValid || parsed === undefined ? [] : describeIssues(decoded.issues);
     const ofReason = documentPages.reasonErrors({ reason }).map((it) => `reason: ${it}`);
-    const complaints = [...ofText, ...ofFields, ...ofReason];
-    if (!decoded.isValid || complaints.length > 0) {
-      return textPage(context, { base, text, reason, complaints }, 400);
+    const problems = [...ofText, ...ofFields, ...ofReason];
+    if (!decoded.isValid || problems.length > 0) {
+      return textPage(context, { base, text, reason, problems }, 400);
     }
     const before = await changeForms.documentAt(context, base.baseVersion);
     const { value: document } = decoded;
-    const change = { action: PATH, next: PATH, base, before, document, isWhole: true };
+    const change = {
+      action: PATH,
+      resultPath: PATH,
+      base,
+      before,
+      document,
+      isWholeDocument: true,
+    };
     return changeForms.submitChange(context, change);
   },
 };
 
-/** Routes of the whole document. */
+/** Routes of the whole-document page. */
 export const WHOLE_DOCUMENT_ROUTES: readonly consoleContext.ConsoleRoute[] = [show, save];
