--- a/src/transport/node/console/test/consoleGuards.test.ts
+++ b/src/transport/node/console/test/consoleGuards.test.ts
@@ -129,7 +129,7 @@
     status: 403,
   },
   { name: 'an opaque origin', token: WRITER, origin: 'null', tamper: noTampering, status: 403 },
-  { name: 'an unknown origin', token: WRITER, origin: undefined, tamper: noTampering, status: 403 },
+  { name: 'a missing origin', token: WRITER, origin: undefined, tamper: noTampering, status: 403 },
   {
     name: 'a form without its token',
     token: WRITER,
--- a/src/transport/node/exchangeServer.ts
+++ b/src/transport/node/exchangeServer.ts
@@ -59,7 +59,7 @@
 
 /**
  * @param options - dependencies and limits
- * @returns a listener that handles forwarded requests and passes all others to `otherwise`
+ * @returns a listener that handles forwarded requests and passes all others on
  */
 export const createExchangeListener = (options: ExchangeListenerOptions): httpServer.Listener => {
   const handler: httpServer.Handler = async (request) => {
--- a/src/transport/node/httpServer.ts
+++ b/src/transport/node/httpServer.ts
@@ -236,7 +236,7 @@
   });
   const { port } = server.address() as net.AddressInfo;
   /** Includes open responses: their callers would otherwise send the next request to a closed server. */
-  const discourage = (): void => {
+  const sendConnectionClose = (): void => {
     isDraining = true;
     open.forEach((it) => {
       if (!it.headersSent) it.setHeader('connection', 'close');
@@ -250,9 +250,9 @@
   return {
     address: { host: options.host, port },
     openRequests: () => open.size,
-    discourage,
+    discourage: sendConnectionClose,
     drain: async (timeoutMs) => {
-      discourage();
+      sendConnectionClose();
       server.close();
       server.closeIdleConnections();
       await waitUntil(() => open.size === 0, timeoutMs);
--- a/src/transport/node/rpcServer.ts
+++ b/src/transport/node/rpcServer.ts
@@ -29,13 +29,13 @@
 /**
  * @param router - the process's RPC router
  * @param peerSecret - secret shared by the system's processes
- * @param otherwise - handles requests outside the router's path
+ * @param fallback - handles requests outside the router's path
  * @returns a listener for a plain Node server
  */
 export const createRpcListener = (
   router: trpcServer.AnyTRPCRouter,
   peerSecret: string,
-  otherwise: httpServer.Listener,
+  fallback: httpServer.Listener,
 ): httpServer.Listener => {
   const handle = standalone.createHTTPHandler({
     router,
@@ -47,7 +47,7 @@
   }, MAX_RPC_BYTES);
   return (message, response) => {
     if (!(message.url ?? '').startsWith(`${rpcClient.RPC_PATH}/`)) {
-      return otherwise(message, response);
+      return fallback(message, response);
     }
     return isPeer(message, peerSecret) ? handle(message, response) : refuse(message, response);
   };
