--- a/src/base/common/clock.ts
+++ b/src/base/common/clock.ts
@@ -1,32 +1,32 @@
 /**
- * Time as a dependency. Durations come only from the monotonic clock; wall time is for people and
- * for the ledger's hours.
+ * Clock interface for dependency injection. Durations use only the monotonic clock; wall time is for people
+ * and for the ledger's hours.
  */
 import type * as disposable from './disposable.js';
 
-/** The two clocks and the timers of a process, or of a test that moves them by hand. */
+/** The two clocks and the timers of a process, or of a test that advances them. */
 export interface Clock {
-  /** Monotonic milliseconds; never goes back and says nothing about the date. */
+  /** Monotonic milliseconds; never decreases and is unrelated to the date. */
   readonly monotonicMs: () => number;
   /** Milliseconds since the Unix epoch; may jump. */
   readonly wallMs: () => number;
-  /** Calls once after the delay, unless disposed before. */
+  /** Calls back once after the delay, unless disposed before. */
   readonly after: (delayMs: number, callback: () => void) => disposable.Disposable;
 }
 
 /**
  * @param clock - the clock
  * @param durationMs - how long to wait
- * @returns settled once the time has passed
+ * @returns a promise that resolves after the duration
  */
 export const sleep = (clock: Pick<Clock, 'after'>, durationMs: number): Promise<void> =>
   new Promise((resolve) => {
     clock.after(durationMs, resolve);
   });
 
-/** A clock that stands still until a test moves it. */
+/** A clock that advances only when a test calls it. */
 export interface FakeClock extends Clock {
-  /** Moves both clocks and runs the callbacks that fall due, in order of their time. */
+  /** Advances both clocks and runs the due callbacks in order of time. */
   readonly advance: (durationMs: number) => Promise<void>;
 }
 
@@ -38,7 +38,7 @@
 
 const byTime = (a: Timer, b: Timer): number => a.atMs - b.atMs || a.order - b.order;
 
-/** Turns of the event loop that settle promises between two fake timers. */
+/** Microtask turns in which promises settle between two fake timers. */
 const SETTLE_TURNS = 20;
 
 const settle = async (): Promise<void> => {
@@ -46,7 +46,7 @@
 };
 
 /**
- * @param startMs - the first reading of both clocks
+ * @param startMs - initial value of both clocks
  * @returns a clock for tests
  */
 export const createFakeClock = (startMs = 0): FakeClock => {
--- a/src/base/common/disposable.ts
+++ b/src/base/common/disposable.ts
@@ -1,15 +1,15 @@
 /**
- * Ownership of what must be released: timers, servers, watches, subscriptions.
+ * Ownership of resources that must be released: timers, servers, watches, subscriptions.
  */
 
-/** Something that is released once, by its owner. */
+/** A resource that its owner releases once. */
 export interface Disposable {
   readonly dispose: () => void | Promise<void>;
 }
 
 /** Owns disposables and releases them in the reverse order of their registration. */
 export interface DisposableStore extends Disposable {
-  /** Takes ownership. What is added after disposal is released at once. */
+  /** Takes ownership. An item added after disposal is released immediately. */
   readonly add: <T extends Disposable>(item: T) => T;
   readonly isDisposed: () => boolean;
   readonly dispose: () => Promise<void>;
--- a/src/base/common/errors.ts
+++ b/src/base/common/errors.ts
@@ -1,21 +1,21 @@
 /**
- * The error that carries one of the closed list of kinds, with its form on the wire.
+ * The error type with a kind of the closed list, and its wire format.
  */
 import * as modernErrors from 'modern-errors';
 
 import * as errorKinds from './errorKinds.js';
 
-/** What an error says besides its kind and message. */
+/** Details of an error besides its kind and message. */
 export interface ErrorDetail {
-  /** Path of the offending field, `customers[0].id`. */
+  /** Path of the invalid field, `customers[0].id`. */
   readonly field?: string;
-  /** When the sender may try again. */
+  /** Delay after which the sender may retry. */
   readonly retryAfterMs?: number;
-  /** Further facts for programs, such as the two sides of a conflict. */
+  /** Further machine-readable data, such as the two sides of a conflict. */
   readonly facts?: Readonly<Record<string, unknown>>;
 }
 
-/** An error as it travels between processes and to callers. */
+/** Wire format of an error, between processes and to callers. */
 export interface ErrorBody extends ErrorDetail {
   readonly kind: errorKinds.ErrorKind;
   readonly message: string;
@@ -30,7 +30,7 @@
   props: { kind: UNSET_KIND, detail: UNSET_DETAIL },
 });
 
-/** An error of a known kind. Anything else that is thrown is a defect and answers as `internal`. */
+/** An error of a known kind. Anything else that is thrown is a defect and reported as `internal`. */
 export interface AuburnliftError extends Error {
   readonly kind: errorKinds.ErrorKind;
   readonly detail: ErrorDetail;
@@ -45,8 +45,8 @@
 /**
  * @param kind - one of the closed list
  * @param message - one sentence for people, without secrets
- * @param detail - the field, the wait in milliseconds and facts, where they apply
- * @returns the error, to be thrown or kept
+ * @param detail - the field, the retry delay in milliseconds and facts, where they apply
+ * @returns the error, to be thrown or stored
  */
 export const fail = (
   kind: errorKinds.ErrorKind,
@@ -66,7 +66,7 @@
 
 /**
  * @param error - an error of a known kind
- * @returns its form on the wire
+ * @returns its wire format
  */
 export const toBody = (error: AuburnliftError): ErrorBody => {
   const { isRetryable, ran } = errorKinds.ERROR_TABLE[error.kind];
@@ -74,11 +74,11 @@
 };
 
 /**
- * @param body - what another process sent as an error
+ * @param body - an error body received from another process
  * @returns the error; an unknown kind becomes `internal`, whose outcome is unknown
  */
 export const fromBody = (body: unknown): AuburnliftError => {
-  if (typeof body !== 'object' || body === null) return fail('internal', 'error without a body');
+  if (typeof body !== 'object' || body === null) return fail('internal', 'error body is missing');
   const { kind, message, field, retryAfterMs, facts } = body as Partial<ErrorBody>;
   if (!errorKinds.isErrorKind(kind)) return fail('internal', `unknown error kind: ${String(kind)}`);
   return fail(kind, String(message), {
--- a/src/base/common/escapeHtml.ts
+++ b/src/base/common/escapeHtml.ts
@@ -1,5 +1,5 @@
 /**
- * Text from outside in HTML.
+ * Escapes untrusted text for HTML.
  */
 
 const ESCAPES: Readonly<Record<string, string>> = {
--- a/src/base/common/event.ts
+++ b/src/base/common/event.ts
@@ -6,7 +6,7 @@
 /** Subscribes a listener; disposing the result ends the subscription. */
 export type Event<T> = (listener: (value: T) => void) => disposable.Disposable;
 
-/** The side that fires. */
+/** The publishing side of an event. */
 export interface Emitter<T> extends disposable.Disposable {
   readonly event: Event<T>;
   readonly fire: (value: T) => void;
--- a/src/base/common/http.ts
+++ b/src/base/common/http.ts
@@ -1,60 +1,60 @@
 /**
- * One exchange over HTTP as a function, so that whoever speaks HTTP can be given a pool, a fake or
- * a faulty line.
+ * An HTTP exchange as a function, so that clients can be given a connection pool, a fake or a connection
+ * with injected faults.
  */
 
-/** Where a server listens. */
+/** Address of a server. */
 export interface Address {
   readonly host: string;
   readonly port: number;
 }
 
-/** How long bodies may take on the line. */
+/** Limits of the transfer times of bodies. */
 export interface TransferLimits {
-  /** From the first byte of an answer to its last. */
+  /** Maximum time from the first byte of a response to the last. */
   readonly maxMs: number;
-  /** Longest pause between two pieces of an answer. */
+  /** Maximum pause between two chunks of a response. */
   readonly maxPauseMs: number;
-  /** Slowest line that a request's body is given time for. */
+  /** Minimum throughput that the time limit of a request's body allows for. */
   readonly minBytesPerS: number;
 }
 
-/** A request with its whole body. */
+/** A request with its complete body. */
 export interface HttpRequest {
   readonly address: Address;
   readonly method: string;
   readonly path: string;
   readonly headers: Readonly<Record<string, string>>;
   readonly body: Uint8Array;
-  /** From the first byte sent to the last byte received; with {@link transfer}, to the first one. */
+  /** Maximum time from the first byte sent to the last byte received; with {@link transfer}, to the first one. */
   readonly timeoutMs: number;
-  /** Longest time until the answer begins, over all ways that the request may go; unbounded without it. */
+  /** Maximum time until the response begins, over all routes that are tried; unbounded if omitted. */
   readonly totalMs?: number;
-  /** For bodies whose length has no small bound: their time on the line counts apart. */
+  /** For bodies without a small size limit: separate limits of their transfer times. */
   readonly transfer?: TransferLimits;
-  /** Statuses of answers whose body is of no use; a long one is left unread. */
+  /** Statuses of responses whose body is not needed; a long one is left unread. */
   readonly unreadStatuses?: readonly number[];
-  /** Hears of the answer while it comes: first of its head, without a piece, then of each piece of its body. */
+  /** Called as the response arrives: first for its head, without a piece, then for each piece of its body. */
   readonly onArrival?: (status: number, piece?: Uint8Array) => void;
   readonly signal?: AbortSignal;
-  /** Uses a connection that no exchange used before, and forgets the idle ones to that address. */
+  /** Uses a new connection and discards the idle ones to that address. */
   readonly isFreshConnection?: boolean;
 }
 
-/** A whole answer; an answer that is cut short is an error instead. */
+/** A complete response; a truncated one is an error instead. */
 export interface HttpReply {
   readonly status: number;
   readonly headers: Readonly<Record<string, string>>;
   readonly body: Uint8Array;
 }
 
-/** How an exchange failed, which decides whether the request may have been seen. */
+/** How an exchange failed; it determines whether the server may have received the request. */
 export const HttpFailure = {
-  /** The connection was never made: the other side saw nothing. */
+  /** The connection was not established: the server received nothing. */
   notSent: 'notSent',
-  /** Something was sent and no whole answer came. */
+  /** Something was sent, and no complete response arrived. */
   lost: 'lost',
-  /** No whole answer came in time. */
+  /** No complete response arrived before the timeout. */
   timeout: 'timeout',
   /** The caller's signal ended the exchange. */
   aborted: 'aborted',
@@ -63,13 +63,13 @@
 /** One of the values of {@link HttpFailure}. */
 export type HttpFailure = (typeof HttpFailure)[keyof typeof HttpFailure];
 
-/** Thrown by {@link HttpCall} for an exchange without a whole answer. */
+/** Thrown by {@link HttpCall} for an exchange without a complete response. */
 export class HttpCallError extends Error {
   readonly failure: HttpFailure;
 
   /**
    * @param failure - how the exchange failed
-   * @param message - what the platform said
+   * @param message - description of the failure
    */
   constructor(failure: HttpFailure, message: string) {
     super(message);
@@ -78,7 +78,7 @@
   }
 }
 
-/** Sends one request and gives its whole answer, or throws {@link HttpCallError}. */
+/** Sends one request and returns its complete response, or throws {@link HttpCallError}. */
 export type HttpCall = (request: HttpRequest) => Promise<HttpReply>;
 
 /**
@@ -90,13 +90,13 @@
   const parsed = /^http:\/\/([A-Za-z0-9.-]+|\[[0-9a-f:]+\]):(\d{1,5})$/.exec(url);
   const [, host, port] = parsed ?? [];
   if (host === undefined || port === undefined) {
-    throw new TypeError(`not an http://host:port: ${url}`);
+    throw new TypeError(`expected http://host:port, got ${url}`);
   }
   return { host, port: Number(port) };
 };
 
 /**
- * @param address - where a server listens
+ * @param address - address of a server
  * @returns `http://host:port`
  */
 export const formatAddress = (address: Address): string => `http://${address.host}:${address.port}`;
--- a/src/base/common/logging.ts
+++ b/src/base/common/logging.ts
@@ -1,14 +1,14 @@
 /**
- * Logging as a dependency, and the form of a line.
+ * Log interface for dependency injection, and the format of a log line.
  */
 
-/** A value that a line can show. */
+/** Value of a log field. */
 export type LogValue = string | number | boolean | null | undefined;
 
-/** Facts of an event; keys carry their unit as a suffix. */
+/** Fields of an event; keys carry their unit as a suffix. */
 export type LogFields = Readonly<Record<string, LogValue>>;
 
-/** How much attention an event wants. */
+/** Severity of an event. */
 export const LogLevel = { debug: 'debug', info: 'info', warn: 'warn', error: 'error' } as const;
 
 /** One of the values of {@link LogLevel}. */
@@ -25,8 +25,8 @@
 };
 
 /**
- * @param fields - the facts in the order in which they are to stand
- * @returns `key=value` pairs on one line; what has no value is left out
+ * @param fields - the fields in output order
+ * @returns `key=value` pairs on one line; undefined values are omitted
  */
 export const formatLine = (fields: LogFields): string =>
   Object.entries(fields)
--- a/src/base/common/metrics.ts
+++ b/src/base/common/metrics.ts
@@ -6,7 +6,7 @@
 /** Label names and values of one series. */
 export type Labels = Readonly<Record<string, string>>;
 
-/** What a process counts and measures. */
+/** The metrics of a process. */
 export interface Metrics {
   /** Adds to a counter; its name ends in `_total`. */
   readonly count: (name: string, labels?: Labels, by?: number) => void;
@@ -14,9 +14,9 @@
   readonly gauge: (name: string, value: number, labels?: Labels) => void;
   /** Records a duration in milliseconds; the name ends in `_ms`. */
   readonly time: (name: string, durationMs: number, labels?: Labels) => void;
-  /** Reads one counter or gauge, 0 where it was never touched. */
+  /** Reads one counter or gauge; 0 if it was never set. */
   readonly read: (name: string, labels?: Labels) => number;
-  /** Gives the Prometheus text format. */
+  /** Returns all series in the Prometheus text format. */
   readonly render: () => string;
 }
 
--- a/src/base/common/random.ts
+++ b/src/base/common/random.ts
@@ -1,15 +1,15 @@
 /**
- * Randomness as a dependency, seeded so that a run can be repeated.
+ * Random number interface for dependency injection, seeded so that a run is reproducible.
  */
 
-/** Gives the next number, at least 0 and below 1. */
+/** Returns the next number, at least 0 and below 1. */
 export type Random = () => number;
 
 const GOLDEN_RATIO = 0x6d2b79f5;
 const TWO_TO_32 = 4_294_967_296;
 
 /**
- * A small generator of the mulberry kind: enough to spread load, not for secrets.
+ * A small generator of the mulberry family: sufficient to distribute load, unsuitable for secrets.
  *
  * @param seed - any integer; the same seed gives the same numbers
  * @returns the generator
@@ -45,8 +45,8 @@
 /**
  * @param random - source of randomness
  * @param valueMs - the mean of the result
- * @param share - how far the result may lie from the mean, 0 to 1
- * @returns milliseconds spread evenly about the mean, so that many processes do not act at once
+ * @param share - maximum deviation from the mean as a share of it, 0 to 1
+ * @returns milliseconds distributed uniformly around the mean, so that many processes do not act simultaneously
  */
 export const jitterMs = (random: Random, valueMs: number, share: number): number =>
   valueMs * (1 - share + 2 * share * random());
--- a/src/base/common/schemaIssues.ts
+++ b/src/base/common/schemaIssues.ts
@@ -1,15 +1,15 @@
 /**
- * Decoding with a schema so that every complaint names its field and what was expected.
+ * Schema decoding in which every issue names its field and the expected value.
  */
 import * as Schema from 'effect/Schema';
 import * as SchemaIssue from 'effect/SchemaIssue';
 
 import * as errors from './errors.js';
 
-/** One complaint about one field. */
+/** One issue of one field. */
 export interface FieldIssue {
   readonly path: readonly (string | number)[];
-  /** The path as people write it, `shapes[2].count`. */
+  /** The path in display form, `shapes[2].count`. */
   readonly field: string;
   readonly message: string;
 }
@@ -18,7 +18,7 @@
 
 /**
  * @param path - keys and indexes from the root
- * @returns the path as people write it; the root is `(document)`
+ * @returns the path in display form; the root is `(document)`
  */
 export const formatPath = (path: readonly (string | number)[]): string => {
   const text = path
@@ -34,22 +34,22 @@
   return typeof key === 'number' ? key : String(key);
 };
 
-/** A decoded value, or all complaints about it. */
+/** A decoded value, or all issues found in the input. */
 export type Decoded<T> =
   | { readonly isValid: true; readonly value: T }
   | { readonly isValid: false; readonly issues: readonly FieldIssue[] };
 
-/** What becomes of fields that a schema does not name: an outside system may add some at any time. */
+/** Handling of fields that are not in the schema; an external system may add some at any time. */
 export const Excess = { refuse: 'error', ignore: 'ignore' } as const;
 
 /** One of the values of {@link Excess}. */
 export type Excess = (typeof Excess)[keyof typeof Excess];
 
 /**
- * @param schema - what is expected
- * @param input - what came from outside
- * @param excess - what becomes of fields that the schema does not name
- * @returns the typed value, or every complaint
+ * @param schema - expected schema
+ * @param input - untrusted input
+ * @param excess - handling of fields that are not in the schema
+ * @returns the typed value, or every issue
  */
 export const decode = <T>(
   schema: Schema.Codec<T, unknown, never, never>,
@@ -70,12 +70,12 @@
 };
 
 /**
- * @param schema - what is expected
- * @param input - what came from outside
- * @param what - the thing's name for the message
- * @param excess - what becomes of fields that the schema does not name
+ * @param schema - expected schema
+ * @param input - untrusted input
+ * @param what - name of the input for the message
+ * @param excess - handling of fields that are not in the schema
  * @returns the typed value
- * @throws AuburnliftError `invalidRequest` naming the first offending field, all in its facts
+ * @throws AuburnliftError `invalidRequest` naming the first invalid field, with all issues in its facts
  */
 export const decodeOrFail = <T>(
   schema: Schema.Codec<T, unknown, never, never>,
--- a/src/base/common/test/errors.test.ts
+++ b/src/base/common/test/errors.test.ts
@@ -1,5 +1,5 @@
 /**
- * The error table and the form of errors on the wire.
+ * The error table and the wire format of errors.
  */
 import * as assert from 'node:assert/strict';
 import * as test from 'node:test';
@@ -9,20 +9,20 @@
 
 const rows = Object.entries(errorKinds.ERROR_TABLE);
 
-test.test('every kind answers with an error status and a non-zero exit status', () => {
+test.test('every kind maps to an error status and a non-zero exit status', () => {
   for (const [kind, answer] of rows) {
     assert.ok(answer.httpStatus >= 400 && answer.httpStatus < 600, kind);
     assert.ok(answer.exitCode > 0 && answer.exitCode < 126, kind);
   }
 });
 
-test.test('exit statuses tell the kinds apart', () => {
+test.test('exit statuses are distinct for all kinds', () => {
   const codes = rows.map(([, answer]) => answer.exitCode);
   assert.equal(new Set(codes).size, codes.length);
 });
 
-test.test('a kind whose outcome is not known is never offered for a blind retry', () => {
-  // A peer that does not answer is asked again by the system itself, with idempotent messages.
+test.test('of the kinds whose work may have run, only peerUnreachable is retryable', () => {
+  // The system itself retries such calls, with idempotent messages.
   const retryable = rows.filter(([, answer]) => answer.isRetryable && answer.ran !== 'no');
   assert.deepEqual(
     retryable.map(([kind]) => kind),
@@ -36,7 +36,7 @@
   errors.fail('internal', 'a defect'),
 ];
 
-test.test('an error survives the wire with its kind, field, wait and facts', () => {
+test.test('an error keeps its kind, field, retry delay and facts over the wire', () => {
   for (const error of ROUND_TRIPS) {
     const back = errors.fromBody(JSON.parse(JSON.stringify(errors.toBody(error))));
     assert.equal(back.kind, error.kind);
@@ -47,7 +47,7 @@
 
 const FOREIGN = [undefined, null, 'text', {}, { kind: 'toString' }, { kind: 'madeUp' }, []];
 
-test.test('what is not an error of the list becomes internal', () => {
+test.test('an unknown error becomes internal', () => {
   for (const body of FOREIGN) assert.equal(errors.fromBody(body).kind, 'internal');
   assert.equal(errors.normalize(new Error('boom')).kind, 'internal');
   assert.equal(errors.normalize('boom').message, 'boom');
--- a/src/base/common/test/logging.test.ts
+++ b/src/base/common/test/logging.test.ts
@@ -1,5 +1,5 @@
 /**
- * The form of a log line and of metrics.
+ * The format of log lines and metrics.
  */
 import * as assert from 'node:assert/strict';
 import * as test from 'node:test';
@@ -15,7 +15,7 @@
   { fields: { gone: undefined, kept: null }, line: 'kept=null' },
 ];
 
-test.test('an event is one line of key=value pairs, whatever its values hold', () => {
+test.test('an event is one line of key=value pairs, whatever its values contain', () => {
   for (const { fields, line } of LINES) {
     assert.equal(logging.formatLine(fields), line);
     assert.ok(!logging.formatLine(fields).includes('\n'));
--- a/src/base/node/earlySignals.ts
+++ b/src/base/node/earlySignals.ts
@@ -1,6 +1,5 @@
 /**
- * Imported before anything else by a program that reloads its settings on SIGHUP: until somebody listens,
- * that signal ends a process. One that came while the program was still loading its libraries ended it
- * in place of a reload.
+ * Imported first by a program that reloads its settings on SIGHUP: without a listener that signal ends the
+ * process, so a reload requested while the program is still loading its libraries would end it.
  */
 process.on('SIGHUP', () => undefined);
--- a/src/base/node/log.ts
+++ b/src/base/node/log.ts
@@ -1,8 +1,8 @@
 /**
  * The process log: roarr events written as one line of key=value pairs to standard output.
  *
- * Guards against a reader that does not read: a write to a full pipe would stop the whole process, so
- * lines wait in a bounded queue with one write under way, and those beyond it are counted and dropped.
+ * Guards against a reader that stops reading: a write to a full pipe would block the whole process, so
+ * lines are queued up to a limit with one write in flight; further lines are counted and dropped.
  */
 import './enableRoarr.js';
 
@@ -27,19 +27,19 @@
 
 const STANDARD_OUTPUT = 1;
 
-/** Lines that wait for the reader: about a quarter of a megabyte, seconds of a busy process. */
-const MAX_WAITING_LINES = 1500;
+/** Maximum number of queued lines: about a quarter of a megabyte, or some seconds of a busy process. */
+const MAX_QUEUED_LINES = 1500;
 
-/** Pause where the output takes nothing at the moment. */
+/** Delay before a retry when the output accepts no data. */
 const RETRY_MS = 20;
 
-let waiting: string[] = [];
+let queuedLines: string[] = [];
 let dropped = 0;
 let isWriting = false;
 
 const takeChunk = (): string => {
-  const lines = waiting;
-  waiting = [];
+  const lines = queuedLines;
+  queuedLines = [];
   if (dropped > 0) lines.push(`${logging.formatLine({ event: 'linesDropped', lines: dropped })}\n`);
   dropped = 0;
   return lines.join('');
@@ -49,13 +49,13 @@
   fs.write(STANDARD_OUTPUT, chunk, (error, written) => {
     const rest = error === null ? chunk.subarray(written) : chunk;
     if (error !== null && error.code !== 'EAGAIN') {
-      // Nobody reads any more, and there is no other place to say so.
+      // The reader is gone, and there is no other output to report it to.
       isWriting = false;
       return;
     }
     if (rest.length > 0) {
       setTimeout(() => write(rest), error === null ? 0 : RETRY_MS);
-    } else if (waiting.length > 0) {
+    } else if (queuedLines.length > 0) {
       write(Buffer.from(takeChunk()));
     } else {
       isWriting = false;
@@ -64,24 +64,24 @@
 };
 
 const enqueue = (line: string): void => {
-  if (waiting.length >= MAX_WAITING_LINES) {
+  if (queuedLines.length >= MAX_QUEUED_LINES) {
     dropped += 1;
     return;
   }
-  waiting.push(line);
+  queuedLines.push(line);
   if (isWriting) return;
   isWriting = true;
-  // Lines of one turn of the loop go out together.
+  // Writes the lines of one event loop turn together.
   setImmediate(() => write(Buffer.from(takeChunk())));
 };
 
-/** Writes what waits before the process ends; called once nothing else is done. */
+/** Writes the queued lines synchronously when the process exits. */
 const flush = (): void => {
-  if (waiting.length === 0) return;
+  if (queuedLines.length === 0) return;
   try {
     fs.writeSync(STANDARD_OUTPUT, takeChunk());
   } catch {
-    // The reader is gone or stands still; the process ends all the same.
+    // The reader is gone or blocked; the process exits anyway.
   }
 };
 process.once('exit', flush);
@@ -95,7 +95,7 @@
 
 /**
  * @param minLevel - events below it are dropped
- * @param fields - facts of the process that every line carries, such as its role and id
+ * @param fields - fields added to every line, such as the role and id of the process
  * @returns the log of this process
  */
 export const createLog = (minLevel: logging.LogLevel, fields: logging.LogFields): logging.Log => {
--- a/src/base/node/settingsFile.ts
+++ b/src/base/node/settingsFile.ts
@@ -1,6 +1,6 @@
 /**
- * Settings files: JSON with comments, decoded by a schema. Every complaint names the file, line,
- * field and what was expected, and the process does not start.
+ * Settings files: JSON with comments, decoded by a schema. Every error names the file, the line, the
+ * field and the expected value; a process with invalid settings does not start.
  */
 import * as fs from 'node:fs';
 
@@ -12,7 +12,7 @@
 
 const lineAt = (text: string, offset: number): number => text.slice(0, offset).split('\n').length;
 
-/** The node of a path, or of the longest part of it that the file has. */
+/** The node of a path, or of its longest prefix that exists in the file. */
 const nearestNode = (root: jsonc.Node, path: readonly (string | number)[]): jsonc.Node => {
   for (let { length } = path; length > 0; length -= 1) {
     const node = jsonc.findNodeAtLocation(root, path.slice(0, length));
@@ -35,11 +35,11 @@
 };
 
 /**
- * @param schema - what is expected
+ * @param schema - schema of the settings
  * @param text - the content of the file
- * @param file - its name for messages
+ * @param file - its name for error messages
  * @returns the typed settings
- * @throws AuburnliftError `invalidRequest` with one line for each complaint
+ * @throws AuburnliftError `invalidRequest` with one line for each invalid field
  */
 export const parseSettings = <T>(
   schema: Schema.Codec<T, unknown, never, never>,
@@ -59,10 +59,10 @@
 };
 
 /**
- * @param schema - what is expected
+ * @param schema - schema of the settings
  * @param file - path of the settings file
  * @returns the typed settings
- * @throws AuburnliftError `invalidRequest` where the file can't be read or does not fit
+ * @throws AuburnliftError `invalidRequest` if the file can't be read or is invalid
  */
 export const readSettings = <T>(
   schema: Schema.Codec<T, unknown, never, never>,
--- a/src/base/node/systemClock.ts
+++ b/src/base/node/systemClock.ts
@@ -1,11 +1,11 @@
 /**
- * The process's own clocks and timers.
+ * The clocks and timers of the Node.js process.
  */
 import * as perfHooks from 'node:perf_hooks';
 
 import type * as clock from '../common/clock.js';
 
-/** Clocks of this machine. */
+/** Clock backed by the machine's monotonic and wall clocks. */
 export const systemClock: clock.Clock = {
   monotonicMs: () => perfHooks.performance.now(),
   wallMs: () => Date.now(),
--- a/src/base/node/test/settingsFile.test.ts
+++ b/src/base/node/test/settingsFile.test.ts
@@ -1,5 +1,5 @@
 /**
- * Settings files: what fits is decoded, what does not is named with its line.
+ * Settings files: valid ones are decoded; errors in invalid ones name the line.
  */
 import * as assert from 'node:assert/strict';
 import * as test from 'node:test';
@@ -22,33 +22,35 @@
   });
 });
 
-const REFUSED = [
-  { text: '', says: 'f:1: ' },
-  { text: '{\n"name": 1,\n"parts": [] }', says: 'f:2: name: ' },
+const REJECTED = [
+  { text: '', expected: 'f:1: ' },
+  { text: '{\n"name": 1,\n"parts": [] }', expected: 'f:2: name: ' },
   {
     text: '{\n"name": "x",\n"parts": [\n{ "sizeBytes": "4" }] }',
-    says: 'f:4: parts[0].sizeBytes: ',
+    expected: 'f:4: parts[0].sizeBytes: ',
   },
-  { text: '{\n"name": "x",\n"parts": [],\n"more": 1 }', says: 'f:4: more: ' },
-  { text: '{\n"name": "x" }', says: 'f:1: parts: ' },
-  { text: '{\n"name": }', says: 'f:2: not JSON with comments' },
+  { text: '{\n"name": "x",\n"parts": [],\n"more": 1 }', expected: 'f:4: more: ' },
+  { text: '{\n"name": "x" }', expected: 'f:1: parts: ' },
+  { text: '{\n"name": }', expected: 'f:2: not JSON with comments' },
 ];
 
-test.test('what does not fit is refused with file, line and field', () => {
-  for (const { text, says } of REFUSED) {
+test.test('invalid settings are rejected with file, line and field', () => {
+  for (const { text, expected } of REJECTED) {
     assert.throws(
       () => settingsFile.parseSettings(Shape, text, 'f'),
       (thrown) =>
-        errors.isKnown(thrown) && thrown.kind === 'invalidRequest' && thrown.message.includes(says),
-      says,
+        errors.isKnown(thrown) &&
+        thrown.kind === 'invalidRequest' &&
+        thrown.message.includes(expected),
+      expected,
     );
   }
 });
 
-test.test('all complaints are told at once', () => {
+test.test('all errors are reported together', () => {
   try {
     settingsFile.parseSettings(Shape, '{ "name": 1, "parts": 2 }', 'f');
-    assert.fail('it was taken');
+    assert.fail('invalid settings were accepted');
   } catch (thrown) {
     assert.equal(errors.normalize(thrown).message.split('\n').length, 2);
   }
--- a/src/bin/auburnliftBench.ts
+++ b/src/bin/auburnliftBench.ts
@@ -1,6 +1,6 @@
 #!/usr/bin/env node
 /**
- * `npm run bench -- NAME`: runs one of the project's measurements.
+ * `npm run bench -- NAME`: runs one of the project's benchmarks.
  */
 import * as benches from '../bench/benches.js';
 
--- a/src/bin/auburnliftSoak.ts
+++ b/src/bin/auburnliftSoak.ts
@@ -1,8 +1,8 @@
 #!/usr/bin/env node
 /**
- * `npm run soak -- [FIRST_SEED] [SEEDS] [SECONDS] [AT_ONCE]`: random faults on real processes, one soak a
- * seed; `npm run soak -- kept`: every seed that once showed a fault. Logs of a seed that failed stay in
- * `target/soak/SEED`.
+ * `npm run soak -- [FIRST_SEED] [SEEDS] [SECONDS] [AT_ONCE]`: injects random faults into real processes, one
+ * soak run per seed; `npm run soak -- kept`: the regression seeds, which once revealed a fault. Logs of a
+ * failed seed stay in `target/soak/SEED`.
  */
 import * as fs from 'node:fs';
 import * as path from 'node:path';
@@ -10,18 +10,18 @@
 import * as keptSeeds from '../soak/keptSeeds.js';
 import * as soakRun from '../soak/soakRun.js';
 
-const [firstSeed = Date.now() % 1_000_000, seeds = 1, seconds = 20, atOnce = 2] = process.argv
+const [firstSeed = Date.now() % 1_000_000, seeds = 1, seconds = 20, concurrency = 2] = process.argv
   .slice(2)
   .map(Number);
 
-/** A few dozen processes at most, at eight a soak. */
+/** Eight processes in each soak run, so that a few dozen run concurrently at most. */
 const SIZES = { entries: 2, schedulers: 2, workers: 4 };
 
-/** Each process of a soak is ended with it. */
+/** Limit of exit listeners: each child process adds one that ends it together with this process. */
 const EXIT_LISTENERS = 400;
 process.setMaxListeners(EXIT_LISTENERS);
 
-/** What is played, the next one first. */
+/** Remaining runs, the next one first. */
 const plan: { readonly seed: number; readonly seconds: number }[] =
   process.argv[2] === 'kept'
     ? [...keptSeeds.KEPT_SEEDS]
@@ -29,16 +29,16 @@
 const total = plan.length;
 let failed = 0;
 
-const say = (line: string): void => {
+const printLine = (line: string): void => {
   process.stdout.write(`${line}\n`);
 };
 
-const soakOne = async (seed: number, faultsMs: number): Promise<void> => {
+const runSeed = async (seed: number, faultsMs: number): Promise<void> => {
   const folder = path.join('target', 'soak', String(seed));
   fs.rmSync(folder, { recursive: true, force: true });
   const report = await soakRun.runSoak({ seed, faultsMs, sizes: SIZES, folder });
   const { broken, jobs, calls, runs } = report;
-  say(
+  printLine(
     `seed ${seed}: ${broken.length} broken; ${jobs} jobs, ${calls} calls, ${runs} runs, ${report.faults.length} faults`,
   );
   if (broken.length === 0) {
@@ -47,15 +47,15 @@
   }
   failed += 1;
   fs.writeFileSync(path.join(folder, 'report.json'), JSON.stringify(report, null, 2));
-  broken.slice(0, 12).forEach((it) => say(`  ${it}`));
+  broken.slice(0, 12).forEach((it) => printLine(`  ${it}`));
 };
 
-const work = async (): Promise<void> => {
+const runPlan = async (): Promise<void> => {
   for (let next = plan.shift(); next !== undefined; next = plan.shift()) {
-    await soakOne(next.seed, next.seconds * 1000);
+    await runSeed(next.seed, next.seconds * 1000);
   }
 };
 
-await Promise.all(Array.from({ length: atOnce }, work));
-say(`${total - failed} of ${total} seeds kept every promise`);
+await Promise.all(Array.from({ length: concurrency }, runPlan));
+printLine(`${total - failed} of ${total} seeds held every invariant`);
 process.exit(failed === 0 ? 0 : 1);
--- a/src/bin/poolAgent.ts
+++ b/src/bin/poolAgent.ts
@@ -1,6 +1,6 @@
 #!/usr/bin/env node
 /**
- * The agent of pools; reads the settings file that the platform names.
+ * Starts the agent of a pool with the settings file that the platform names.
  */
 import '../base/node/earlySignals.js';
 
--- a/src/bin/poolEntry.ts
+++ b/src/bin/poolEntry.ts
@@ -1,6 +1,6 @@
 #!/usr/bin/env node
 /**
- * The entry of pools; reads the settings file that the platform names.
+ * Starts the entry of a pool with the settings file that the platform names.
  */
 import '../base/node/earlySignals.js';
 
--- a/src/bin/test/earlySignals.test.ts
+++ b/src/bin/test/earlySignals.test.ts
@@ -1,6 +1,6 @@
 /**
- * A program that loads is told to reload its settings. Its libraries take most of its start, and without a
- * listener the signal ended it: the platform had to start it again.
+ * Guards against a settings reload that ends a program that is still loading: its libraries take most of the
+ * start, and without a listener SIGHUP ended the process and the platform had to start it again.
  */
 import * as assert from 'node:assert/strict';
 import * as fs from 'node:fs';
@@ -10,9 +10,9 @@
 
 const BIN = path.join(path.dirname(url.fileURLToPath(import.meta.url)), '..');
 
-test.describe('a signal to reload while a program loads', () => {
+test.describe('a reload signal while a program is loading', () => {
   for (const program of ['poolAgent', 'poolEntry', 'poolScheduler']) {
-    test.it(`${program} listens for it before it loads anything else`, () => {
+    test.it(`${program} listens for SIGHUP before it loads anything else`, () => {
       const text = fs.readFileSync(path.join(BIN, `${program}.js`), 'utf8');
       const [first] = /^import .*$/m.exec(text) ?? [];
       assert.equal(first, "import '../base/node/earlySignals.js';");
--- a/src/programs/agent.ts
+++ b/src/programs/agent.ts
@@ -1,6 +1,6 @@
 /**
- * `auburnlift-agent`: runs beside an upstream, a worker or both, and is the one process on its VM
- * that the rest of the system talks to.
+ * `auburnlift-agent`: runs on the VM of an upstream, a worker or both; the other processes of the system
+ * communicate with this VM only through it.
  */
 import * as clock from '../base/common/clock.js';
 import * as errors from '../base/common/errors.js';
@@ -23,7 +23,7 @@
 import * as agentLinks from './agentLinks.js';
 import * as processKit from './processKit.js';
 
-/** Path at which an upstream announces itself; taken from the VM itself only. */
+/** Path at which an upstream announces itself; accepted from the same VM only. */
 const ANNOUNCE_PATH = '/announce';
 
 const MAX_CONNECTIONS = 4096;
@@ -31,7 +31,7 @@
 const REPORT_JITTER = 0.2;
 const DRAIN_POLL_MS = 20;
 
-/** Time for answers that are being sent when the limit is reached. */
+/** Minimum time for responses that are still being sent when the drain limit is reached. */
 const LAST_ANSWERS_MS = 100;
 
 const workerInfoOf = (
@@ -73,23 +73,23 @@
   tasks: () => agentRuntime.AgentRuntime | undefined,
   drainUpstream: (isDraining: boolean) => void,
 ): agentRouter.AgentService => {
-  const need = (): agentRuntime.AgentRuntime => {
+  const requireRuntime = (): agentRuntime.AgentRuntime => {
     const runtime = tasks();
-    if (runtime === undefined) throw errors.fail('notFound', 'no worker is on this VM');
+    if (runtime === undefined) throw errors.fail('notFound', 'this VM has no worker');
     return runtime;
   };
   return {
     fence: (request) => {
-      const held = need().fence(request.epoch);
+      const held = requireRuntime().fence(request.epoch);
       links.noteLeader({ url: request.leaderUrl, epoch: request.epoch });
       const info = workerInfo();
       return Promise.resolve({
         from: kit.sender(),
         bootId,
-        acceptedEpoch: need().acceptedEpoch(),
-        uptimeMs: need().uptimeMs(),
+        acceptedEpoch: requireRuntime().acceptedEpoch(),
+        uptimeMs: requireRuntime().uptimeMs(),
         ...(info === undefined ? {} : { worker: info }),
-        commandCount: need().commandCount(),
+        commandCount: requireRuntime().commandCount(),
         tasks: held,
       });
     },
@@ -98,8 +98,8 @@
       if (request.bootId !== bootId) {
         throw errors.fail('staleEpoch', 'the command is for an earlier boot of this agent');
       }
-      const results = await need().command(request.epoch, request.commands);
-      return { from: kit.sender(), bootId, commandCount: need().commandCount(), results };
+      const results = await requireRuntime().command(request.epoch, request.commands);
+      return { from: kit.sender(), bootId, commandCount: requireRuntime().commandCount(), results };
     },
     configuration: () => {
       const record = kit.configuration.current();
@@ -108,7 +108,7 @@
     drain: async (request) => {
       links.noteVersion(request.from.configVersion);
       drainUpstream(request.isDraining);
-      // The entries of the region know before the operator has the answer.
+      // The region's entries are informed before the operator receives the reply.
       await links.registerNow();
       const upstream = links.upstreamState();
       return { from: kit.sender(), ...(upstream === undefined ? {} : { upstream }) };
@@ -221,7 +221,7 @@
       isLeaving = true;
       host.startDraining();
       await links.registerNow();
-      // An entry whose connection broke asks again over another one: the run must end first.
+      // An entry whose connection broke retries over a new one, so the server stays open until requests end.
       const untilMs = kit.clock.monotonicMs() + settings.drainMs;
       while (host.openRequestCount() > 0 && kit.clock.monotonicMs() < untilMs) {
         await clock.sleep(kit.clock, DRAIN_POLL_MS);
--- a/src/programs/agentLinks.ts
+++ b/src/programs/agentLinks.ts
@@ -1,6 +1,6 @@
 /**
- * An agent's links: registration with the entries of its region, reports to its cell's leader, and
- * the way of the configuration to it.
+ * Connections of an agent: registration with the entries of its region, reports to its cell's leader,
+ * and fetches of the configuration.
  */
 import type * as disposable from '../base/common/disposable.js';
 import * as errors from '../base/common/errors.js';
@@ -14,13 +14,13 @@
 import * as entryPresence from './entryPresence.js';
 import type * as processKit from './processKit.js';
 
-/** Where the leader of the cell answers. */
+/** Address and epoch of the cell's leader. */
 export interface LeaderHint {
   readonly url: string;
   readonly epoch: number;
 }
 
-/** What the links need. */
+/** Dependencies of the links. */
 export interface AgentLinksOptions {
   readonly kit: processKit.ProcessKit;
   readonly settings: settingsSchema.AgentSettings;
@@ -34,31 +34,31 @@
 /** The links of one agent. */
 export interface AgentLinks {
   readonly report: (report: agentRuntime.OutgoingReport) => Promise<agentRuntime.ReportAnswer>;
-  /** Learns of a leader; one of a lower epoch is not taken. */
+  /** Records the leader; one of a lower epoch is ignored. */
   readonly noteLeader: (leader: LeaderHint) => void;
-  /** Learns of a configuration version; a higher one is fetched. */
+  /** Fetches the configuration if the version is higher than the active one. */
   readonly noteVersion: (version: number) => void;
   readonly registerSoon: () => void;
-  /** The upstream as it is registered. */
+  /** State of the upstream as sent in registrations. */
   readonly upstreamState: () => agentEntryMessages.UpstreamState | undefined;
   readonly registerNow: () => Promise<void>;
   readonly start: (url: string, firstAfterMs: number) => disposable.Disposable;
 }
 
-/** Until an entry says otherwise. */
+/** Registration period until an entry sends another one. */
 const FIRST_PERIOD_MS = 2000;
 
-/** Share by which registrations are spread about their period. */
+/** Jitter of registrations, as a share of their period. */
 const PERIOD_SPREAD = 0.2;
 
-/** Registrations out of turn, at the most one in this time. */
-const SOONEST_MS = 2000;
+/** Minimum registration period; also the minimum age of the last one before a failed report triggers another. */
+const MIN_PERIOD_MS = 2000;
 
-/** Entries remembered for one region. */
+/** Maximum number of entries stored for the region. */
 const MAX_ENTRIES = 16;
 
 /**
- * @param options - what the links need
+ * @param options - dependencies of the links
  * @returns links that are not started
  */
 export const createAgentLinks = (options: AgentLinksOptions): AgentLinks => {
@@ -108,7 +108,7 @@
       }
     }
   };
-  /** One fetch at a time; whoever hears of the version meanwhile waits for the same one. */
+  /** Runs one fetch at a time; concurrent callers wait for the same one. */
   const catchUp = (version: number, url: string | undefined): Promise<void> => {
     if (version <= kit.configuration.version()) return Promise.resolve();
     fetching ??= fetchConfiguration(url).finally(() => {
@@ -124,7 +124,7 @@
       const reply = await kit.clients.entry(url).register(registration());
       noteVersion(reply.from.configVersion);
       if (reply.leader !== undefined) noteLeader(reply.leader);
-      periodMs = Math.max(SOONEST_MS, reply.nextAfterMs);
+      periodMs = Math.max(MIN_PERIOD_MS, reply.nextAfterMs);
       return reply.entryUrls;
     } catch (thrown) {
       kit.log('debug', 'registerFailed', { url, reason: errors.normalize(thrown).message });
@@ -137,7 +137,7 @@
     const found = [...new Set(known.flat())].slice(0, MAX_ENTRIES);
     if (found.length > 0) presence.watch(found);
     else periodMs = FIRST_PERIOD_MS;
-    // Without any answer the settings' addresses are asked again.
+    // If no entry answered, the next registration uses the addresses of the settings again.
     entryUrls = found.length > 0 ? found : settings.entryUrls;
   };
   const loop = (): void => {
@@ -159,9 +159,9 @@
       void registerWith(url);
     },
   });
-  /** The entries may know a newer leader; asked at once, yet not with each failed report. */
-  const seekLeader = (): void => {
-    if (kit.clock.monotonicMs() - registeredAtMs >= SOONEST_MS) schedule(0);
+  /** Registers immediately, since entries may know a newer leader; rate-limited, so not on each failed report. */
+  const refreshLeader = (): void => {
+    if (kit.clock.monotonicMs() - registeredAtMs >= MIN_PERIOD_MS) schedule(0);
   };
   return {
     noteLeader,
@@ -172,7 +172,7 @@
     report: async (report) => {
       const info = options.worker();
       if (leader === undefined || info === undefined) {
-        seekLeader();
+        refreshLeader();
         throw errors.fail('notLeader', 'no leader of the cell is known');
       }
       const sent = kit.clients.scheduler(leader.url).report({
@@ -185,7 +185,7 @@
         tasks: [...report.tasks],
       });
       const reply = await sent.catch((thrown: unknown) => {
-        seekLeader();
+        refreshLeader();
         throw thrown;
       });
       noteVersion(reply.from.configVersion);
--- a/src/programs/cellClaims.ts
+++ b/src/programs/cellClaims.ts
@@ -1,6 +1,6 @@
 /**
- * Which cells a scheduler leads: it claims cells without a leader, its own zone's first, so that the
- * cells spread over the schedulers and any of them can take any cell.
+ * Decides which cells a scheduler leads: it claims cells without a leader, those of its own zone first, so
+ * that cells are distributed over the schedulers and any scheduler can lead any cell.
  */
 import type * as disposable from '../base/common/disposable.js';
 import * as errors from '../base/common/errors.js';
@@ -15,7 +15,7 @@
 
 import type * as processKit from './processKit.js';
 
-/** What claiming needs. */
+/** Dependencies of the claims. */
 export interface CellClaimsOptions {
   readonly kit: processKit.ProcessKit;
   readonly settings: settingsSchema.SchedulerSettings;
@@ -29,9 +29,9 @@
 export interface CellClaims {
   readonly start: (url: string) => void;
   readonly leaderOf: (cell: string) => cellLeader.CellLeader | undefined;
-  /** Writes everything and lets other schedulers have the cells. */
+  /** Writes all pending state and releases the cells to other schedulers. */
   readonly release: () => Promise<void>;
-  /** Stops without a word, as a killed process does. */
+  /** Stops without releasing the leases, as a killed process does. */
   readonly abandon: () => Promise<void>;
 }
 
@@ -44,14 +44,14 @@
 /** How often a scheduler looks for cells without a leader. */
 const CLAIM_MS = 500;
 
-/** A cell of another zone is left to that zone's schedulers for this long. */
-const FOREIGN_PATIENCE_MS = 1500;
+/** Delay before a cell of another zone is claimed; its own schedulers come first. */
+const OTHER_ZONE_DELAY_MS = 1500;
 
-/** Each cell already led makes a scheduler wait longer, so that idle ones are first. */
-const LOAD_PATIENCE_MS = 500;
+/** Additional delay for each cell already led, so that idle schedulers claim first. */
+const LED_CELL_DELAY_MS = 500;
 
 /**
- * @param options - what claiming needs
+ * @param options - dependencies of the claims
  * @returns claims that are not started
  */
 export const createCellClaims = (options: CellClaimsOptions): CellClaims => {
@@ -136,8 +136,8 @@
       await drop(cell, errors.normalize(thrown).message);
     }
   };
-  const patienceMs = (cell: string): number =>
-    (cell === settings.zone ? 0 : FOREIGN_PATIENCE_MS) + claims.size * LOAD_PATIENCE_MS;
+  const claimDelayMs = (cell: string): number =>
+    (cell === settings.zone ? 0 : OTHER_ZONE_DELAY_MS) + claims.size * LED_CELL_DELAY_MS;
   const isDue = (cell: string): boolean => {
     if (claims.has(cell) || liveEntries.isLed(live.entries(), cell)) {
       unledSinceMs.delete(cell);
@@ -146,9 +146,9 @@
     const nowMs = kit.clock.monotonicMs();
     const sinceMs = unledSinceMs.get(cell) ?? nowMs;
     unledSinceMs.set(cell, sinceMs);
-    return nowMs - sinceMs >= patienceMs(cell);
+    return nowMs - sinceMs >= claimDelayMs(cell);
   };
-  const turn = async (): Promise<void> => {
+  const claimDueCells = async (): Promise<void> => {
     for (const [cell, held] of [...claims]) {
       if (held.leadership.lease.isLost()) await drop(cell, 'its lease lapsed');
     }
@@ -159,7 +159,7 @@
     }
   };
   const loop = (): void => {
-    turn()
+    claimDueCells()
       .catch((thrown: unknown) => {
         kit.log('warn', 'claimFailed', { reason: errors.normalize(thrown).message });
       })
--- a/src/programs/configurationGateway.ts
+++ b/src/programs/configurationGateway.ts
@@ -1,5 +1,5 @@
 /**
- * What operators do with the configuration, as an entry does it: preview, write, history, status.
+ * Operators' operations on the configuration, executed by an entry: preview, write, history, status.
  */
 import type * as disposable from '../base/common/disposable.js';
 import * as errors from '../base/common/errors.js';
@@ -15,7 +15,7 @@
 import type * as operatorViews from './operatorViews.js';
 import type * as processKit from './processKit.js';
 
-/** What the gateway needs. */
+/** Dependencies of the gateway. */
 export interface ConfigurationGatewayOptions {
   readonly kit: processKit.ProcessKit;
   readonly store: store.Store;
@@ -23,7 +23,7 @@
   readonly views: operatorViews.OperatorViews;
 }
 
-/** The part of the operators' gateway that is about the configuration. */
+/** The configuration operations of the operators' gateway. */
 export type ConfigurationGateway = Pick<
   operatorGateway.OperatorGateway,
   | 'configuration'
@@ -37,11 +37,11 @@
 const RETRY_MS = 1000;
 
 /**
- * Load: 250 changes a day. Each look asks every entry for its agents, 670 lines in all at the target
- * size, so it is made twice a second and only until the change is everywhere or a minute has passed.
+ * Load: 250 changes a day. Each poll asks every entry for its agents, 670 lines in all at the target
+ * size, so it runs twice a second and only until all processes have the change or a minute has passed.
  */
-const FOLLOW_PERIOD_MS = 500;
-const FOLLOW_MS = 60_000;
+const POLL_PERIOD_MS = 500;
+const MAX_POLL_MS = 60_000;
 
 const summarize = (record: configuration.ConfigurationRecord): operatorGateway.VersionSummary => {
   const { document: _, ...rest } = record;
@@ -59,17 +59,17 @@
 };
 
 /**
- * @param options - what the gateway needs
+ * @param options - dependencies of the gateway
  * @returns the gateway
  */
 export const createConfigurationGateway = (
   options: ConfigurationGatewayOptions,
 ): ConfigurationGateway => {
   const { kit, store: target, sync, views } = options;
-  const reached = new Map<number, number>();
+  const activeMs = new Map<number, number>();
   let timer: disposable.Disposable | undefined;
   let isDisposed = false;
-  const inForce = (): configuration.ConfigurationRecord => {
+  const requireActive = (): configuration.ConfigurationRecord => {
     const record = kit.configuration.current();
     if (record !== undefined) return record;
     throw errors.fail('storeUnavailable', 'no configuration is in force yet; nothing ran', {
@@ -83,32 +83,32 @@
     const before = kit.configuration.current()?.document;
     return configurationDifference.findEffects(before, document, jobs, unansweredCells);
   };
-  const stragglersOf = async (version: number) => {
+  const findOutdated = async (version: number) => {
     const processes = await views.versions();
     const stragglers = processes
       .filter((it) => (it.version ?? configuration.NO_VERSION) < version)
       .map((it) => it.processId);
     return { processes, stragglers };
   };
-  const noteInForce = (version: number, durationMs: number): void => {
-    reached.clear();
-    reached.set(version, durationMs);
+  const recordActive = (version: number, durationMs: number): void => {
+    activeMs.clear();
+    activeMs.set(version, durationMs);
     kit.metrics.time('auburnlift_configuration_in_force_ms', durationMs);
     kit.log('info', 'configurationInForce', { version, durationMs: Math.round(durationMs) });
   };
-  /** Looks again and again after a write, so that the time until it is in force is known. */
-  const followUntilInForce = (record: configuration.ConfigurationRecord, sinceMs: number): void => {
+  /** Polls after a write to measure the time until it is active on all processes. */
+  const pollUntilActive = (record: configuration.ConfigurationRecord, sinceMs: number): void => {
     const { version } = record;
-    const look = async (): Promise<void> => {
-      if (isDisposed || reached.has(version) || kit.configuration.version() !== version) return;
-      const { stragglers } = await stragglersOf(version);
+    const poll = async (): Promise<void> => {
+      if (isDisposed || activeMs.has(version) || kit.configuration.version() !== version) return;
+      const { stragglers } = await findOutdated(version);
       const durationMs = kit.clock.monotonicMs() - sinceMs;
-      if (stragglers.length === 0 && !reached.has(version)) noteInForce(version, durationMs);
-      else if (durationMs < FOLLOW_MS) schedule();
+      if (stragglers.length === 0 && !activeMs.has(version)) recordActive(version, durationMs);
+      else if (durationMs < MAX_POLL_MS) schedule();
     };
     const schedule = (): void => {
-      timer = kit.clock.after(FOLLOW_PERIOD_MS, () => {
-        void look();
+      timer = kit.clock.after(POLL_PERIOD_MS, () => {
+        void poll();
       });
     };
     void timer?.dispose();
@@ -125,14 +125,14 @@
     writeConfiguration: async (change) => {
       const { isStrandingAccepted, ...wanted } = change;
       configurationChecks.assertDocument(wanted.document);
-      // A peer may have a version that a restored store has lost.
+      // A peer may have a version that is missing from a restored store.
       await sync.askPeers();
       if (!isStrandingAccepted) assertConsent(await effectsOf(wanted.document));
       const known = kit.configuration.current();
       const nowMs = kit.clock.wallMs();
       const record = await configurationStore.writeConfiguration(target, wanted, nowMs, known);
       kit.configuration.offer(record);
-      followUntilInForce(record, kit.clock.monotonicMs());
+      pollUntilActive(record, kit.clock.monotonicMs());
       kit.log('info', 'configurationWritten', {
         version: record.version,
         author: record.author,
@@ -147,18 +147,18 @@
       return { baseVersion, changes, effects: await effectsOf(document) };
     },
     history: async () =>
-      (await configurationHistory.listVersions(target, inForce())).map(summarize),
+      (await configurationHistory.listVersions(target, requireActive())).map(summarize),
     historyVersion: async (version) => {
-      const current = inForce();
+      const current = requireActive();
       if (current.version === version) return current;
       const record = await configurationHistory.readArchived(target, version);
       if (record !== undefined) return record;
       throw errors.fail('notFound', `no version ${version} in the history`, { field: 'version' });
     },
     status: async () => {
-      const { version, writtenAtMs } = inForce();
-      const { processes, stragglers } = await stragglersOf(version);
-      const inForceAfterMs = reached.get(version);
+      const { version, writtenAtMs } = requireActive();
+      const { processes, stragglers } = await findOutdated(version);
+      const inForceAfterMs = activeMs.get(version);
       const warnings = sync.warnings();
       return { version, writtenAtMs, processes, stragglers, inForceAfterMs, warnings };
     },
--- a/src/programs/configurationLinks.ts
+++ b/src/programs/configurationLinks.ts
@@ -1,5 +1,5 @@
 /**
- * Configuration versions on the messages of entries and schedulers: the older side catches up.
+ * Compares the configuration versions in messages of entries and schedulers; the older side fetches the newer one.
  */
 import * as errors from '../base/common/errors.js';
 import * as configurationSync from '../coordination/node/configurationSync.js';
@@ -10,11 +10,11 @@
 import type * as processKit from './processKit.js';
 
 /**
- * @param kit - parts of the process
+ * @param kit - shared services of the process
  * @param target - the store
- * @param live - the live prefix
- * @param peerUrls - peers of the settings
- * @returns the configuration's way into the process, owned by it
+ * @param live - watch of the live prefix
+ * @param peerUrls - peers named in the settings
+ * @returns the running configuration sync, owned by the process
  */
 export const startSync = (
   kit: processKit.ProcessKit,
@@ -31,7 +31,7 @@
       log: kit.log,
       metrics: kit.metrics,
       settingsPeerUrls: peerUrls,
-      // Entries, schedulers and agents answer this question alike.
+      // Entries, schedulers and agents implement this call alike.
       fetch: async (url) => {
         const { record } = await kit.clients.entry(url).configuration({ from: kit.sender() });
         return record;
@@ -44,7 +44,7 @@
 
 interface Message {
   readonly from: envelope.Sender;
-  /** Where the sender answers, in messages that say so. */
+  /** Address of the sender, in messages that carry it. */
   readonly url?: string;
 }
 
@@ -54,10 +54,10 @@
 
 /**
  * @param service - handlers of a router
- * @param sync - the configuration's way
- * @param strict - handlers that decide by the configuration and may not act on an older one; the
- *   others only begin to catch up, since a heartbeat that waits would cost leases
- * @returns handlers that learn of the versions of their callers
+ * @param sync - the configuration sync
+ * @param strict - handlers that must not act on a configuration older than the caller's; the others
+ *   only start a fetch, since a delayed heartbeat would lose leases
+ * @returns handlers that check the configuration version of each request first
  */
 export const withVersions = <T extends Handlers<T>>(
   service: T,
@@ -73,7 +73,7 @@
       } else if (!(await sync.catchUp(version, request.url))) {
         throw errors.fail(
           'staleConfiguration',
-          `version ${version} of the configuration is not here yet; nothing ran`,
+          `configuration version ${version} could not be fetched yet; nothing ran`,
           { retryAfterMs: 500 },
         );
       }
--- a/src/programs/entry.ts
+++ b/src/programs/entry.ts
@@ -1,5 +1,5 @@
 /**
- * `auburnlift-entry`: takes callers' requests and jobs, and serves operators.
+ * `auburnlift-entry`: accepts callers' requests and jobs, and serves operators.
  */
 import * as clock from '../base/common/clock.js';
 import * as errors from '../base/common/errors.js';
@@ -39,10 +39,10 @@
 
 const MAX_CONNECTIONS = 16_384;
 
-/** Part of the time for draining in which the entry is not ready and yet takes requests. */
+/** Share of the drain time in which the entry reports not ready but still accepts requests. */
 const NOT_READY_SHARE = 0.25;
 
-/** A quarter of what control may take of a node's memory. */
+/** A quarter of the memory that the control processes may use on a node. */
 const MAX_OPEN_BYTES = 67_108_864;
 
 const DEFAULT_DEADLINE_MS = 30_000;
@@ -108,18 +108,18 @@
   const sync = configurationLinks.startSync(kit, store, live, settings.peerUrls);
   const registerMs = settings.registerMs ?? agentDirectory.REGISTER_MS;
   const directory = agentDirectory.createAgentDirectory(registerMs);
-  const learner = entryDirectory.createEntryDirectory({
+  const agentDiscovery = entryDirectory.createEntryDirectory({
     kit,
     region: settings.region,
     directory,
     entries: () => liveEntries.processesOf(live.entries(), 'entry'),
   });
-  let hasTakenOver = false;
+  let hasStartedDiscovery = false;
   kit.owned.add(
     live.onDidChange(() => {
-      if (hasTakenOver) return;
-      hasTakenOver = true;
-      void learner.takeOver();
+      if (hasStartedDiscovery) return;
+      hasStartedDiscovery = true;
+      void agentDiscovery.takeOver();
     }),
   );
   const presence = kit.owned.add(
@@ -142,7 +142,7 @@
     sender: kit.sender,
     policy: () => kit.configuration.current()?.document.routing,
     peerSecretHeaders: kit.peerHeaders,
-    onRegionSaturated: learner.learnRemote,
+    onRegionSaturated: agentDiscovery.learnRemote,
     claims: requestClaims.createRequestClaims(store, kit.clock),
   });
   const health: healthApi.HealthOptions = {
@@ -256,8 +256,8 @@
     shutdown: async () => {
       isLeaving = true;
       kit.log('info', 'draining', { open: callers.openRequests() });
-      // The balancer needs a moment to see that the entry is not ready; until then what it sends is
-      // taken as before, and each answer asks the caller to use another connection.
+      // The balancer detects with a delay that the entry is not ready; until then requests are accepted
+      // as before, and each response asks the caller to use another connection.
       callers.discourage();
       const notReadyMs = settings.drainMs * NOT_READY_SHARE;
       await clock.sleep(kit.clock, notReadyMs);
--- a/src/programs/entryDirectory.ts
+++ b/src/programs/entryDirectory.ts
@@ -1,10 +1,10 @@
 /**
- * How an entry gets to know agents beyond their own registrations: from the other entries of its
- * region when it starts, and from entries of other regions while its own region is full.
+ * Discovers agents that did not register with this entry: from the other entries of its region at start,
+ * and from entries of other regions while its own region is full.
  *
- * Weighed for other regions: forwarding to an entry there adds a process that can fail between the
- * two that settle a request, and a hop; learning every remote agent all the time costs bytes that
- * are paid for. A small sample on demand costs a few kilobytes, and only under load.
+ * For other regions, forwarding requests to an entry there would add a hop and another process that can
+ * fail between the two that settle a request; continuous discovery of every remote agent would cause paid
+ * traffic. A small sample on demand costs a few kilobytes, and only under load.
  */
 import * as errors from '../base/common/errors.js';
 import * as agentDirectory from '../coordination/common/agentDirectory.js';
@@ -14,7 +14,7 @@
 
 import type * as processKit from './processKit.js';
 
-/** What is needed to learn of agents. */
+/** Dependencies of the discovery. */
 export interface EntryDirectoryOptions {
   readonly kit: processKit.ProcessKit;
   readonly region: string;
@@ -23,31 +23,31 @@
   readonly entries: () => readonly liveRecords.ProcessRecord[];
 }
 
-/** Learns of agents from other entries. */
+/** Discovers agents through other entries. */
 export interface EntryDirectory {
-  /** Takes over what another entry of the region knows; once, when the process starts. */
+  /** Copies the agents that another entry of the region knows; called once, when the process starts. */
   readonly takeOver: () => Promise<void>;
-  /** Learns a sample of the emptiest agents of each other region, not more often than allowed. */
+  /** Requests a sample of the least loaded agents of each other region; rate-limited. */
   readonly learnRemote: () => void;
 }
 
-/** Agents taken from one other region: two choices among them are as good as among all. */
+/** Agents sampled from one other region: choosing the better of two is as good among them as among all. */
 const REMOTE_SAMPLE = 16;
 
 const ALL_AGENTS = 4096;
 
-/** A sample is of use for about this long, since its loads ride on answers afterwards. */
-const LEARN_AGAIN_MS = 5000;
+/** Minimum time between samples; meanwhile responses of the agents update their loads. */
+const REDISCOVER_MS = 5000;
 
 const loadOf = (state: agentEntryMessages.AgentState): number =>
   (state.upstream.running + state.upstream.queued) / state.upstream.slots;
 
 /**
- * @param directory - what the entry knows
+ * @param directory - agents that the entry knows
  * @param region - region of the entry
- * @param maxAgents - how many to give at the most
+ * @param maxAgents - maximum number of agents to return
  * @param nowMs - monotonic time
- * @returns the live agents of the region, the emptiest first
+ * @returns the live agents of the region, the least loaded first
  */
 export const describeAgents = (
   directory: agentDirectory.AgentDirectory,
@@ -68,12 +68,12 @@
     .slice(0, maxAgents);
 
 /**
- * @param options - what is needed to learn of agents
- * @returns the learner
+ * @param options - dependencies of the discovery
+ * @returns the discovery
  */
 export const createEntryDirectory = (options: EntryDirectoryOptions): EntryDirectory => {
   const { kit, region, directory } = options;
-  const learnedAtMs = new Map<string, number>();
+  const discoveredAtMs = new Map<string, number>();
   const askOne = async (url: string, maxAgents: number): Promise<boolean> => {
     try {
       const { agents } = await kit.clients.entry(url).directory({ from: kit.sender(), maxAgents });
@@ -91,10 +91,10 @@
   const askAny = async (urls: readonly string[], maxAgents: number): Promise<void> => {
     for (const url of urls) if (await askOne(url, maxAgents)) return;
   };
-  const learnFrom = (other: string): void => {
+  const discoverIn = (other: string): void => {
     const nowMs = kit.clock.monotonicMs();
-    if (nowMs - (learnedAtMs.get(other) ?? -Infinity) < LEARN_AGAIN_MS) return;
-    learnedAtMs.set(other, nowMs);
+    if (nowMs - (discoveredAtMs.get(other) ?? -Infinity) < REDISCOVER_MS) return;
+    discoveredAtMs.set(other, nowMs);
     const urls = options.entries().filter((it) => it.region === other);
     void askAny(
       urls.map((it) => it.url),
@@ -110,7 +110,7 @@
     },
     learnRemote: () => {
       const others = new Set(options.entries().map((it) => it.region));
-      [...others].filter((it) => it !== region).forEach(learnFrom);
+      [...others].filter((it) => it !== region).forEach(discoverIn);
     },
   };
 };
--- a/src/programs/entryGateways.ts
+++ b/src/programs/entryGateways.ts
@@ -1,5 +1,5 @@
 /**
- * How an entry reaches the leaders of cells and the store on behalf of customers and operators.
+ * Gateways by which an entry calls the leaders of cells and the store on behalf of customers and operators.
  */
 import * as errors from '../base/common/errors.js';
 import * as schemaIssues from '../base/common/schemaIssues.js';
@@ -28,7 +28,7 @@
 
 const RETRY_MS = 1000;
 
-/** What the gateways need. */
+/** Dependencies of the gateways. */
 export interface GatewayOptions {
   readonly kit: processKit.ProcessKit;
   readonly store: store.Store;
@@ -38,7 +38,7 @@
 }
 
 /**
- * @param options - what the gateways need
+ * @param options - dependencies of the gateways
  * @returns the gateways
  */
 export const createGateways = (options: GatewayOptions): Gateways => {
@@ -74,7 +74,7 @@
     kit,
     live,
     directory: options.directory,
-    // Before the first configuration there are no cells to ask.
+    // Before the first configuration no cells are known.
     cells: () => kit.configuration.current()?.document.cells.map((it) => it.cell) ?? [],
     leader,
   });
--- a/src/programs/entryPresence.ts
+++ b/src/programs/entryPresence.ts
@@ -1,14 +1,15 @@
 /**
- * Lets agents notice at once that an entry has restarted, without frequent registrations: each agent
- * keeps one request open at each entry of its region, which the entry answers after half a minute.
- * When the entry dies the connection breaks, and the agent registers as soon as the entry is back.
+ * Long polling by which agents detect immediately that an entry has restarted, without frequent
+ * registrations: each agent keeps one request open at each entry of its region, which the entry answers
+ * after half a minute. When the entry dies the connection breaks, and the agent registers as soon as the
+ * entry is back.
  *
- * Guards against an entry that knows no upstream for up to a registration period after its restart
- * and refuses everything meanwhile. Costs one plain exchange per agent and half a minute.
+ * Without it, a restarted entry would know no upstream for up to a registration period and refuse all
+ * requests. The cost is one plain exchange per agent every half minute.
  *
- * The same request carries the configuration's version both ways: the agent says which one it has in
- * force, and an entry that has a later one answers at once. So a change reaches agents without a call
- * of its own and without waiting for their next registration, and entries know who has it.
+ * The request also carries the active configuration version of the agent, and the reply that of the
+ * entry; an entry with a later version answers immediately. So a change reaches agents without a separate
+ * call and before their next registration, and entries know which agents have applied it.
  */
 import * as clock from '../base/common/clock.js';
 import type * as disposable from '../base/common/disposable.js';
@@ -19,50 +20,50 @@
 /** Path at the entry. */
 export const PRESENCE_PATH = '/presence';
 
-/** Time after which the entry answers; below the age at which connections are given up. */
+/** Time after which the entry answers; below the maximum age of a connection. */
 const HOLD_MS = 30_000;
 
-/** Spread of registrations after a restart: all agents of a region notice at the same moment. */
-const RETURN_SPREAD_MS = 1000;
+/** Spread of registrations after a restart, which all agents of a region detect simultaneously. */
+const REGISTER_SPREAD_MS = 1000;
 
-/** Spread of the fetches after a change of the configuration. */
+/** Spread of the fetches after a configuration change. */
 const CHANGE_SPREAD_MS = 500;
 
-/** Wait before the entry is tried again while it does not accept connections. */
+/** Delay before a retry while the entry does not accept connections. */
 const RETRY_MS = 500;
 
 const TIMEOUT_MS = HOLD_MS + 5000;
 
-/** What an agent says with the request that it keeps open. */
+/** Data that an agent sends with its open request. */
 export interface PresenceNote {
   readonly agentUrl: string;
   readonly configVersion: number;
 }
 
-/** What the entry's side needs. */
+/** Dependencies of the entry's side. */
 export interface PresenceHolderOptions {
   readonly clock: clock.Clock;
-  /** Version that the entry has in force. */
+  /** Active configuration version of the entry. */
   readonly version: () => number;
-  /** Told which version an agent has in force. */
+  /** Called with the active configuration version of an agent. */
   readonly onDidHear: (note: PresenceNote) => void;
 }
 
-/** The entry's side: requests that are held. Disposing answers them all. */
+/** The entry's side: the open requests of agents. Disposing answers them all. */
 export interface PresenceHolder extends disposable.Disposable {
   readonly hold: (request: httpServer.ServerRequest) => Promise<httpServer.ServerReply>;
-  /** Answers everything that is held, since the version has changed. */
+  /** Answers all open requests after a version change. */
   readonly release: () => void;
 }
 
-const parseNote = (query: URLSearchParams): PresenceNote => ({
+const parsePresence = (query: URLSearchParams): PresenceNote => ({
   agentUrl: query.get('url') ?? '',
   configVersion: Number(query.get('version') ?? 0),
 });
 
 /**
- * @param options - what the entry's side needs
- * @returns a holder without requests
+ * @param options - dependencies of the entry's side
+ * @returns a holder without open requests
  */
 export const createPresenceHolder = (options: PresenceHolderOptions): PresenceHolder => {
   const held = new Set<() => void>();
@@ -80,7 +81,7 @@
   const release = (): void => [...held].forEach((it) => it());
   return {
     hold: async (request) => {
-      const note = parseNote(request.query);
+      const note = parsePresence(request.query);
       options.onDidHear(note);
       if (!isOver && note.configVersion >= options.version()) await wait();
       return httpServer.jsonReply({ configVersion: options.version() });
@@ -93,31 +94,31 @@
   };
 };
 
-/** What the agent's side needs. */
+/** Dependencies of the agent's side. */
 export interface PresenceWatchOptions {
   readonly clock: clock.Clock;
   readonly random: random.Random;
   readonly call: http.HttpCall;
-  /** What is said with each request. */
+  /** Gives the data to send with each request. */
   readonly note: () => PresenceNote;
-  /** The entry is reachable again after a break. */
+  /** Called before the next request after a failed one, so that the agent registers again. */
   readonly onDidReturn: (url: string) => void;
-  /** The entry has this version in force; settles once the agent has caught up or given up. */
+  /** Called when the entry has a later active version; settles once the fetch succeeded or failed. */
   readonly onDidHearVersion: (url: string, version: number) => Promise<void>;
 }
 
-/** The agent's side: watches the entries that it was last told of. */
+/** The agent's side: keeps a request open at each of the given entries. */
 export interface PresenceWatch extends disposable.Disposable {
   readonly watch: (urls: readonly string[]) => void;
 }
 
 /**
- * @param options - what the agent's side needs
- * @returns a watch of no entry
+ * @param options - dependencies of the agent's side
+ * @returns a watch without entries
  */
 export const createPresenceWatch = (options: PresenceWatchOptions): PresenceWatch => {
   const watched = new Map<string, AbortController>();
-  const ask = (url: string, signal: AbortSignal): Promise<http.HttpReply> => {
+  const sendRequest = (url: string, signal: AbortSignal): Promise<http.HttpReply> => {
     const { agentUrl, configVersion } = options.note();
     const query = `url=${encodeURIComponent(agentUrl)}&version=${configVersion}`;
     return options.call({
@@ -130,28 +131,28 @@
       signal,
     });
   };
-  const hear = async (url: string, reply: http.HttpReply): Promise<void> => {
+  const handleReply = async (url: string, reply: http.HttpReply): Promise<void> => {
     const text = Buffer.from(reply.body).toString('utf8');
     const { configVersion } = JSON.parse(text) as { configVersion: number };
     if (configVersion <= options.note().configVersion) return;
-    // All agents of a region hear of a change at the same moment.
+    // All agents of a region are notified of a change simultaneously.
     await clock.sleep(options.clock, options.random() * CHANGE_SPREAD_MS);
     await options.onDidHearVersion(url, configVersion);
-    // An agent that could not catch up must not ask again and again without a pause.
+    // An agent that could not fetch the version must not retry without a delay.
     if (configVersion > options.note().configVersion) await clock.sleep(options.clock, RETRY_MS);
   };
-  const isHeld = async (url: string, signal: AbortSignal): Promise<boolean> => {
+  const exchangeOnce = async (url: string, signal: AbortSignal): Promise<boolean> => {
     try {
-      await hear(url, await ask(url, signal));
+      await handleReply(url, await sendRequest(url, signal));
       return true;
     } catch {
       return false;
     }
   };
-  const follow = async (url: string, signal: AbortSignal): Promise<void> => {
+  const keepRequestOpen = async (url: string, signal: AbortSignal): Promise<void> => {
     while (!signal.aborted) {
-      if (!(await isHeld(url, signal)) && !signal.aborted) {
-        await clock.sleep(options.clock, RETRY_MS + options.random() * RETURN_SPREAD_MS);
+      if (!(await exchangeOnce(url, signal)) && !signal.aborted) {
+        await clock.sleep(options.clock, RETRY_MS + options.random() * REGISTER_SPREAD_MS);
         if (!signal.aborted) options.onDidReturn(url);
       }
     }
@@ -167,7 +168,7 @@
       for (const url of urls.filter((it) => !watched.has(it))) {
         const controller = new AbortController();
         watched.set(url, controller);
-        void follow(url, controller.signal);
+        void keepRequestOpen(url, controller.signal);
       }
     },
     dispose: () => {
--- a/src/programs/operatorExtras.ts
+++ b/src/programs/operatorExtras.ts
@@ -1,6 +1,6 @@
 /**
- * The operators' routes to jobs, older parts of the ledger and service levels, beside the API of the
- * configuration and the cells.
+ * The operators' routes to jobs, the daily ledger and service levels; the routes to the configuration and
+ * the cells are in operatorApi.
  */
 import * as errors from '../base/common/errors.js';
 import * as schemaIssues from '../base/common/schemaIssues.js';
@@ -28,9 +28,9 @@
 };
 
 /**
- * @param kit - parts of the process
+ * @param kit - shared services of the process
  * @param target - the store
- * @returns a function that reports on the objectives in force
+ * @returns a function that reports on the active objectives
  */
 export const createLevelReport = (
   kit: processKit.ProcessKit,
@@ -48,9 +48,9 @@
 };
 
 /**
- * @param kit - parts of the process
+ * @param kit - shared services of the process
  * @param target - the store
- * @param jobs - jobs as the entry reaches them
+ * @param jobs - the entry's gateway to jobs
  * @returns the routes
  */
 export const createExtraRoutes = (
--- a/src/programs/operatorViews.ts
+++ b/src/programs/operatorViews.ts
@@ -1,5 +1,5 @@
 /**
- * What an entry gathers from the other processes for operators: versions, upstreams, jobs.
+ * Data that an entry collects from the other processes for operators: versions, upstreams, jobs.
  */
 import type * as agentDirectory from '../coordination/common/agentDirectory.js';
 import * as liveEntries from '../coordination/common/liveEntries.js';
@@ -11,7 +11,7 @@
 
 import type * as processKit from './processKit.js';
 
-/** What the views need. */
+/** Dependencies of the views. */
 export interface OperatorViewOptions {
   readonly kit: processKit.ProcessKit;
   readonly live: liveWatch.LiveWatch;
@@ -20,7 +20,7 @@
   readonly leader: (cell: string) => rpcClient.SchedulerClient;
 }
 
-/** Gathered views. */
+/** Data that is collected from other processes on request. */
 export interface OperatorViews {
   readonly agents: () => Promise<readonly operatorMessages.AgentStatus[]>;
   readonly versions: () => Promise<readonly operatorGateway.ProcessVersion[]>;
@@ -29,7 +29,7 @@
 
 /**
  * @param directory - agents that an entry knows
- * @returns them as another entry is told
+ * @returns their state as it is sent to another entry
  */
 export const agentViews = (
   directory: agentDirectory.AgentDirectory,
@@ -46,7 +46,7 @@
 /**
  * @param agent - an agent with an upstream
  * @param upstream - its upstream
- * @returns one line of the list of upstreams
+ * @returns one item of the list of upstreams
  */
 export const toUpstreamSummary = (
   agent: operatorMessages.AgentStatus,
@@ -57,12 +57,12 @@
   return { upstreamId, agentId, zone, region, slots, running, queued, serviceMs, isLeaving };
 };
 
-const orElse = async <T>(asked: Promise<T>, otherwise: T): Promise<T> =>
-  asked.catch(() => otherwise);
+const orFallback = async <T>(asked: Promise<T>, fallback: T): Promise<T> =>
+  asked.catch(() => fallback);
 
 /**
- * @param options - what the views need
- * @returns views gathered anew with each call
+ * @param options - dependencies of the views
+ * @returns views that query the other processes on each call
  */
 export const createOperatorViews = (options: OperatorViewOptions): OperatorViews => {
   const { kit, live } = options;
@@ -73,7 +73,7 @@
       entries
         .filter((it) => it.processId !== kit.sender().processId)
         .map((it) =>
-          orElse(
+          orFallback(
             kit.clients
               .entry(it.url)
               .overview({ from: kit.sender() })
@@ -96,7 +96,10 @@
       liveEntries.processesOf(live.entries(), role),
     );
     const asked = processes.map(async ({ processId, role, zone, url }) => {
-      const reply = await orElse(kit.clients.entry(url).version({ from: kit.sender() }), undefined);
+      const reply = await orFallback(
+        kit.clients.entry(url).version({ from: kit.sender() }),
+        undefined,
+      );
       return { processId, role, zone, version: reply?.from.configVersion };
     });
     const known = (await agents()).map(({ agentId, zone, configVersion }) => ({
@@ -112,7 +115,10 @@
       options.cells().map(async (cell) => {
         const ask = async (): Promise<readonly job.JobRecord[]> =>
           (await options.leader(cell).cell({ from: kit.sender(), cell })).jobs;
-        return { cell, jobs: await orElse<readonly job.JobRecord[] | undefined>(ask(), undefined) };
+        return {
+          cell,
+          jobs: await orFallback<readonly job.JobRecord[] | undefined>(ask(), undefined),
+        };
       }),
     );
     return {
--- a/src/programs/poolAgent.ts
+++ b/src/programs/poolAgent.ts
@@ -1,5 +1,5 @@
 /**
- * The agent of a pool, on the machine of one worker.
+ * The agent of a pool, which runs on the machine of one worker.
  */
 import * as errors from '../base/common/errors.js';
 import * as http from '../base/common/http.js';
@@ -12,22 +12,26 @@
 
 import * as poolKit from './poolKit.js';
 
-/** A worker's message is a few hundred bytes. */
+/** Far above a worker's heartbeat, which has a few hundred bytes. */
 const MAX_HEARTBEAT_BYTES = 65_536;
 
 const MAX_WORKER_CONNECTIONS = 16;
 
 /**
- * @param kit - the program's parts
+ * @param kit - shared services of the program
  * @returns the running agent
  */
 export const startPoolAgent = async (kit: poolKit.PoolKit): Promise<poolKit.PoolProgram> => {
   const settings = kit.settings();
   const { worker, heartbeats } = settings;
   if (worker === undefined || heartbeats === undefined) {
-    throw errors.fail('invalidRequest', 'an agent needs its worker and an address for it', {
-      field: 'app',
-    });
+    throw errors.fail(
+      'invalidRequest',
+      'the settings of an agent must contain its worker and an address for heartbeats',
+      {
+        field: 'app',
+      },
+    );
   }
   const agent = kit.owned.add(
     poolAgent.createPoolAgent({
--- a/src/programs/poolEntry.ts
+++ b/src/programs/poolEntry.ts
@@ -1,6 +1,6 @@
 /**
- * The entry of pools: takes clients' jobs, cancels them and tells their state. Needs no leader for
- * any of it.
+ * The entry of pools: accepts clients' jobs, cancels them and reports their state. None of this requires
+ * a leader.
  */
 import * as poolConfigurationFeed from '../coordination/node/pool/configurationFeed.js';
 import * as configurationShare from '../coordination/node/pool/configurationShare.js';
@@ -20,29 +20,29 @@
 import * as relayRpc from './relayRpc.js';
 import * as schedulerNews from './schedulerNews.js';
 
-/** Clients' connections; the platform gives a process some four thousand descriptors. */
+/** Limit of clients' connections; the platform allows a process about four thousand descriptors. */
 const MAX_CONNECTIONS = 3000;
 
-/** Above any configured limit, so that the limit itself is answered with a clear error. */
+/** Above any configured limit, so that a body over the configured limit gets a clear error. */
 const MAX_BODY_BYTES = 1_048_576;
 
-/** The leader answers from memory, half a world away at most. */
+/** The leader answers from memory; the time covers a round trip to the other side of the world. */
 const LEADER_TIMEOUT_MS = 700;
 
-/** While the store is silent for longer, the entry asks for no new connections. */
+/** Without a response of the store for longer than this, the entry reports that it is not ready. */
 const READY_AGE_MS = 2000;
 
 /**
- * New connections still come until the balancer has missed two looks a second apart; the entry
- * answers them meanwhile.
+ * New connections arrive until two health checks of the balancer, a second apart, have failed; the entry
+ * still serves them.
  */
-const LEAVE_MS = 2300;
+const BALANCER_DELAY_MS = 2300;
 
-/** Kept of the time before the process is killed, for its last answers. */
+/** Part of the grace period that is reserved for the last responses before the process is killed. */
 const EXIT_SLACK_MS = 700;
 
 /**
- * @param kit - the program's parts
+ * @param kit - shared services of the program
  * @returns the running entry
  */
 export const startPoolEntry = async (kit: poolKit.PoolKit): Promise<poolKit.PoolProgram> => {
@@ -71,7 +71,7 @@
       return answer.pendingByQueue;
     },
   });
-  const desk = jobRequestHandler.createJobRequestHandler({
+  const jobRequests = jobRequestHandler.createJobRequestHandler({
     store: kit.store,
     clock: kit.clock,
     log: kit.log,
@@ -82,7 +82,7 @@
     revokeMs: settings.maxRevocationMs,
   });
   const api = jobApi.createJobApi({
-    jobs: desk,
+    jobs: jobRequests,
     pending: counts.ofQueue,
     maxBodyBytes: () => feed.current()?.configuration.maxBodyBytes ?? MAX_BODY_BYTES,
     shouldCloseConnections: () => notReadyReason() !== undefined,
@@ -110,7 +110,7 @@
   const notReadyReason = (): string | undefined => {
     if (isLeaving) return 'leaving';
     if (feed.current() === undefined) return 'no configuration yet';
-    if (!desk.canCheckCredentials()) return 'the configuration is not proved';
+    if (!jobRequests.canCheckCredentials()) return 'the configuration is not proved';
     return kit.storeAgeMs() > READY_AGE_MS ? 'the store is out of reach' : undefined;
   };
   const readiness: httpServer.Handler = () => {
@@ -119,9 +119,13 @@
     return Promise.resolve(httpServer.jsonReply({ reason: reason ?? 'ready' }, status));
   };
   if (settings.front === undefined || settings.readiness === undefined) {
-    throw errors.fail('invalidRequest', 'an entry needs its addresses for clients and readiness', {
-      field: 'listen',
-    });
+    throw errors.fail(
+      'invalidRequest',
+      'the settings of an entry must contain its addresses for clients and readiness',
+      {
+        field: 'listen',
+      },
+    );
   }
   const limits = { maxBodyBytes: MAX_BODY_BYTES, maxConnections: MAX_CONNECTIONS };
   const front = await httpServer.listen(
@@ -141,9 +145,9 @@
     shutdown: async () => {
       isLeaving = true;
       front.discourage();
-      // Beside the wait: a store that is away must not take the time of the last answers.
-      await Promise.all([presence.dispose(), clock.sleep(kit.clock, LEAVE_MS)]);
-      await front.drain(settings.graceMs - LEAVE_MS - EXIT_SLACK_MS);
+      // In parallel to the wait: an unreachable store must not use up the time for the last responses.
+      await Promise.all([presence.dispose(), clock.sleep(kit.clock, BALANCER_DELAY_MS)]);
+      await front.drain(settings.graceMs - BALANCER_DELAY_MS - EXIT_SLACK_MS);
       await kit.owned.dispose();
     },
   };
--- a/src/programs/poolKit.ts
+++ b/src/programs/poolKit.ts
@@ -1,6 +1,6 @@
 /**
- * What every program that serves pools is made of: log, metrics, connections, the store and a server
- * for the other processes.
+ * Services shared by the parts of a pool program: log, metrics, connections, the store and a server for the
+ * other processes.
  */
 import * as crypto from 'node:crypto';
 
@@ -32,7 +32,7 @@
 
 import * as relayRpc from './relayRpc.js';
 
-/** Parts that all programs of a pool share. */
+/** Services that every program of a pool has. */
 export interface PoolKit {
   readonly clock: clock.Clock;
   readonly random: random.Random;
@@ -42,14 +42,14 @@
   readonly owned: disposable.DisposableStore;
   readonly call: http.HttpCall;
   readonly store: recordStore.RecordStore;
-  /** Makes calls of the store for other processes. */
+  /** Executes store calls on behalf of other processes. */
   readonly serveStore: http.HttpCall;
-  /** How long ago the store was last heard. */
+  /** Time since the last response of the store. */
   readonly storeAgeMs: () => number;
-  /** The settings in force; a reload replaces them. */
+  /** The active settings; a reload replaces them. */
   readonly settings: () => poolSettings.PoolSettings;
   readonly sender: () => envelope.Sender;
-  /** Where entries and schedulers of other machines answer; an agent knows none. */
+  /** Addresses of entries and schedulers on other machines; empty in an agent. */
   readonly peerUrls: (role: poolKeys.PeerRole) => readonly string[];
 }
 
@@ -59,40 +59,40 @@
   readonly shutdown: () => Promise<void>;
 }
 
-/** Connections to one address; the leader has a few open exchanges with each agent. */
+/** Maximum number of connections to one address; the leader has a few open exchanges with each agent. */
 const MAX_CONNECTIONS = 64;
 
-/** Below the usual state time-outs of balancers and firewalls, which start at a minute. */
+/** Below the usual idle timeouts of balancers and firewalls, which start at a minute. */
 const MAX_IDLE_MS = 20_000;
 
 const MAX_REPLY_BYTES = 8_388_608;
 
-/** Connections of other processes: all agents of a leader and some to spare. */
+/** Maximum number of connections of other processes: all agents of a leader, with a margin. */
 const MAX_PEER_CONNECTIONS = 2048;
 
 /**
- * The platform gives the processes no common secret; the ports between them are open to its own
- * network only.
+ * Empty, since the platform gives the processes no common secret; the ports between them are reachable
+ * from its own network only.
  */
 export const PEER_SECRET = '';
 
 /**
- * Longest wait for an answer of the store to begin, which it does in 4 ms, 20 ms away, and up to 60 times slower
- * on bad days. A caller waits at the entry: it is better told soon, and comes back at another one; the
- * others have time.
+ * Longest wait for the first byte of a store response, which takes 4 ms, 20 ms from a remote zone, and up to 60
+ * times as long under load. At the entry a caller is waiting: an early error lets it retry at another
+ * entry; the other programs can wait longer.
  */
 const STORE_TIMEOUT_MS = { entry: 450, scheduler: 1000, agent: 1000 } as const;
 
-/** A call that the own way does not answer has as much time again for the way by another process. */
-const WAYS = 2;
+/** Routes to the store: a direct call without response has as much time again for a relay by another process. */
+const STORE_ROUTES = 2;
 
-/** Of finer steps than there are entries. */
+/** Resolution of the random first relay; finer than the number of entries. */
 const START_STEPS = 65_536;
 
 /**
  * @param role - which program
- * @param settings - the settings in force
- * @returns the parts, owned by the program
+ * @param settings - the active settings
+ * @returns the services, owned by the program
  */
 export const createPoolKit = (
   role: bootSettings.PoolProgram,
@@ -121,7 +121,7 @@
     role,
     configVersion: 0,
   });
-  const contact = snapshotAge.createSnapshotAge(systemClock.systemClock);
+  const storeContact = snapshotAge.createSnapshotAge(systemClock.systemClock);
   const relay = storeRelay.createStoreRelay({
     clock: systemClock.systemClock,
     log: logger,
@@ -137,8 +137,8 @@
     metrics: counters,
     clock: systemClock.systemClock,
     timeoutMs: STORE_TIMEOUT_MS[role],
-    totalMs: STORE_TIMEOUT_MS[role] * WAYS,
-    onDidReceive: () => contact.confirm(contact.now()),
+    totalMs: STORE_TIMEOUT_MS[role] * STORE_ROUTES,
+    onDidReceive: () => storeContact.confirm(storeContact.now()),
   });
   const directory =
     role === 'agent'
@@ -162,21 +162,21 @@
     call: client.call,
     store,
     serveStore: relay.serve,
-    storeAgeMs: contact.ageMs,
+    storeAgeMs: storeContact.ageMs,
     settings,
     sender,
     peerUrls,
   };
 };
 
-/** A restarted process is back within it; one that is gone for good is forgotten soon after. */
+/** Long enough for a restart; the record of a process that does not return expires after it. */
 const PRESENCE_LEASE_MS = 6000;
 
 /**
- * @param kit - the program's parts
+ * @param kit - shared services of the program
  * @param key - key of the process's record
- * @param url - where it answers other processes
- * @returns the leased record by which they find it, kept until it is disposed
+ * @param url - its address for other processes
+ * @returns the leased record that publishes the address, renewed until it is disposed
  */
 export const keepPresence = (kit: PoolKit, key: string, url: string): disposable.Disposable =>
   leasedRecord.maintainLeasedRecord({
@@ -191,8 +191,8 @@
 /**
  * Serves the other processes of the system, and health and metrics at the same address.
  *
- * @param kit - the program's parts
- * @param router - what other processes may call; undefined where they call nothing
+ * @param kit - shared services of the program
+ * @param router - calls offered to other processes; undefined if there are none
  * @param notReadyReason - why the process should get no traffic now
  * @returns the server
  */
--- a/src/programs/poolScheduler.ts
+++ b/src/programs/poolScheduler.ts
@@ -1,5 +1,5 @@
 /**
- * The scheduler of pools: campaigns for the leadership and, while it has it, leads.
+ * The scheduler of pools: campaigns for the leadership and runs the pool's leader while it holds it.
  */
 import * as errors from '../base/common/errors.js';
 import * as configurationShare from '../coordination/node/pool/configurationShare.js';
@@ -19,19 +19,19 @@
 
 import * as poolKit from './poolKit.js';
 
-/** An exchange with an agent waits up to 0.9 s for news; past this the agent counts as silent. */
+/** A sync waits up to 0.9 s at the agent for updates; after this timeout the agent counts as unreachable. */
 const SYNC_TIMEOUT_MS = 2200;
 
-/** Orders are carried out within a few attempts of 0.6 s each. */
+/** Covers the few attempts of 0.6 s each in which an agent executes an order. */
 const ORDER_TIMEOUT_MS = 2500;
 
-/** The entry on the same machine waits up to 1.2 s for news; past this it counts as silent. */
+/** The entry on the same machine waits up to 1.2 s for updates; after this it counts as unreachable. */
 const CONFIGURATION_TIMEOUT_MS = 2000;
 
 /**
- * Long enough that a store that answers sixty times slower, in a quarter of a second, costs no
- * leadership; short enough that a successor starts urgent work of two seconds in time, which bears
- * one and a half to wait.
+ * Long enough to keep the leadership while the store responds sixty times slower, in a quarter of a
+ * second; short enough for a new leader to start urgent work of two seconds in time, which tolerates a
+ * wait of one and a half seconds.
  */
 const LEADER_LEASE_MS = 1500;
 
@@ -52,7 +52,7 @@
   };
 };
 
-/** The configuration's record by way of the entry on this machine. */
+/** Reads the configuration record through the entry on this machine, if there is one. */
 const createConfigurationStore = (
   kit: poolKit.PoolKit,
 ): Pick<recordStore.RecordStore, 'list' | 'watch'> => {
@@ -75,7 +75,7 @@
 };
 
 /**
- * @param kit - the program's parts
+ * @param kit - shared services of the program
  * @returns the running scheduler
  */
 export const startPoolScheduler = async (kit: poolKit.PoolKit): Promise<poolKit.PoolProgram> => {
--- a/src/programs/processKit.ts
+++ b/src/programs/processKit.ts
@@ -1,5 +1,5 @@
 /**
- * What every program is made of: log, metrics, connections and the clients of other processes.
+ * Services shared by the parts of a program: log, metrics, connections and clients of other processes.
  */
 import * as crypto from 'node:crypto';
 
@@ -19,11 +19,11 @@
 
 /** A running program. */
 export interface Program extends disposable.Disposable {
-  /** Where other processes reach it. */
+  /** Address for other processes. */
   readonly peersUrl: string;
   /** Finishes what is in flight, within the settings' limit, and releases everything. */
   readonly shutdown: () => Promise<void>;
-  /** Stops at once, as a killed process does. */
+  /** Stops immediately, as a killed process does. */
   readonly dispose: () => Promise<void>;
 }
 
@@ -34,7 +34,7 @@
   readonly logLevel: logging.LogLevel;
 }
 
-/** Parts that all programs share. */
+/** Services that every program has. */
 export interface ProcessKit {
   readonly clock: clock.Clock;
   readonly random: random.Random;
@@ -51,21 +51,21 @@
   readonly peerHeaders: Readonly<Record<string, string>>;
 }
 
-/** Connections to one address. */
+/** Maximum number of connections to one address. */
 const MAX_CONNECTIONS = 64;
 
-/** Below the usual state time-outs of balancers and firewalls, which start at a minute. */
+/** Below the usual idle timeouts of balancers and firewalls, which start at a minute. */
 const MAX_IDLE_MS = 20_000;
 
 const MAX_REPLY_BYTES = 67_108_864;
 
-/** Calls between processes take milliseconds; past this the peer counts as silent. */
+/** Calls between processes take milliseconds; after this timeout the peer counts as unreachable. */
 const RPC_TIMEOUT_MS = 3000;
 
 /**
  * @param role - which program
  * @param settings - its settings
- * @returns the parts, owned by the program
+ * @returns the services, owned by the program
  */
 export const createProcessKit = (
   role: envelope.Sender['role'],
@@ -81,7 +81,7 @@
       maxReplyBytes: MAX_REPLY_BYTES,
     }),
   );
-  const heard = owned.add(event.createEmitter<rpcClient.HeardVersion>());
+  const receivedVersions = owned.add(event.createEmitter<rpcClient.HeardVersion>());
   const configuration = configurationHolder.createConfigurationHolder();
   const { processId, peerSecret, logLevel } = settings;
   const call: http.HttpCall = (request) => client.call(request);
@@ -97,9 +97,9 @@
       call,
       timeoutMs: RPC_TIMEOUT_MS,
       peerSecret,
-      noteVersion: heard.fire,
+      noteVersion: receivedVersions.fire,
     }),
-    onDidHearVersion: heard.event,
+    onDidHearVersion: receivedVersions.event,
     configuration,
     sender: () => ({ processId, role, configVersion: configuration.version() }),
     peerHeaders: { [rpcClient.PEER_SECRET_HEADER]: peerSecret },
--- a/src/programs/relayRpc.ts
+++ b/src/programs/relayRpc.ts
@@ -1,5 +1,5 @@
 /**
- * Calls of the store between processes: how one asks, and how an entry serves it.
+ * Store calls relayed by an entry: the requesting side and the serving side.
  */
 import * as errors from '../base/common/errors.js';
 import * as http from '../base/common/http.js';
@@ -8,15 +8,15 @@
 import type * as poolMessages from '../protocol/common/poolMessages.js';
 import type * as rpcClient from '../transport/node/rpcClient.js';
 
-/** Kept of a caller's time for the way to the entry and back. */
-const WAY_MS = 100;
+/** Part of the caller's timeout reserved for the round trip to the entry. */
+const RELAY_OVERHEAD_MS = 100;
 
 /**
- * @param entry - an entry
- * @param from - who asks
+ * @param entry - the relaying entry
+ * @param from - the requesting process
  * @param request - a call of the store
  * @returns the store's answer
- * @throws HttpCallError as if the store had been called without another process between
+ * @throws HttpCallError as for a direct call of the store
  */
 export const askRelay = async (
   entry: rpcClient.PoolEntryClient,
@@ -30,7 +30,7 @@
       method,
       path,
       body: Buffer.from(request.body).toString('base64'),
-      timeoutMs: Math.max(WAY_MS, Math.round(timeoutMs - WAY_MS)),
+      timeoutMs: Math.max(RELAY_OVERHEAD_MS, Math.round(timeoutMs - RELAY_OVERHEAD_MS)),
       unreadStatuses,
     });
     const pieces: Buffer[] = [];
@@ -43,15 +43,15 @@
   }
 };
 
-/** An answer on its way. */
-interface Passing {
+/** A response that is forwarded while it arrives. */
+interface ReplyStream {
   readonly body: AsyncIterable<string>;
   readonly add: (piece: Uint8Array) => void;
   readonly end: () => void;
   readonly fail: (error: Error) => void;
 }
 
-const startPassing = (): Passing => {
+const createReplyStream = (): ReplyStream => {
   let isOpen = true;
   let toCaller: ReadableStreamDefaultController<string> | undefined;
   const body = new ReadableStream<string>({
@@ -62,11 +62,11 @@
       isOpen = false;
     },
   });
-  const whileOpen = (deed: () => void): void => {
-    if (isOpen) deed();
+  const whileOpen = (action: () => void): void => {
+    if (isOpen) action();
   };
-  const finish = (deed: () => void): void => {
-    whileOpen(deed);
+  const finish = (action: () => void): void => {
+    whileOpen(action);
     isOpen = false;
   };
   return {
@@ -85,14 +85,14 @@
 };
 
 /**
- * Passes an answer on while it comes: kept until it is whole, a long one would begin only after its caller
- * has given up, however often it is asked for.
+ * Forwards a response while it arrives: if it were buffered until complete, a long one would reach the caller
+ * only after its timeout, on every retry.
  *
  * @param message - a call of the store by another process
  * @param address - the store
- * @param call - this process's own way to it
+ * @param call - this process's direct call of the store
  * @returns the store's answer, once it has begun
- * @throws AuburnliftError `noUpstream` where nothing was sent, `peerUnreachable` where that is open
+ * @throws AuburnliftError `noUpstream` where nothing was sent, `peerUnreachable` where that is unknown
  */
 export const serveRelay = (
   message: poolMessages.RelayMessage,
@@ -100,17 +100,17 @@
   call: http.HttpCall,
 ): Promise<Omit<poolMessages.RelayAnswer, 'from'>> =>
   new Promise((resolve, reject) => {
-    const passing = startPassing();
-    let isBegun = false;
+    const stream = createReplyStream();
+    let hasBegun = false;
     const begin = (status: number): void => {
-      isBegun = true;
-      resolve({ status, body: passing.body });
+      hasBegun = true;
+      resolve({ status, body: stream.body });
     };
     const { method, path, timeoutMs, unreadStatuses } = message;
     const body = Buffer.from(message.body, 'base64');
     const headers: Record<string, string> =
       body.length === 0 ? {} : { 'content-type': 'application/json' };
-    const whole = call({
+    const exchange = call({
       address,
       method,
       path,
@@ -120,22 +120,22 @@
       transfer: platformStore.TRANSFER_LIMITS,
       unreadStatuses,
       onArrival: (status, piece) => {
-        if (!isBegun) begin(status);
-        if (piece !== undefined) passing.add(piece);
+        if (!hasBegun) begin(status);
+        if (piece !== undefined) stream.add(piece);
       },
     });
-    whole.then(
+    exchange.then(
       (reply) => {
-        // Something else than a connection may answer, all at once.
-        if (!isBegun) {
+        // The call may give a complete response without having called onArrival.
+        if (!hasBegun) {
           begin(reply.status);
-          passing.add(reply.body);
+          stream.add(reply.body);
         }
-        passing.end();
+        stream.end();
       },
       (thrown: unknown) => {
         const failure = failureOf(thrown);
-        if (isBegun) passing.fail(failure);
+        if (hasBegun) stream.fail(failure);
         else reject(failure);
       },
     );
--- a/src/programs/runMain.ts
+++ b/src/programs/runMain.ts
@@ -1,5 +1,5 @@
 /**
- * The life of a program: settings, start, a signal, a graceful end.
+ * Lifecycle of a program: settings, start, a signal, a graceful shutdown.
  */
 import * as Effect from 'effect/Effect';
 import type * as Schema from 'effect/Schema';
@@ -22,7 +22,7 @@
   return path;
 };
 
-const signalled = Effect.callback<void>((resume) => {
+const waitForSignal = Effect.callback<void>((resume) => {
   const onSignal = (): void => resume(Effect.void);
   process.once('SIGTERM', onSignal);
   process.once('SIGINT', onSignal);
@@ -38,16 +38,16 @@
   schema: Schema.Codec<TSettings, unknown, never, never>,
   start: (settings: TSettings) => Promise<processKit.Program>,
 ): Promise<void> => {
-  const life = Effect.gen(function* live() {
+  const lifecycle = Effect.gen(function* runUntilSignal() {
     const settings = settingsFile.readSettings(schema, settingsPath(process.argv));
     yield* Effect.acquireRelease(
       Effect.tryPromise({ try: () => start(settings), catch: errors.normalize }),
       (program) => Effect.promise(program.shutdown),
     );
-    yield* signalled;
+    yield* waitForSignal;
   });
   try {
-    await Effect.runPromise(Effect.scoped(life));
+    await Effect.runPromise(Effect.scoped(lifecycle));
     process.exit(0);
   } catch (thrown) {
     const error = errors.normalize(thrown);
--- a/src/programs/runPoolMain.ts
+++ b/src/programs/runPoolMain.ts
@@ -1,5 +1,5 @@
 /**
- * The life of a program that serves pools: settings, start, reloads, a signal, a graceful end.
+ * Lifecycle of a pool program: settings, start, reloads, a signal, a graceful shutdown.
  */
 import * as errorKinds from '../base/common/errorKinds.js';
 import * as errors from '../base/common/errors.js';
@@ -8,20 +8,20 @@
 
 import * as poolKit from './poolKit.js';
 
-const signalled = (): Promise<string> =>
+const waitForSignal = (): Promise<string> =>
   new Promise((resolve) => {
     process.once('SIGTERM', () => resolve('SIGTERM'));
     process.once('SIGINT', () => resolve('SIGINT'));
   });
 
-const live = async (
+const runUntilSignal = async (
   role: bootSettings.PoolProgram,
   start: (kit: poolKit.PoolKit) => Promise<poolKit.PoolProgram>,
 ): Promise<void> => {
   const path = bootSettings.bootSettingsPath();
   let settings = bootSettings.readBootSettings(path, role);
   const kit = poolKit.createPoolKit(role, () => settings);
-  const stopped = signalled();
+  const stopped = waitForSignal();
   const program = await start(kit);
   const watch = settingsWatch.watchSettings({
     path,
@@ -56,7 +56,7 @@
   start: (kit: poolKit.PoolKit) => Promise<poolKit.PoolProgram>,
 ): Promise<void> => {
   try {
-    await live(role, start);
+    await runUntilSignal(role, start);
     process.exit(0);
   } catch (thrown) {
     const error = errors.normalize(thrown);
--- a/src/programs/scheduler.ts
+++ b/src/programs/scheduler.ts
@@ -1,5 +1,5 @@
 /**
- * `auburnlift-scheduler`: leads cells under leases. Any scheduler can lead any cell.
+ * `auburnlift-scheduler`: leads cells while it holds their leases. Any scheduler can lead any cell.
  */
 import * as errors from '../base/common/errors.js';
 import * as http from '../base/common/http.js';
@@ -24,7 +24,7 @@
   kit: processKit.ProcessKit,
   claims: cellClaims.CellClaims,
 ): schedulerRouter.SchedulerService => {
-  const led = (cell: string): cellLeader.CellLeader => {
+  const requireLeader = (cell: string): cellLeader.CellLeader => {
     const leader = claims.leaderOf(cell);
     if (leader === undefined) {
       throw errors.fail('notLeader', `this scheduler does not lead ${cell}; nothing ran`, {
@@ -44,7 +44,7 @@
   });
   return {
     report: (request) => {
-      const answer = led(request.cell).report({
+      const answer = requireLeader(request.cell).report({
         bootId: request.bootId,
         acceptedEpoch: request.epoch,
         uptimeMs: request.uptimeMs,
@@ -60,16 +60,17 @@
     },
     submit: async ({ spec }) => ({
       from: kit.sender(),
-      job: await led(spec.cell).submit(spec),
+      job: await requireLeader(spec.cell).submit(spec),
     }),
     cancel: async ({ cell, jobIds }) => ({
       from: kit.sender(),
-      jobs: [...(await led(cell).cancel(jobIds))],
+      jobs: [...(await requireLeader(cell).cancel(jobIds))],
     }),
-    show: ({ cell, jobId }) => Promise.resolve({ from: kit.sender(), job: led(cell).show(jobId) }),
-    cell: ({ cell }) => Promise.resolve(cellReply(led(cell))),
+    show: ({ cell, jobId }) =>
+      Promise.resolve({ from: kit.sender(), job: requireLeader(cell).show(jobId) }),
+    cell: ({ cell }) => Promise.resolve(cellReply(requireLeader(cell))),
     quarantine: ({ cell, workerId, isQuarantined, reason }) => {
-      const leader = led(cell);
+      const leader = requireLeader(cell);
       leader.quarantine(workerId, isQuarantined, reason);
       return Promise.resolve(cellReply(leader));
     },
--- a/src/programs/schedulerNews.ts
+++ b/src/programs/schedulerNews.ts
@@ -1,8 +1,8 @@
 /**
- * Tells the schedulers of jobs and cancellations that an entry has stored.
+ * Notifies the schedulers of jobs and cancellations that an entry has stored.
  *
- * Load it answers: a watch that hears nothing for a second while all other calls are answered, or that is slow.
- * Urgent work with half a second to spare would be late by the leader's not knowing of it.
+ * The leader's watch of the store can be slow, or report nothing for a second while all other calls are
+ * answered. Urgent work with half a second of slack would then miss its deadline.
  */
 import * as errors from '../base/common/errors.js';
 import * as poolKeys from '../state/common/pool/poolKeys.js';
@@ -10,22 +10,22 @@
 
 import * as poolKit from './poolKit.js';
 
-/** The leader hears of a job by its watch as well. */
-const TELL_TIMEOUT_MS = 500;
+/** Short, since the leader also receives the job through its watch. */
+const NOTIFY_TIMEOUT_MS = 500;
 
 /**
- * @param kit - the program's parts
- * @returns tells all of them, since an entry does not know who leads; does not wait for any answer
+ * @param kit - shared services of the program
+ * @returns notifies all schedulers, since an entry does not know the leader; does not wait for responses
  */
 export const createSchedulerNews = (
   kit: poolKit.PoolKit,
 ): ((jobId: string, part: poolKeys.JobPart) => void) => {
   const clients = rpcClient.createRpcClients({
     call: kit.call,
-    timeoutMs: TELL_TIMEOUT_MS,
+    timeoutMs: NOTIFY_TIMEOUT_MS,
     peerSecret: poolKit.PEER_SECRET,
   });
-  const tell = async (url: string, jobId: string, part: poolKeys.JobPart): Promise<void> => {
+  const notify = async (url: string, jobId: string, part: poolKeys.JobPart): Promise<void> => {
     try {
       await clients.poolScheduler(url).jobChanged({ from: kit.sender(), jobId, part });
     } catch (thrown) {
@@ -34,6 +34,6 @@
     }
   };
   return (jobId, part) => {
-    for (const url of kit.peerUrls(poolKeys.PeerRole.scheduler)) void tell(url, jobId, part);
+    for (const url of kit.peerUrls(poolKeys.PeerRole.scheduler)) void notify(url, jobId, part);
   };
 };
--- a/src/programs/serviceLevels.ts
+++ b/src/programs/serviceLevels.ts
@@ -1,6 +1,6 @@
 /**
- * Wires a process's events to the counts of service levels: callers' requests in an entry, job
- * starts in a scheduler.
+ * Records a process's events in the service level counters: callers' requests in an entry, job starts in a
+ * scheduler.
  */
 import * as errors from '../base/common/errors.js';
 import * as serviceLevelCounters from '../coordination/common/serviceLevelCounters.js';
@@ -13,25 +13,25 @@
 
 import type * as processKit from './processKit.js';
 
-/** The counts of one process, owned by its kit. */
+/** The service level counters of one process. */
 export interface ServiceLevels {
-  /** Wraps the callers' API so that each request to an upstream is judged. */
+  /** Wraps the callers' API so that each request to an upstream is evaluated. */
   readonly observeCalls: (handler: httpServer.Handler) => httpServer.Handler;
   readonly noteJob: (before: job.JobRecord, after: job.JobRecord) => void;
-  /** Writes what is counted; a store that is away is only logged. */
+  /** Writes the counters; a failed write is only logged. */
   readonly flush: () => Promise<void>;
 }
 
 /**
- * @param kit - parts of the process
+ * @param kit - shared services of the process
  * @param target - the store
- * @returns the counts
+ * @returns the counters, owned by the process
  */
 export const keepServiceLevels = (
   kit: processKit.ProcessKit,
   target: store.Store,
 ): ServiceLevels => {
-  const keeper = kit.owned.add(
+  const recorder = kit.owned.add(
     serviceLevelRecorder.createServiceLevelRecorder({
       writerId: `${kit.sender().processId}.${kit.newId()}`,
       store: target,
@@ -44,15 +44,15 @@
   return {
     observeCalls: (handler) =>
       callObserver.observeCalls(handler, kit.clock, (end) => {
-        keeper.note(serviceLevelCounters.evaluateRequest(objectives(), end));
+        recorder.note(serviceLevelCounters.evaluateRequest(objectives(), end));
       }),
     noteJob: (before, after) => {
       const nowMs = kit.clock.wallMs();
-      keeper.note(serviceLevelCounters.evaluateStart(objectives(), before, after, nowMs));
+      recorder.note(serviceLevelCounters.evaluateStart(objectives(), before, after, nowMs));
     },
     flush: async () => {
       try {
-        await keeper.flush();
+        await recorder.flush();
       } catch (thrown) {
         const reason = errors.normalize(thrown).message;
         kit.log('warn', 'serviceLevelsNotWritten', { reason });
--- a/src/programs/storeLinks.ts
+++ b/src/programs/storeLinks.ts
@@ -1,5 +1,5 @@
 /**
- * How a program reaches the platform's store and follows what is live in it.
+ * Connects a program to the platform's store and watches the live records in it.
  */
 import * as liveWatch from '../coordination/node/liveWatch.js';
 import type * as store from '../state/common/store.js';
@@ -7,7 +7,7 @@
 
 import type * as processKit from './processKit.js';
 
-/** Settings by which the store is reached. */
+/** Settings of the connection to the store. */
 export interface StoreSettings {
   readonly storeUrl: string;
   readonly storeTimeoutMs: number;
@@ -19,17 +19,17 @@
   readonly live: liveWatch.LiveWatch;
 }
 
-/** A waiting watch counts as a call of the store, whatever it waits for. */
+/** Duration of one watch call. An open watch counts as a call of the store even while nothing changes. */
 const WATCH_MS = 10_000;
 
-/** A watch that has gone silent hides a change for so long at the most. */
+/** Period of full lists: the longest time for which a watch that stopped reporting can hide a change. */
 const LIST_MS = 5000;
 
 const RETRY_MS = 500;
 
 /**
  * @param kit - parts of the process
- * @param settings - how the store is reached
+ * @param settings - address and timeout of the store
  * @returns the store and the watch, already running
  */
 export const connectStore = (kit: processKit.ProcessKit, settings: StoreSettings): StoreLinks => {
--- a/src/programs/test/childPrograms.ts
+++ b/src/programs/test/childPrograms.ts
@@ -11,18 +11,18 @@
 /** A program that runs as a child process. */
 export interface ChildProgram {
   readonly processId: number;
-  /** Facts of its `started` line, by key. */
+  /** Fields of its `started` log line, by key. */
   readonly started: ReadonlyMap<string, string>;
-  /** Ends it as a power cut would. */
+  /** Ends it with SIGKILL, as a power failure would. */
   readonly kill: () => Promise<void>;
-  /** Asks it to end, and gives its exit status. */
+  /** Ends it with SIGTERM and returns its exit status. */
   readonly terminate: () => Promise<number>;
 }
 
 /** Child processes of one test. */
 export interface ChildPrograms {
   readonly start: (program: string, settings: object) => Promise<ChildProgram>;
-  /** Runs a program that is expected to end by itself. */
+  /** Runs a program that is expected to exit on its own. */
   readonly run: (program: string, settingsText: string) => { status: number; stderr: string };
   readonly dispose: () => Promise<void>;
 }
@@ -52,7 +52,7 @@
 };
 
 /**
- * @returns a starter without children
+ * @returns a launcher without child processes
  */
 export const createChildPrograms = (): ChildPrograms => {
   const folder = fs.mkdtempSync(path.join(os.tmpdir(), 'auburnlift-test-'));
--- a/src/programs/test/configurationOutage.test.ts
+++ b/src/programs/test/configurationOutage.test.ts
@@ -1,5 +1,5 @@
 /**
- * Processes that start while the store is down, and messages that carry a higher version.
+ * Processes that start during a store outage, and messages with a higher configuration version.
  */
 import * as assert from 'node:assert/strict';
 import * as test from 'node:test';
@@ -30,7 +30,7 @@
       setTimeout(resolve, POLL_MS);
     });
   }
-  assert.fail('it never happened');
+  assert.fail('the condition was not met in time');
 };
 
 const settingsOf = (
@@ -57,11 +57,11 @@
 });
 
 test.test(
-  'a process that starts in an outage takes its peer’s version or is not ready',
+  'a process that starts during an outage gets the configuration of a peer or is not ready',
   async () => {
-    // The store is down for hours and an entry VM is replaced. Were the new entry ready without a
-    // configuration, it would refuse every customer as unknown; were it never ready, the outage of
-    // the store would become one of the system as soon as all VMs are replaced.
+    // The store is down for hours and an entry VM is replaced. If the new entry were ready without a
+    // configuration, it would refuse every customer as unknown; if it never became ready, the store
+    // outage would become a system outage once all VMs are replaced.
     const owned = disposable.createDisposableStore();
     const store = memoryStore.createMemoryStore(systemClock.systemClock);
     const storeUrl = http.formatAddress(owned.add(await storeServer.serveStore(store)).address);
@@ -93,12 +93,12 @@
       await until(() => isReady(first.callersUrl));
       store.faults.isDown = true;
       const peers = [first.peersUrl];
-      const helped = owned.add(await entry.startEntry(settingsOf('helped', storeUrl, peers)));
-      const alone = owned.add(await entry.startEntry(settingsOf('alone', storeUrl, [])));
+      const withPeer = owned.add(await entry.startEntry(settingsOf('helped', storeUrl, peers)));
+      const withoutPeer = owned.add(await entry.startEntry(settingsOf('alone', storeUrl, [])));
       const led = owned.add(await scheduler.startScheduler(settingsOf('led', storeUrl, peers)));
-      await until(() => isReady(helped.callersUrl));
+      await until(() => isReady(withPeer.callersUrl));
       await until(() => isReady(led.peersUrl));
-      assert.equal(await readiness(alone.callersUrl), 'no configuration yet\n');
+      assert.equal(await readiness(withoutPeer.callersUrl), 'no configuration yet\n');
     } finally {
       await owned.dispose();
     }
@@ -113,23 +113,28 @@
 }
 
 const CASES: readonly VersionCase[] = [
-  { name: 'decides and catches up', handler: 'submit', canCatchUp: true, verdict: 'ran' },
   {
-    name: 'decides and can not catch up',
+    name: 'requires the version and fetches it',
+    handler: 'submit',
+    canCatchUp: true,
+    verdict: 'ran',
+  },
+  {
+    name: 'requires the version and cannot fetch it',
     handler: 'submit',
     canCatchUp: false,
     verdict: 'staleConfiguration',
   },
-  { name: 'only beats', handler: 'report', canCatchUp: false, verdict: 'ran' },
+  { name: 'is only a heartbeat', handler: 'report', canCatchUp: false, verdict: 'ran' },
 ];
 
 for (const it of CASES) {
   test.test(`a message with a higher version that ${it.name}: ${it.verdict}`, async () => {
-    const noted: number[] = [];
+    const versions: number[] = [];
     const sync = {
-      noteVersion: (version: number) => noted.push(version),
+      noteVersion: (version: number) => versions.push(version),
       catchUp: (version: number) => {
-        noted.push(version);
+        versions.push(version);
         return Promise.resolve(it.canCatchUp);
       },
     } as unknown as configurationSync.ConfigurationSync;
@@ -144,6 +149,6 @@
       (thrown: unknown) => errors.normalize(thrown).kind,
     );
     assert.equal(verdict, it.verdict);
-    assert.deepEqual(noted, [9]);
+    assert.deepEqual(versions, [9]);
   });
 }
--- a/src/programs/test/entryPresence.test.ts
+++ b/src/programs/test/entryPresence.test.ts
@@ -1,5 +1,5 @@
 /**
- * How an entry gets to know agents after a restart, without frequent registrations.
+ * How an entry discovers agents after a restart, without frequent registrations.
  */
 import * as assert from 'node:assert/strict';
 import * as test from 'node:test';
@@ -39,9 +39,9 @@
 test.test(
   'all agents of a region register within 2 s of a restart, spread over a second',
   async () => {
-    // The only entry of a region is replaced. Its agents register once a minute: without a sign of
-    // the restart every request would be refused for that long. With the sign they must not all come
-    // at the same moment either.
+    // The only entry of a region is replaced. Its agents register once a minute: if they did not detect
+    // the restart, every request would be refused for that long. Having detected it, they must not all
+    // register simultaneously either.
     const time = clock.createFakeClock();
     let holder = createHolder(time);
     let breakAll: (() => void)[] = [];
@@ -66,7 +66,11 @@
       return watch;
     });
     await time.advance(65_000);
-    assert.equal(returnsAtMs.length, 0, 'an entry that lives is not registered with again');
+    assert.equal(
+      returnsAtMs.length,
+      0,
+      'agents do not register again with an entry that did not restart',
+    );
     const restartMs = time.monotonicMs();
     holder = createHolder(time);
     breakAll.splice(0).forEach((it) => it());
@@ -83,7 +87,7 @@
   },
 );
 
-test.test('an entry that leaves lets go of what it holds', async () => {
+test.test('an entry that shuts down answers the open requests', async () => {
   const holder = createHolder(clock.createFakeClock());
   const request = requestOf('/presence?url=http%3A%2F%2Fagent%3A1&version=1');
   const held = holder.hold(request);
@@ -99,17 +103,17 @@
 });
 
 test.test('a new configuration reaches agents that have no worker and no requests', async () => {
-  // An operator changes a weight. Agents without a worker send no reports, and without requests
-  // nothing comes to them: with registrations a minute apart they would act on the old weight for
-  // that long. The request that each keeps open is answered instead, and the next one says that the
-  // agent has caught up; an agent that can't catch up does not ask without a pause.
+  // An operator changes a weight. Agents without a worker send no reports, and without requests they
+  // receive no messages: with registrations a minute apart they would apply the old weight for that
+  // long. Instead the open request of each is answered, and the next one reports that the agent has the
+  // new version; an agent that can't fetch it does not retry without a delay.
   const time = clock.createFakeClock();
   let version = 1;
-  const heard = new Map<string, number>();
+  const receivedVersions = new Map<string, number>();
   const holder = createHolder(
     time,
     () => version,
-    (note) => heard.set(note.agentUrl, note.configVersion),
+    (note) => receivedVersions.set(note.agentUrl, note.configVersion),
   );
   let calls = 0;
   const call: http.HttpCall = async (request) => {
@@ -117,25 +121,25 @@
     const reply = await holder.hold(requestOf(request.path));
     return { status: reply.status, headers: {}, body: bodyOf(reply) };
   };
-  const inForce = new Map<number, number>();
+  const activeVersions = new Map<number, number>();
   const atMs: number[] = [];
   const stuck = AGENTS - 1;
   const watches = Array.from({ length: AGENTS }, (_, index) => {
-    inForce.set(index, 1);
+    activeVersions.set(index, 1);
     const watch = entryPresence.createPresenceWatch({
       clock: time,
       random: random.createRandom(index),
       call,
       note: () => ({
         agentUrl: `http://agent-${index}:1`,
-        configVersion: inForce.get(index) ?? 0,
+        configVersion: activeVersions.get(index) ?? 0,
       }),
       onDidHearVersion: (_url, next) => {
-        if (index !== stuck) inForce.set(index, next);
+        if (index !== stuck) activeVersions.set(index, next);
         atMs.push(time.monotonicMs());
         return Promise.resolve();
       },
-      onDidReturn: () => assert.fail('the entry never went away'),
+      onDidReturn: () => assert.fail('the entry was never unreachable'),
     });
     watch.watch([ENTRY]);
     return watch;
@@ -145,15 +149,15 @@
   version = 2;
   holder.release();
   await time.advance(1000);
-  const lagging = [...heard.values()].filter((it) => it < version).length;
-  assert.equal(lagging, 1, 'all but the agent that cannot catch up');
+  const lagging = [...receivedVersions.values()].filter((it) => it < version).length;
+  assert.equal(lagging, 1, 'only the agent that cannot fetch the version');
   assert.ok(calls <= AGENTS * 2 + 2, `${calls} calls`);
   assert.ok(new Set(atMs).size > AGENTS / 4, 'the fetches are spread');
   await Promise.all(watches.map((it) => it.dispose()));
   await holder.dispose();
 });
 
-test.test('another entry is told of live agents only, the emptiest first', () => {
+test.test('another entry receives live agents only, the least loaded first', () => {
   const directory = agentDirectory.createAgentDirectory();
   const upstream = { slots: 8, connections: 64, isLeaving: false, queued: 0, serviceMs: 40 };
   const register = (name: string, running: number, isLeaving: boolean): void =>
@@ -177,9 +181,9 @@
   register('leaving', 0, true);
   register('silent', 0, false);
   directory.recordNoResponse('http://silent:1', 60);
-  const told = entryDirectory.describeAgents(directory, 'r', 2, 60);
+  const described = entryDirectory.describeAgents(directory, 'r', 2, 60);
   assert.deepEqual(
-    told.map((it) => [it.agentId, it.clockMs]),
+    described.map((it) => [it.agentId, it.clockMs]),
     [
       ['empty', 80],
       ['half', 80],
--- a/src/programs/test/operatorConfiguration.test.ts
+++ b/src/programs/test/operatorConfiguration.test.ts
@@ -1,5 +1,5 @@
 /**
- * The configuration through the operators' API of a running entry: first, dry run, race, history.
+ * The configuration through the operators' API of a running entry: first version, dry run, conflict, history.
  */
 import * as assert from 'node:assert/strict';
 import * as crypto from 'node:crypto';
--- a/src/programs/test/poolPrograms.test.ts
+++ b/src/programs/test/poolPrograms.test.ts
@@ -1,5 +1,5 @@
 /**
- * The programs of pools as separate processes, against stand-ins of the platform over its own calls.
+ * The pool programs as separate processes, against stand-ins of the platform that implement its API.
  */
 import * as assert from 'node:assert/strict';
 import * as childProcess from 'node:child_process';
@@ -22,7 +22,7 @@
 const BIN = path.join(path.dirname(url.fileURLToPath(import.meta.url)), '../../bin');
 const ID = '5c0e7a21d94b36f8';
 
-/** Ports of a program: its own, and some between programs. */
+/** Distance between the ports of two programs. */
 const PORTS_PER_PROGRAM = 12;
 
 interface Answer {
@@ -52,7 +52,7 @@
     request.end(body);
   });
 
-interface Rig {
+interface PoolHarness {
   readonly store: memoryStore.MemoryStore;
   readonly worker: memoryPoolWorker.MemoryPoolWorker;
   readonly frontPort: number;
@@ -63,7 +63,7 @@
   readonly dispose: () => Promise<void>;
 }
 
-const createRig = async (workMs: number): Promise<Rig> => {
+const createPoolHarness = async (workMs: number): Promise<PoolHarness> => {
   const folder = fs.mkdtempSync(path.join(os.tmpdir(), 'auburnlift-pool-'));
   const children: childProcess.ChildProcess[] = [];
   const ports = await portBlock.takePorts(process.pid);
@@ -154,8 +154,8 @@
 
 const JOB = JSON.stringify({ spec: 'text', steps: [{ count: 2, gpu: 1, est_ms: 500 }] });
 
-const stateOf = async (rig: Rig, id = ID): Promise<string> => {
-  const { body } = await ask(rig.frontPort, 'GET', `/q/${id}`);
+const stateOf = async (harness: PoolHarness, id = ID): Promise<string> => {
+  const { body } = await ask(harness.frontPort, 'GET', `/q/${id}`);
   return (JSON.parse(body) as { state?: string }).state ?? body;
 };
 
@@ -165,54 +165,54 @@
     else child.once('exit', resolve);
   });
 
-test.describe('the programs of pools', () => {
-  test.it('take a job, run it and tell its state', async () => {
-    const rig = await createRig(300);
+test.describe('the pool programs', () => {
+  test.it('accept a job, run it and report its state', async () => {
+    const harness = await createPoolHarness(300);
     try {
-      await rig.startScheduler('edge-1');
-      assert.equal((await ask(rig.frontPort, 'POST', `/q/${ID}`, JOB)).status, 200);
-      await until.until('the job is complete', async () => (await stateOf(rig)) === 'complete');
+      await harness.startScheduler('edge-1');
+      assert.equal((await ask(harness.frontPort, 'POST', `/q/${ID}`, JOB)).status, 200);
+      await until.until('the job is complete', async () => (await stateOf(harness)) === 'complete');
       assert.deepEqual(
-        rig.worker.runs.map((it) => [it.how, it.payload]),
+        harness.worker.runs.map((it) => [it.how, it.payload]),
         [
           ['done', 'text'],
           ['done', 'text'],
         ],
       );
-      assert.equal((await ask(rig.frontPort, 'GET', '/q/0000000000000000')).status, 410);
-      assert.equal((await ask(rig.frontPort, 'GET', '/other/')).status, 404);
+      assert.equal((await ask(harness.frontPort, 'GET', '/q/0000000000000000')).status, 410);
+      assert.equal((await ask(harness.frontPort, 'GET', '/other/')).status, 404);
     } finally {
-      await rig.dispose();
+      await harness.dispose();
     }
   });
 
-  // The leader is killed while tasks work: they go on, and the other scheduler takes note of their ends.
-  test.it('go on after the leader was killed', async () => {
-    const rig = await createRig(4000);
+  // The leader is killed while tasks run: they continue, and the other scheduler records their ends.
+  test.it('continue after the leader was killed', async () => {
+    const harness = await createPoolHarness(4000);
     try {
-      const first = await rig.startScheduler('edge-1');
-      assert.equal((await ask(rig.frontPort, 'POST', `/q/${ID}`, JOB)).status, 200);
-      await until.until('the tasks run', () => Promise.resolve(rig.worker.runs.length === 2));
-      await rig.startScheduler('edge-2');
+      const first = await harness.startScheduler('edge-1');
+      assert.equal((await ask(harness.frontPort, 'POST', `/q/${ID}`, JOB)).status, 200);
+      await until.until('the tasks run', () => Promise.resolve(harness.worker.runs.length === 2));
+      await harness.startScheduler('edge-2');
       first.kill('SIGKILL');
-      await until.until('the job is complete', async () => (await stateOf(rig)) === 'complete');
-      assert.equal(rig.worker.runs.length, 2);
+      await until.until('the job is complete', async () => (await stateOf(harness)) === 'complete');
+      assert.equal(harness.worker.runs.length, 2);
     } finally {
-      await rig.dispose();
+      await harness.dispose();
     }
   });
 
-  // An entry is stopped while callers hand in jobs. Each request that it has read gets its whole answer,
-  // readiness goes first, and the process ends by itself.
-  test.it('an entry that is stopped answers everything that it has read', async () => {
-    const rig = await createRig(300);
+  // An entry is stopped while callers submit jobs. Each request that it has read gets its complete response,
+  // the readiness check fails first, and the process exits on its own.
+  test.it('an entry that is stopped answers every request that it has read', async () => {
+    const harness = await createPoolHarness(300);
     try {
       let isOver = false;
       const answers: Promise<Answer>[] = [];
-      const press = (async () => {
+      const submitting = (async () => {
         for (let count = 0; !isOver && count < 200; count += 1) {
           const id = count.toString(16).padStart(16, '0');
-          answers.push(ask(rig.frontPort, 'POST', `/q/${id}`, JOB));
+          answers.push(ask(harness.frontPort, 'POST', `/q/${id}`, JOB));
           await new Promise((resolve) => {
             setTimeout(resolve, 10);
           });
@@ -221,25 +221,25 @@
       await new Promise((resolve) => {
         setTimeout(resolve, 200);
       });
-      rig.entry.kill('SIGTERM');
+      harness.entry.kill('SIGTERM');
       await until.until(
         'the entry is out of rotation',
-        async () => (await ask(rig.readyPort, 'GET', '/-/ready')).status === 503,
+        async () => (await ask(harness.readyPort, 'GET', '/-/ready')).status === 503,
       );
       isOver = true;
-      await press;
+      await submitting;
       const settled = await Promise.allSettled(answers);
       assert.deepEqual(
         settled.filter((it) => it.status === 'rejected' || it.value.status !== 200),
         [],
       );
-      assert.equal(await exitOf(rig.entry), 0);
+      assert.equal(await exitOf(harness.entry), 0);
     } finally {
-      await rig.dispose();
+      await harness.dispose();
     }
   });
 
-  test.it('a program without its settings says what is missing', () => {
+  test.it('a program without settings reports what is missing', () => {
     const { status, stderr } = childProcess.spawnSync(
       process.execPath,
       [path.join(BIN, 'poolAgent.js')],
--- a/src/programs/test/processes.test.ts
+++ b/src/programs/test/processes.test.ts
@@ -1,5 +1,5 @@
 /**
- * The programs as separate processes, with some of them killed.
+ * The programs as separate processes, some of which are killed.
  */
 import * as assert from 'node:assert/strict';
 import * as test from 'node:test';
@@ -48,11 +48,11 @@
 });
 
 /**
- * Story: an entry VM and the scheduler that leads the cell are lost at once while a gang runs.
- * Callers reach the other entry through the balancer; the other scheduler takes the cell over.
- * Seen by users: requests are still answered, and the gang ends once, having started once.
+ * An entry VM and the scheduler that leads the cell are lost simultaneously while a gang runs. Callers
+ * reach the other entry through the balancer; the other scheduler takes over the cell. Users must see
+ * requests still answered, and the gang must start once and end once.
  */
-test.test('work goes on when an entry and the leading scheduler are killed', async () => {
+test.test('work continues when an entry and the leading scheduler are killed', async () => {
   const clock = systemClock.systemClock;
   const store = memoryStore.createMemoryStore(clock);
   const storeHttp = await storeServer.serveStore(store);
@@ -233,7 +233,7 @@
   },
 ];
 
-test.test('settings that do not fit are refused at start, naming file, line and field', () => {
+test.test('invalid settings are rejected at start, naming file, line and field', () => {
   const programs = childPrograms.createChildPrograms();
   for (const { name, text, says } of REFUSED_SETTINGS) {
     const { status, stderr } = programs.run('auburnliftScheduler', text);
--- a/src/programs/test/relayRpc.test.ts
+++ b/src/programs/test/relayRpc.test.ts
@@ -1,5 +1,5 @@
 /**
- * Calls of the store that an entry makes for another process.
+ * Store calls that an entry relays for another process.
  */
 import * as assert from 'node:assert/strict';
 import * as test from 'node:test';
@@ -34,15 +34,15 @@
 
 interface Case {
   readonly name: string;
-  /** How the store answers the entry. */
+  /** The store's response to the entry. */
   readonly store: http.HttpCall;
-  /** What the process behind it gets: a status with a body, or how the call failed. */
+  /** What the calling process receives: a status with a body, or how the call failed. */
   readonly got: string;
 }
 
 const CASES: readonly Case[] = [
   {
-    name: 'an answer in pieces arrives whole',
+    name: 'a response in pieces arrives complete',
     store: ({ onArrival }) => {
       onArrival?.(200);
       onArrival?.(200, bytes('one '));
@@ -52,13 +52,13 @@
     got: '200 one two',
   },
   {
-    name: 'an answer that comes all at once arrives whole',
+    name: 'a response that is not streamed arrives complete',
     store: () => Promise.resolve({ status: 503, headers: {}, body: bytes('busy') }),
     got: '503 busy',
   },
   {
-    // Guards against a half answer that is taken for a whole one.
-    name: 'an answer that breaks off is lost',
+    // Guards against a truncated response that is treated as complete.
+    name: 'a truncated response is reported as lost',
     store: ({ onArrival }) => {
       onArrival?.(200, bytes('one '));
       return Promise.resolve().then(lost);
@@ -66,13 +66,13 @@
     got: http.HttpFailure.lost,
   },
   {
-    name: 'a call without an answer is lost',
+    name: 'a call without a response is reported as lost',
     store: () => Promise.resolve().then(lost),
     got: http.HttpFailure.lost,
   },
   {
-    // Guards against a write that is taken for executed, or sent twice, though nothing left the entry.
-    name: 'a call that was never sent says so',
+    // Guards against a write that counts as executed, or is sent twice, although the entry sent nothing.
+    name: 'a call that was never sent is reported as not sent',
     store: () => Promise.reject(new http.HttpCallError(http.HttpFailure.notSent, 'refused')),
     got: http.HttpFailure.notSent,
   },
@@ -117,15 +117,15 @@
   }
 };
 
-test.describe('a call of the store by way of an entry', () => {
+test.describe('a store call relayed by an entry', () => {
   for (const it of CASES) {
     test.it(it.name, async () => {
       assert.equal(await ask(it.store), it.got);
     });
   }
 
-  // Guards against a long answer that the entry keeps until its caller has given up.
-  test.it('is answered piece by piece while the answer comes', async () => {
+  // Guards against a long response that the entry buffers until its caller has timed out.
+  test.it('is answered piece by piece while the response arrives', async () => {
     let onArrival: http.HttpRequest['onArrival'];
     const message = { ...REQUEST, from: SENDER, body: '', unreadStatuses: [] };
     const served = relayRpc.serveRelay(message, ADDRESS, (request) => {
