--- a/src/programs/agent.ts
+++ b/src/programs/agent.ts
@@ -44,21 +44,21 @@
 };
 
 const startTasks = (
-  kit: processKit.ProcessKit,
+  ctx: processKit.ProcessKit,
   settings: settingsSchema.AgentSettings,
   links: agentLinks.AgentLinks,
 ): agentRuntime.AgentRuntime | undefined => {
   if (settings.worker === undefined) return undefined;
-  return kit.owned.add(
+  return ctx.owned.add(
     agentRuntime.startAgentRuntime({
       accelerators: settings.worker.accelerators,
       worker: httpWorker.createHttpWorker({
         url: settings.worker.url,
         timeoutMs: WORKER_TIMEOUT_MS,
-        call: kit.http.call,
+        call: ctx.http.call,
       }),
-      clock: kit.clock,
-      log: kit.log,
+      clock: ctx.clock,
+      log: ctx.log,
       reportMs: settings.reportMs,
       report: links.report,
     }),
@@ -66,7 +66,7 @@
 };
 
 const createService = (
-  kit: processKit.ProcessKit,
+  ctx: processKit.ProcessKit,
   bootId: string,
   links: agentLinks.AgentLinks,
   workerInfo: () => worker.WorkerInfo | undefined,
@@ -84,7 +84,7 @@
       links.noteLeader({ url: request.leaderUrl, epoch: request.epoch });
       const info = workerInfo();
       return Promise.resolve({
-        from: kit.sender(),
+        from: ctx.sender(),
         bootId,
         acceptedEpoch: requireRuntime().acceptedEpoch(),
         uptimeMs: requireRuntime().uptimeMs(),
@@ -99,11 +99,11 @@
         throw errors.fail('staleEpoch', 'the command is for an earlier boot of this agent');
       }
       const results = await requireRuntime().command(request.epoch, request.commands);
-      return { from: kit.sender(), bootId, commandCount: requireRuntime().commandCount(), results };
+      return { from: ctx.sender(), bootId, commandCount: requireRuntime().commandCount(), results };
     },
     configuration: () => {
-      const record = kit.configuration.current();
-      return Promise.resolve({ from: kit.sender(), ...(record === undefined ? {} : { record }) });
+      const record = ctx.configuration.current();
+      return Promise.resolve({ from: ctx.sender(), ...(record === undefined ? {} : { record }) });
     },
     drain: async (request) => {
       links.noteVersion(request.from.configVersion);
@@ -111,13 +111,13 @@
       // The region's entries are informed before the operator receives the reply.
       await links.registerNow();
       const upstream = links.upstreamState();
-      return { from: kit.sender(), ...(upstream === undefined ? {} : { upstream }) };
+      return { from: ctx.sender(), ...(upstream === undefined ? {} : { upstream }) };
     },
   };
 };
 
-const shareOf = (kit: processKit.ProcessKit, customerId: string): admission.CustomerShare => {
-  const customers = kit.configuration.current()?.document.customers ?? [];
+const shareOf = (ctx: processKit.ProcessKit, customerId: string): admission.CustomerShare => {
+  const customers = ctx.configuration.current()?.document.customers ?? [];
   const customer = customers.find((it) => it.customerId === customerId);
   if (customer === undefined) return admission.DEFAULT_SHARE;
   return { weight: customer.requestWeight, guaranteedSlots: customer.guaranteedSlots };
@@ -130,8 +130,8 @@
 export const startAgent = async (
   settings: settingsSchema.AgentSettings,
 ): Promise<processKit.Program> => {
-  const kit = processKit.createProcessKit('agent', settings);
-  const bootId = kit.newId();
+  const ctx = processKit.createProcessKit('agent', settings);
+  const bootId = ctx.newId();
   let isLeaving = false;
   let isDrained = false;
   let lastAnnounced: upstreamContract.Announcement | undefined;
@@ -139,14 +139,14 @@
   let info: worker.WorkerInfo | undefined;
   const host = requestHost.createRequestHost({
     bootId,
-    clock: kit.clock,
-    metrics: kit.metrics,
-    call: kit.http.call,
+    clock: ctx.clock,
+    metrics: ctx.metrics,
+    call: ctx.http.call,
     maxQueued: settings.maxQueued,
-    shareOf: (customerId) => shareOf(kit, customerId),
+    shareOf: (customerId) => shareOf(ctx, customerId),
   });
   const links = agentLinks.createAgentLinks({
-    kit,
+    ctx,
     settings,
     bootId,
     host,
@@ -159,7 +159,7 @@
     host.announce({ ...announced, isLeaving: announced.isLeaving || isDrained });
   };
   const service = createService(
-    kit,
+    ctx,
     bootId,
     links,
     () => info,
@@ -170,7 +170,7 @@
     },
   );
   const health: healthApi.HealthOptions = {
-    metrics: kit.metrics,
+    metrics: ctx.metrics,
     notReadyReason: () => (isLeaving ? 'leaving' : undefined),
   };
   const local: httpServer.Handler = (request) => {
@@ -196,7 +196,7 @@
     exchangeServer.createExchangeListener({
       peerSecret: settings.peerSecret,
       maxBodyBytes: settings.maxBodyBytes,
-      sender: kit.sender,
+      sender: ctx.sender,
       host,
       noteVersion: links.noteVersion,
       otherwise: httpServer.toListener(local, settings.maxBodyBytes),
@@ -206,29 +206,29 @@
     { ...settings.peers, maxBodyBytes: settings.maxBodyBytes, maxConnections: MAX_CONNECTIONS },
     listener,
   );
-  kit.owned.add(server);
+  ctx.owned.add(server);
   const peersUrl = http.formatAddress(server.address);
   info = workerInfoOf(settings, peersUrl);
-  tasks = startTasks(kit, settings, links);
-  kit.owned.add(
-    links.start(peersUrl, random.jitterMs(kit.random, settings.reportMs, REPORT_JITTER)),
+  tasks = startTasks(ctx, settings, links);
+  ctx.owned.add(
+    links.start(peersUrl, random.jitterMs(ctx.random, settings.reportMs, REPORT_JITTER)),
   );
-  kit.log('info', 'started', { url: peersUrl, zone: settings.zone });
+  ctx.log('info', 'started', { url: peersUrl, zone: settings.zone });
   return {
     peersUrl,
     shutdown: async () => {
-      kit.log('info', 'draining', { open: host.openRequestCount() });
+      ctx.log('info', 'draining', { open: host.openRequestCount() });
       isLeaving = true;
       host.startDraining();
       await links.registerNow();
       // An entry whose connection broke retries over a new one, so the server stays open until requests end.
-      const untilMs = kit.clock.monotonicMs() + settings.drainMs;
-      while (host.openRequestCount() > 0 && kit.clock.monotonicMs() < untilMs) {
-        await clock.sleep(kit.clock, DRAIN_POLL_MS);
+      const untilMs = ctx.clock.monotonicMs() + settings.drainMs;
+      while (host.openRequestCount() > 0 && ctx.clock.monotonicMs() < untilMs) {
+        await clock.sleep(ctx.clock, DRAIN_POLL_MS);
       }
-      await server.drain(Math.max(LAST_ANSWERS_MS, untilMs - kit.clock.monotonicMs()));
-      await kit.owned.dispose();
+      await server.drain(Math.max(LAST_ANSWERS_MS, untilMs - ctx.clock.monotonicMs()));
+      await ctx.owned.dispose();
     },
-    dispose: kit.owned.dispose,
+    dispose: ctx.owned.dispose,
   };
 };
--- a/src/programs/agentLinks.ts
+++ b/src/programs/agentLinks.ts
@@ -22,7 +22,7 @@
 
 /** Dependencies of the links. */
 export interface AgentLinksOptions {
-  readonly kit: processKit.ProcessKit;
+  readonly ctx: processKit.ProcessKit;
   readonly settings: settingsSchema.AgentSettings;
   readonly bootId: string;
   readonly host: requestHost.RequestHost;
@@ -62,7 +62,7 @@
  * @returns links that are not started
  */
 export const createAgentLinks = (options: AgentLinksOptions): AgentLinks => {
-  const { kit, settings, host } = options;
+  const { ctx, settings, host } = options;
   let entryUrls: readonly string[] = settings.entryUrls;
   let leader: LeaderHint | undefined;
   let ownUrl = '';
@@ -81,7 +81,7 @@
   const registration = (): agentEntryMessages.RegisterRequest => {
     const upstream = upstreamState();
     return {
-      from: kit.sender(),
+      from: ctx.sender(),
       bootId: options.bootId,
       clockMs: host.clockMs(),
       url: ownUrl,
@@ -97,11 +97,11 @@
   const fetchConfiguration = async (firstUrl: string | undefined): Promise<void> => {
     for (const url of firstUrl === undefined ? entryUrls : [firstUrl, ...entryUrls]) {
       try {
-        const { record } = await kit.clients.entry(url).configuration({ from: kit.sender() });
-        if (record !== undefined) kit.configuration.offer(record);
+        const { record } = await ctx.clients.entry(url).configuration({ from: ctx.sender() });
+        if (record !== undefined) ctx.configuration.offer(record);
         return;
       } catch (thrown) {
-        kit.log('debug', 'configurationNotFetched', {
+        ctx.log('debug', 'configurationNotFetched', {
           url,
           reason: errors.normalize(thrown).message,
         });
@@ -110,7 +110,7 @@
   };
   /** Runs one fetch at a time; concurrent callers wait for the same one. */
   const catchUp = (version: number, url: string | undefined): Promise<void> => {
-    if (version <= kit.configuration.version()) return Promise.resolve();
+    if (version <= ctx.configuration.version()) return Promise.resolve();
     fetching ??= fetchConfiguration(url).finally(() => {
       fetching = undefined;
     });
@@ -121,18 +121,18 @@
   };
   const registerWith = async (url: string): Promise<readonly string[]> => {
     try {
-      const reply = await kit.clients.entry(url).register(registration());
+      const reply = await ctx.clients.entry(url).register(registration());
       noteVersion(reply.from.configVersion);
       if (reply.leader !== undefined) noteLeader(reply.leader);
       periodMs = Math.max(MIN_PERIOD_MS, reply.nextAfterMs);
       return reply.entryUrls;
     } catch (thrown) {
-      kit.log('debug', 'registerFailed', { url, reason: errors.normalize(thrown).message });
+      ctx.log('debug', 'registerFailed', { url, reason: errors.normalize(thrown).message });
       return [];
     }
   };
   const registerNow = async (): Promise<void> => {
-    registeredAtMs = kit.clock.monotonicMs();
+    registeredAtMs = ctx.clock.monotonicMs();
     const known = await Promise.all(entryUrls.map(registerWith));
     const found = [...new Set(known.flat())].slice(0, MAX_ENTRIES);
     if (found.length > 0) presence.watch(found);
@@ -142,18 +142,18 @@
   };
   const loop = (): void => {
     void registerNow().finally(() =>
-      schedule(random.jitterMs(kit.random, periodMs, PERIOD_SPREAD)),
+      schedule(random.jitterMs(ctx.random, periodMs, PERIOD_SPREAD)),
     );
   };
   const schedule = (delayMs: number): void => {
     void timer?.dispose();
-    if (!isStopped) timer = kit.clock.after(delayMs, loop);
+    if (!isStopped) timer = ctx.clock.after(delayMs, loop);
   };
   const presence = entryPresence.createPresenceWatch({
-    clock: kit.clock,
-    random: kit.random,
-    call: kit.http.call,
-    note: () => ({ agentUrl: ownUrl, configVersion: kit.configuration.version() }),
+    clock: ctx.clock,
+    random: ctx.random,
+    call: ctx.http.call,
+    note: () => ({ agentUrl: ownUrl, configVersion: ctx.configuration.version() }),
     onDidHearVersion: (url, version) => catchUp(version, url),
     onDidReturn: (url) => {
       void registerWith(url);
@@ -161,7 +161,7 @@
   });
   /** Registers immediately, since entries may know a newer leader; rate-limited, so not on each failed report. */
   const refreshLeader = (): void => {
-    if (kit.clock.monotonicMs() - registeredAtMs >= MIN_PERIOD_MS) schedule(0);
+    if (ctx.clock.monotonicMs() - registeredAtMs >= MIN_PERIOD_MS) schedule(0);
   };
   return {
     noteLeader,
@@ -175,8 +175,8 @@
         refreshLeader();
         throw errors.fail('notLeader', 'no leader of the cell is known');
       }
-      const sent = kit.clients.scheduler(leader.url).report({
-        from: kit.sender(),
+      const sent = ctx.clients.scheduler(leader.url).report({
+        from: ctx.sender(),
         cell: settings.zone,
         bootId: options.bootId,
         worker: info,
--- a/src/programs/cellClaims.ts
+++ b/src/programs/cellClaims.ts
@@ -17,7 +17,7 @@
 
 /** Dependencies of the claims. */
 export interface CellClaimsOptions {
-  readonly kit: processKit.ProcessKit;
+  readonly ctx: processKit.ProcessKit;
   readonly settings: settingsSchema.SchedulerSettings;
   readonly store: store.Store;
   readonly live: liveWatch.LiveWatch;
@@ -55,7 +55,7 @@
  * @returns claims that are not started
  */
 export const createCellClaims = (options: CellClaimsOptions): CellClaims => {
-  const { kit, settings, live } = options;
+  const { ctx, settings, live } = options;
   const claims = new Map<string, Claim>();
   const unledSinceMs = new Map<string, number>();
   let url = '';
@@ -66,7 +66,7 @@
     const claim = claims.get(cell);
     if (claim === undefined) return;
     claims.delete(cell);
-    kit.log('warn', 'cellDropped', { cell, epoch: claim.leadership.epoch, why });
+    ctx.log('warn', 'cellDropped', { cell, epoch: claim.leadership.epoch, why });
     await claim.leader.dispose();
     await claim.leadership.lease.dispose();
   };
@@ -75,8 +75,8 @@
     const found = await Promise.all(
       entries.map(async (it) => {
         try {
-          const request = { from: kit.sender(), zone: cell };
-          return (await kit.clients.entry(it.url).agents(request)).agentUrls;
+          const request = { from: ctx.sender(), zone: cell };
+          return (await ctx.clients.entry(it.url).agents(request)).agentUrls;
         } catch {
           return [];
         }
@@ -91,19 +91,19 @@
       epoch,
       isLeaseHeld: won.lease.isHeld,
       store: options.store,
-      jobStore: jobStore.createJobStore({ store: options.store, cell, epoch, newId: kit.newId }),
-      clock: kit.clock,
-      log: kit.log,
-      metrics: kit.metrics,
-      configuration: kit.configuration,
+      jobStore: jobStore.createJobStore({ store: options.store, cell, epoch, newId: ctx.newId }),
+      clock: ctx.clock,
+      log: ctx.log,
+      metrics: ctx.metrics,
+      configuration: ctx.configuration,
       fence: async (agentUrl) => {
-        const request = { from: kit.sender(), cell, epoch, leaderUrl: url };
-        const reply = await kit.clients.agent(agentUrl).fence(request);
+        const request = { from: ctx.sender(), cell, epoch, leaderUrl: url };
+        const reply = await ctx.clients.agent(agentUrl).fence(request);
         return { ...reply, worker: reply.worker };
       },
       sendCommands: async (agentUrl, bootId, commands) => {
-        const request = { from: kit.sender(), cell, epoch, bootId, commands: [...commands] };
-        return kit.clients.agent(agentUrl).command(request);
+        const request = { from: ctx.sender(), cell, epoch, bootId, commands: [...commands] };
+        return ctx.clients.agent(agentUrl).command(request);
       },
       discoverAgents: () => discoverAgents(cell),
       ...(options.onDidChangeJob === undefined ? {} : { onDidChangeJob: options.onDidChangeJob }),
@@ -115,12 +115,12 @@
   const claim = async (cell: string): Promise<void> => {
     const won = await leadership.tryAcquireLeadership({
       store: options.store,
-      clock: kit.clock,
+      clock: ctx.clock,
       cell,
       leaderId: settings.processId,
       url,
       ttlMs: settings.leaseMs,
-      newId: kit.newId,
+      newId: ctx.newId,
     });
     if (won === undefined) return;
     const held: Claim = {
@@ -143,7 +143,7 @@
       unledSinceMs.delete(cell);
       return false;
     }
-    const nowMs = kit.clock.monotonicMs();
+    const nowMs = ctx.clock.monotonicMs();
     const sinceMs = unledSinceMs.get(cell) ?? nowMs;
     unledSinceMs.set(cell, sinceMs);
     return nowMs - sinceMs >= claimDelayMs(cell);
@@ -152,7 +152,7 @@
     for (const [cell, held] of [...claims]) {
       if (held.leadership.lease.isLost()) await drop(cell, 'its lease lapsed');
     }
-    const cells = kit.configuration.current()?.document.cells ?? [];
+    const cells = ctx.configuration.current()?.document.cells ?? [];
     if (!live.isConnected()) return;
     for (const { cell } of cells) {
       if (!isStopped && isDue(cell)) await claim(cell);
@@ -161,10 +161,10 @@
   const loop = (): void => {
     claimDueCells()
       .catch((thrown: unknown) => {
-        kit.log('warn', 'claimFailed', { reason: errors.normalize(thrown).message });
+        ctx.log('warn', 'claimFailed', { reason: errors.normalize(thrown).message });
       })
       .finally(() => {
-        if (!isStopped) timer = kit.clock.after(CLAIM_MS, loop);
+        if (!isStopped) timer = ctx.clock.after(CLAIM_MS, loop);
       })
       .catch(() => undefined);
   };
--- a/src/programs/configurationGateway.ts
+++ b/src/programs/configurationGateway.ts
@@ -17,7 +17,7 @@
 
 /** Dependencies of the gateway. */
 export interface ConfigurationGatewayOptions {
-  readonly kit: processKit.ProcessKit;
+  readonly ctx: processKit.ProcessKit;
   readonly store: store.Store;
   readonly sync: configurationSync.ConfigurationSync;
   readonly views: operatorViews.OperatorViews;
@@ -65,12 +65,12 @@
 export const createConfigurationGateway = (
   options: ConfigurationGatewayOptions,
 ): ConfigurationGateway => {
-  const { kit, store: target, sync, views } = options;
+  const { ctx, store: target, sync, views } = options;
   const activeMs = new Map<number, number>();
   let timer: disposable.Disposable | undefined;
   let isDisposed = false;
   const requireActive = (): configuration.ConfigurationRecord => {
-    const record = kit.configuration.current();
+    const record = ctx.configuration.current();
     if (record !== undefined) return record;
     throw errors.fail('storeUnavailable', 'no configuration is in force yet; nothing ran', {
       retryAfterMs: RETRY_MS,
@@ -80,7 +80,7 @@
     document: configuration.ConfigurationDocument,
   ): Promise<readonly configurationDifference.ChangeEffect[]> => {
     const { jobs, unansweredCells } = await views.jobs();
-    const before = kit.configuration.current()?.document;
+    const before = ctx.configuration.current()?.document;
     return configurationDifference.findEffects(before, document, jobs, unansweredCells);
   };
   const findOutdated = async (version: number) => {
@@ -93,47 +93,47 @@
   const recordActive = (version: number, durationMs: number): void => {
     activeMs.clear();
     activeMs.set(version, durationMs);
-    kit.metrics.time('auburnlift_configuration_in_force_ms', durationMs);
-    kit.log('info', 'configurationInForce', { version, durationMs: Math.round(durationMs) });
+    ctx.metrics.time('auburnlift_configuration_in_force_ms', durationMs);
+    ctx.log('info', 'configurationInForce', { version, durationMs: Math.round(durationMs) });
   };
   /** Polls after a write to measure the time until it is active on all processes. */
   const pollUntilActive = (record: configuration.ConfigurationRecord, sinceMs: number): void => {
     const { version } = record;
     const poll = async (): Promise<void> => {
-      if (isDisposed || activeMs.has(version) || kit.configuration.version() !== version) return;
+      if (isDisposed || activeMs.has(version) || ctx.configuration.version() !== version) return;
       const { stragglers } = await findOutdated(version);
-      const durationMs = kit.clock.monotonicMs() - sinceMs;
+      const durationMs = ctx.clock.monotonicMs() - sinceMs;
       if (stragglers.length === 0 && !activeMs.has(version)) recordActive(version, durationMs);
       else if (durationMs < MAX_POLL_MS) schedule();
     };
     const schedule = (): void => {
-      timer = kit.clock.after(POLL_PERIOD_MS, () => {
+      timer = ctx.clock.after(POLL_PERIOD_MS, () => {
         void poll();
       });
     };
     void timer?.dispose();
     schedule();
   };
-  kit.owned.add({
+  ctx.owned.add({
     dispose: () => {
       isDisposed = true;
       void timer?.dispose();
     },
   });
   return {
-    configuration: () => kit.configuration.current(),
+    configuration: () => ctx.configuration.current(),
     writeConfiguration: async (change) => {
       const { isStrandingAccepted, ...wanted } = change;
       configurationChecks.assertDocument(wanted.document);
       // A peer may have a version that is missing from a restored store.
       await sync.askPeers();
       if (!isStrandingAccepted) assertConsent(await effectsOf(wanted.document));
-      const known = kit.configuration.current();
-      const nowMs = kit.clock.wallMs();
+      const known = ctx.configuration.current();
+      const nowMs = ctx.clock.wallMs();
       const record = await configurationStore.writeConfiguration(target, wanted, nowMs, known);
-      kit.configuration.offer(record);
-      pollUntilActive(record, kit.clock.monotonicMs());
-      kit.log('info', 'configurationWritten', {
+      ctx.configuration.offer(record);
+      pollUntilActive(record, ctx.clock.monotonicMs());
+      ctx.log('info', 'configurationWritten', {
         version: record.version,
         author: record.author,
         writeId: record.writeId,
@@ -142,7 +142,7 @@
     },
     previewConfiguration: async (baseVersion, document) => {
       configurationChecks.assertDocument(document);
-      const before = kit.configuration.current()?.document;
+      const before = ctx.configuration.current()?.document;
       const changes = configurationDifference.compareDocuments(before, document);
       return { baseVersion, changes, effects: await effectsOf(document) };
     },
--- a/src/programs/configurationLinks.ts
+++ b/src/programs/configurationLinks.ts
@@ -10,35 +10,35 @@
 import type * as processKit from './processKit.js';
 
 /**
- * @param kit - shared services of the process
+ * @param ctx - shared services of the process
  * @param target - the store
  * @param live - watch of the live prefix
  * @param peerUrls - peers named in the settings
  * @returns the running configuration sync, owned by the process
  */
 export const startSync = (
-  kit: processKit.ProcessKit,
+  ctx: processKit.ProcessKit,
   target: store.Store,
   live: liveWatch.LiveWatch,
   peerUrls: readonly string[] = [],
 ): configurationSync.ConfigurationSync => {
-  const sync = kit.owned.add(
+  const sync = ctx.owned.add(
     configurationSync.startConfigurationSync({
-      holder: kit.configuration,
+      holder: ctx.configuration,
       store: target,
       live,
-      clock: kit.clock,
-      log: kit.log,
-      metrics: kit.metrics,
+      clock: ctx.clock,
+      log: ctx.log,
+      metrics: ctx.metrics,
       settingsPeerUrls: peerUrls,
       // Entries, schedulers and agents implement this call alike.
       fetch: async (url) => {
-        const { record } = await kit.clients.entry(url).configuration({ from: kit.sender() });
+        const { record } = await ctx.clients.entry(url).configuration({ from: ctx.sender() });
         return record;
       },
     }),
   );
-  kit.owned.add(kit.onDidHearVersion(({ version, url }) => sync.noteVersion(version, url)));
+  ctx.owned.add(ctx.onDidHearVersion(({ version, url }) => sync.noteVersion(version, url)));
   return sync;
 };
 
--- a/src/programs/entry.ts
+++ b/src/programs/entry.ts
@@ -48,7 +48,7 @@
 const DEFAULT_DEADLINE_MS = 30_000;
 
 const createService = (
-  kit: processKit.ProcessKit,
+  ctx: processKit.ProcessKit,
   directory: agentDirectory.AgentDirectory,
   live: liveWatch.LiveWatch,
   region: string,
@@ -67,33 +67,33 @@
         upstream: request.upstream,
         configVersion: request.from.configVersion,
       },
-      kit.clock.monotonicMs(),
+      ctx.clock.monotonicMs(),
     );
     const leader = liveEntries.leaderOf(live.entries(), request.zone);
     const entries = liveEntries.processesOf(live.entries(), 'entry');
     return Promise.resolve({
-      from: kit.sender(),
+      from: ctx.sender(),
       entryUrls: entries.filter((it) => it.region === region).map((it) => it.url),
       ...(leader === undefined ? {} : { leader: { url: leader.url, epoch: leader.epoch } }),
       nextAfterMs: registerMs,
     });
   },
   configuration: () => {
-    const record = kit.configuration.current();
-    return Promise.resolve({ from: kit.sender(), ...(record === undefined ? {} : { record }) });
+    const record = ctx.configuration.current();
+    return Promise.resolve({ from: ctx.sender(), ...(record === undefined ? {} : { record }) });
   },
   directory: ({ maxAgents }) => {
-    const nowMs = kit.clock.monotonicMs();
+    const nowMs = ctx.clock.monotonicMs();
     const agents = entryDirectory.describeAgents(directory, region, maxAgents, nowMs);
-    return Promise.resolve({ from: kit.sender(), agents });
+    return Promise.resolve({ from: ctx.sender(), agents });
   },
   agents: ({ zone }) => {
     const entries = directory.entries().filter((it) => it.zone === zone);
-    return Promise.resolve({ from: kit.sender(), agentUrls: entries.map((it) => it.url) });
+    return Promise.resolve({ from: ctx.sender(), agentUrls: entries.map((it) => it.url) });
   },
-  version: () => Promise.resolve({ from: kit.sender() }),
+  version: () => Promise.resolve({ from: ctx.sender() }),
   overview: () =>
-    Promise.resolve({ from: kit.sender(), agents: operatorViews.agentViews(directory) }),
+    Promise.resolve({ from: ctx.sender(), agents: operatorViews.agentViews(directory) }),
 });
 
 /**
@@ -101,60 +101,60 @@
  * @returns the running entry
  */
 export const startEntry = async (settings: settingsSchema.EntrySettings): Promise<EntryProgram> => {
-  const kit = processKit.createProcessKit('entry', settings);
-  const { store, live } = storeLinks.connectStore(kit, settings);
+  const ctx = processKit.createProcessKit('entry', settings);
+  const { store, live } = storeLinks.connectStore(ctx, settings);
   let isLeaving = false;
   let isRefusing = false;
-  const sync = configurationLinks.startSync(kit, store, live, settings.peerUrls);
+  const sync = configurationLinks.startSync(ctx, store, live, settings.peerUrls);
   const registerMs = settings.registerMs ?? agentDirectory.REGISTER_MS;
   const directory = agentDirectory.createAgentDirectory(registerMs);
   const agentDiscovery = entryDirectory.createEntryDirectory({
-    kit,
+    ctx,
     region: settings.region,
     directory,
     entries: () => liveEntries.processesOf(live.entries(), 'entry'),
   });
   let hasStartedDiscovery = false;
-  kit.owned.add(
+  ctx.owned.add(
     live.onDidChange(() => {
       if (hasStartedDiscovery) return;
       hasStartedDiscovery = true;
       void agentDiscovery.takeOver();
     }),
   );
-  const presence = kit.owned.add(
+  const presence = ctx.owned.add(
     entryPresence.createPresenceHolder({
-      clock: kit.clock,
-      version: kit.configuration.version,
+      clock: ctx.clock,
+      version: ctx.configuration.version,
       onDidHear: ({ agentUrl, configVersion }) => directory.recordVersion(agentUrl, configVersion),
     }),
   );
-  kit.owned.add(kit.configuration.onDidChange(presence.release));
+  ctx.owned.add(ctx.configuration.onDidChange(presence.release));
   const router = requestRouter.createRequestRouter({
     zone: settings.zone,
     region: settings.region,
-    clock: kit.clock,
-    random: kit.random,
-    metrics: kit.metrics,
+    clock: ctx.clock,
+    random: ctx.random,
+    metrics: ctx.metrics,
     directory,
-    newId: kit.newId,
-    call: kit.http.call,
-    sender: kit.sender,
-    policy: () => kit.configuration.current()?.document.routing,
-    peerSecretHeaders: kit.peerHeaders,
+    newId: ctx.newId,
+    call: ctx.http.call,
+    sender: ctx.sender,
+    policy: () => ctx.configuration.current()?.document.routing,
+    peerSecretHeaders: ctx.peerHeaders,
     onRegionSaturated: agentDiscovery.learnRemote,
-    claims: requestClaims.createRequestClaims(store, kit.clock),
+    claims: requestClaims.createRequestClaims(store, ctx.clock),
   });
   const health: healthApi.HealthOptions = {
-    metrics: kit.metrics,
+    metrics: ctx.metrics,
     notReadyReason: () => {
       if (isLeaving) return 'leaving';
-      return kit.configuration.current() === undefined ? 'no configuration yet' : undefined;
+      return ctx.configuration.current() === undefined ? 'no configuration yet' : undefined;
     },
     warnings: sync.warnings,
   };
-  const gateways = entryGateways.createGateways({ kit, store, live, sync, directory });
-  const levels = serviceLevels.keepServiceLevels(kit, store);
+  const gateways = entryGateways.createGateways({ ctx, store, live, sync, directory });
+  const levels = serviceLevels.keepServiceLevels(ctx, store);
   const callers = await httpServer.listen(
     {
       ...settings.callers,
@@ -168,12 +168,12 @@
           router,
           jobs: gateways.jobs,
           defaultDeadlineMs: () =>
-            kit.configuration.current()?.document.routing.defaultDeadlineMs ?? DEFAULT_DEADLINE_MS,
+            ctx.configuration.current()?.document.routing.defaultDeadlineMs ?? DEFAULT_DEADLINE_MS,
           isKnownCustomer: (customerId) =>
-            kit.configuration
+            ctx.configuration
               .current()
               ?.document.customers.some((it) => it.customerId === customerId) ?? false,
-          newId: kit.newId,
+          newId: ctx.newId,
           maxOpenRequests: settings.maxOpenRequests,
           isDraining: () => isRefusing,
         }),
@@ -186,18 +186,18 @@
   const api = operatorApi.createOperatorApi(
     [
       ...operatorApi.createApiRoutes(gateways.operators),
-      ...operatorExtras.createExtraRoutes(kit, store, gateways.jobs),
+      ...operatorExtras.createExtraRoutes(ctx, store, gateways.jobs),
     ],
     authenticate,
   );
   const pages = consoleApp.createConsole({
     gateway: gateways.operators,
-    serviceLevels: operatorExtras.createLevelReport(kit, store),
-    newId: kit.newId,
+    serviceLevels: operatorExtras.createLevelReport(ctx, store),
+    newId: ctx.newId,
     authenticate,
     sessions: session.createSessions({
       peerSecret: settings.peerSecret,
-      nowMs: kit.clock.wallMs,
+      nowMs: ctx.clock.wallMs,
       operators: settings.operatorTokens,
     }),
   });
@@ -221,7 +221,7 @@
     rpcServer.createRpcListener(
       entryRouter.createEntryRouter(
         configurationLinks.withVersions(
-          createService(kit, directory, live, settings.region, registerMs),
+          createService(ctx, directory, live, settings.region, registerMs),
           sync,
           [],
         ),
@@ -230,12 +230,12 @@
       httpServer.toListener(notFound, rpcServer.MAX_RPC_BYTES),
     ),
   );
-  [callers, operators, peers].forEach((it) => kit.owned.add(it));
+  [callers, operators, peers].forEach((it) => ctx.owned.add(it));
   const peersUrl = http.formatAddress(peers.address);
-  kit.owned.add(
+  ctx.owned.add(
     processPresence.announce({
       store,
-      clock: kit.clock,
+      clock: ctx.clock,
       ttlMs: settings.leaseMs,
       record: {
         processId: settings.processId,
@@ -248,26 +248,26 @@
   );
   const callersUrl = http.formatAddress(callers.address);
   const operatorsUrl = http.formatAddress(operators.address);
-  kit.log('info', 'started', { url: peersUrl, callersUrl, operatorsUrl, zone: settings.zone });
+  ctx.log('info', 'started', { url: peersUrl, callersUrl, operatorsUrl, zone: settings.zone });
   return {
     peersUrl,
     callersUrl,
     operatorsUrl,
     shutdown: async () => {
       isLeaving = true;
-      kit.log('info', 'draining', { open: callers.openRequests() });
+      ctx.log('info', 'draining', { open: callers.openRequests() });
       // The balancer detects with a delay that the entry is not ready; until then requests are accepted
       // as before, and each response asks the caller to use another connection.
       callers.discourage();
       const notReadyMs = settings.drainMs * NOT_READY_SHARE;
-      await clock.sleep(kit.clock, notReadyMs);
+      await clock.sleep(ctx.clock, notReadyMs);
       isRefusing = true;
       await presence.dispose();
       const leftMs = settings.drainMs - notReadyMs;
       await Promise.all([callers.drain(leftMs), operators.drain(leftMs), peers.drain(leftMs)]);
       await levels.flush();
-      await kit.owned.dispose();
+      await ctx.owned.dispose();
     },
-    dispose: kit.owned.dispose,
+    dispose: ctx.owned.dispose,
   };
 };
--- a/src/programs/entryDirectory.ts
+++ b/src/programs/entryDirectory.ts
@@ -16,7 +16,7 @@
 
 /** Dependencies of the discovery. */
 export interface EntryDirectoryOptions {
-  readonly kit: processKit.ProcessKit;
+  readonly ctx: processKit.ProcessKit;
   readonly region: string;
   readonly directory: agentDirectory.AgentDirectory;
   /** Live entries of all regions. */
@@ -72,19 +72,19 @@
  * @returns the discovery
  */
 export const createEntryDirectory = (options: EntryDirectoryOptions): EntryDirectory => {
-  const { kit, region, directory } = options;
+  const { ctx, region, directory } = options;
   const discoveredAtMs = new Map<string, number>();
   const askOne = async (url: string, maxAgents: number): Promise<boolean> => {
     try {
-      const { agents } = await kit.clients.entry(url).directory({ from: kit.sender(), maxAgents });
-      const nowMs = kit.clock.monotonicMs();
+      const { agents } = await ctx.clients.entry(url).directory({ from: ctx.sender(), maxAgents });
+      const nowMs = ctx.clock.monotonicMs();
       agents
         .filter((it) => directory.bootOf(it.url, nowMs)?.bootId !== it.bootId)
         .forEach((it) => directory.register({ ...it, isLeaving: false, configVersion: 0 }, nowMs));
-      kit.metrics.count('auburnlift_agents_learned_total', {}, agents.length);
+      ctx.metrics.count('auburnlift_agents_learned_total', {}, agents.length);
       return true;
     } catch (thrown) {
-      kit.log('debug', 'agentsNotLearned', { url, reason: errors.normalize(thrown).message });
+      ctx.log('debug', 'agentsNotLearned', { url, reason: errors.normalize(thrown).message });
       return false;
     }
   };
@@ -92,7 +92,7 @@
     for (const url of urls) if (await askOne(url, maxAgents)) return;
   };
   const discoverIn = (other: string): void => {
-    const nowMs = kit.clock.monotonicMs();
+    const nowMs = ctx.clock.monotonicMs();
     if (nowMs - (discoveredAtMs.get(other) ?? -Infinity) < REDISCOVER_MS) return;
     discoveredAtMs.set(other, nowMs);
     const urls = options.entries().filter((it) => it.region === other);
@@ -103,7 +103,7 @@
   };
   return {
     takeOver: () => {
-      const { processId } = kit.sender();
+      const { processId } = ctx.sender();
       const peers = options.entries().filter((it) => it.region === region);
       const urls = peers.filter((it) => it.processId !== processId).map((it) => it.url);
       return askAny(urls, ALL_AGENTS);
--- a/src/programs/entryGateways.ts
+++ b/src/programs/entryGateways.ts
@@ -30,7 +30,7 @@
 
 /** Dependencies of the gateways. */
 export interface GatewayOptions {
-  readonly kit: processKit.ProcessKit;
+  readonly ctx: processKit.ProcessKit;
   readonly store: store.Store;
   readonly live: liveWatch.LiveWatch;
   readonly sync: configurationSync.ConfigurationSync;
@@ -42,9 +42,9 @@
  * @returns the gateways
  */
 export const createGateways = (options: GatewayOptions): Gateways => {
-  const { kit, store: target, live, sync } = options;
+  const { ctx, store: target, live, sync } = options;
   const document = (): configuration.ConfigurationDocument => {
-    const current = kit.configuration.current();
+    const current = ctx.configuration.current();
     if (current !== undefined) return current.document;
     throw errors.fail('storeUnavailable', 'no configuration is in force yet; nothing ran', {
       retryAfterMs: RETRY_MS,
@@ -55,7 +55,7 @@
       throw errors.fail('notFound', `no cell ${cell}; nothing ran`, { field: 'cell' });
     }
     const record = liveEntries.leaderOf(live.entries(), cell);
-    if (record !== undefined) return kit.clients.scheduler(record.url);
+    if (record !== undefined) return ctx.clients.scheduler(record.url);
     throw errors.fail('notLeader', `cell ${cell} has no leader now; nothing ran`, {
       retryAfterMs: RETRY_MS,
     });
@@ -64,18 +64,18 @@
     submit: async (spec) => {
       const refused = jobAdmission.checkSpec(spec, document());
       if (refused !== undefined) throw refused;
-      return (await leader(spec.cell).submit({ from: kit.sender(), spec })).job;
+      return (await leader(spec.cell).submit({ from: ctx.sender(), spec })).job;
     },
-    show: async (cell, jobId) => (await leader(cell).show({ from: kit.sender(), cell, jobId })).job,
+    show: async (cell, jobId) => (await leader(cell).show({ from: ctx.sender(), cell, jobId })).job,
     cancel: async (cell, jobIds) =>
-      (await leader(cell).cancel({ from: kit.sender(), cell, jobIds: [...jobIds] })).jobs,
+      (await leader(cell).cancel({ from: ctx.sender(), cell, jobIds: [...jobIds] })).jobs,
   };
   const views = operatorViews.createOperatorViews({
-    kit,
+    ctx,
     live,
     directory: options.directory,
     // Before the first configuration no cells are known.
-    cells: () => kit.configuration.current()?.document.cells.map((it) => it.cell) ?? [],
+    cells: () => ctx.configuration.current()?.document.cells.map((it) => it.cell) ?? [],
     leader,
   });
   const drainUpstream = async (
@@ -88,13 +88,13 @@
         field: 'upstream',
       });
     }
-    const request = { from: kit.sender(), isDraining };
-    const { upstream } = await kit.clients.agent(agent.url).drain(request);
+    const request = { from: ctx.sender(), isDraining };
+    const { upstream } = await ctx.clients.agent(agent.url).drain(request);
     if (upstream !== undefined) return operatorViews.toUpstreamSummary(agent, upstream);
     throw errors.fail('notFound', `upstream ${upstreamId} has gone`, { field: 'upstream' });
   };
   const operators: operatorGateway.OperatorGateway = {
-    ...configurationGateway.createConfigurationGateway({ kit, store: target, sync, views }),
+    ...configurationGateway.createConfigurationGateway({ ctx, store: target, sync, views }),
     cells: () =>
       Promise.resolve(
         document().cells.map(({ cell, region }) => {
@@ -104,9 +104,9 @@
           return { cell, region, leaderId, epoch, isLed };
         }),
       ),
-    cell: (cell) => leader(cell).cell({ from: kit.sender(), cell }),
+    cell: (cell) => leader(cell).cell({ from: ctx.sender(), cell }),
     quarantine: (cell, workerId, isQuarantined, reason) =>
-      leader(cell).quarantine({ from: kit.sender(), cell, workerId, isQuarantined, reason }),
+      leader(cell).quarantine({ from: ctx.sender(), cell, workerId, isQuarantined, reason }),
     jobs: views.jobs,
     upstreams: async () =>
       (await views.agents()).flatMap((it) =>
--- a/src/programs/operatorExtras.ts
+++ b/src/programs/operatorExtras.ts
@@ -28,42 +28,42 @@
 };
 
 /**
- * @param kit - shared services of the process
+ * @param ctx - shared services of the process
  * @param target - the store
  * @returns a function that reports on the active objectives
  */
 export const createLevelReport = (
-  kit: processKit.ProcessKit,
+  ctx: processKit.ProcessKit,
   target: store.Store,
 ): (() => Promise<serviceLevelReport.ServiceLevelReport>) => {
   const readLevels = serviceLevelRecorder.createServiceLevelReader(target);
   return async () => {
-    const record = kit.configuration.current();
+    const record = ctx.configuration.current();
     if (record === undefined) {
       throw errors.fail('storeUnavailable', 'no configuration is in force yet');
     }
-    const nowMs = kit.clock.wallMs();
+    const nowMs = ctx.clock.wallMs();
     return serviceLevelReport.createReport(record, await readLevels(nowMs), nowMs);
   };
 };
 
 /**
- * @param kit - shared services of the process
+ * @param ctx - shared services of the process
  * @param target - the store
  * @param jobs - the entry's gateway to jobs
  * @returns the routes
  */
 export const createExtraRoutes = (
-  kit: processKit.ProcessKit,
+  ctx: processKit.ProcessKit,
   target: store.Store,
   jobs: callerApi.JobGateway,
 ): readonly operatorRoutes.Route[] => [
   ...operatorJobsApi.createJobRoutes({
     jobs,
-    archived: (cell, jobId) => jobArchive.findArchivedJob(target, cell, jobId, kit.clock.wallMs()),
+    archived: (cell, jobId) => jobArchive.findArchivedJob(target, cell, jobId, ctx.clock.wallMs()),
   }),
   ...operatorLedgerApi.createLedgerRoutes({
     ledgerDays: (cell) => readDays(target, cell),
-    serviceLevels: createLevelReport(kit, target),
+    serviceLevels: createLevelReport(ctx, target),
   }),
 ];
--- a/src/programs/operatorViews.ts
+++ b/src/programs/operatorViews.ts
@@ -13,7 +13,7 @@
 
 /** Dependencies of the views. */
 export interface OperatorViewOptions {
-  readonly kit: processKit.ProcessKit;
+  readonly ctx: processKit.ProcessKit;
   readonly live: liveWatch.LiveWatch;
   readonly directory: agentDirectory.AgentDirectory;
   readonly cells: () => readonly string[];
@@ -65,18 +65,18 @@
  * @returns views that query the other processes on each call
  */
 export const createOperatorViews = (options: OperatorViewOptions): OperatorViews => {
-  const { kit, live } = options;
+  const { ctx, live } = options;
   const agents = async (): Promise<readonly operatorMessages.AgentStatus[]> => {
     const entries = liveEntries.processesOf(live.entries(), 'entry');
     const own = agentViews(options.directory);
     const others = await Promise.all(
       entries
-        .filter((it) => it.processId !== kit.sender().processId)
+        .filter((it) => it.processId !== ctx.sender().processId)
         .map((it) =>
           orFallback(
-            kit.clients
+            ctx.clients
               .entry(it.url)
-              .overview({ from: kit.sender() })
+              .overview({ from: ctx.sender() })
               .then((reply) => reply.agents),
             [],
           ),
@@ -97,7 +97,7 @@
     );
     const asked = processes.map(async ({ processId, role, zone, url }) => {
       const reply = await orFallback(
-        kit.clients.entry(url).version({ from: kit.sender() }),
+        ctx.clients.entry(url).version({ from: ctx.sender() }),
         undefined,
       );
       return { processId, role, zone, version: reply?.from.configVersion };
@@ -114,7 +114,7 @@
     const lists = await Promise.all(
       options.cells().map(async (cell) => {
         const ask = async (): Promise<readonly job.JobRecord[]> =>
-          (await options.leader(cell).cell({ from: kit.sender(), cell })).jobs;
+          (await options.leader(cell).cell({ from: ctx.sender(), cell })).jobs;
         return {
           cell,
           jobs: await orFallback<readonly job.JobRecord[] | undefined>(ask(), undefined),
--- a/src/programs/poolAgent.ts
+++ b/src/programs/poolAgent.ts
@@ -18,11 +18,11 @@
 const MAX_WORKER_CONNECTIONS = 16;
 
 /**
- * @param kit - shared services of the program
+ * @param ctx - shared services of the program
  * @returns the running agent
  */
-export const startPoolAgent = async (kit: poolKit.PoolKit): Promise<poolKit.PoolProgram> => {
-  const settings = kit.settings();
+export const startPoolAgent = async (ctx: poolKit.PoolKit): Promise<poolKit.PoolProgram> => {
+  const settings = ctx.settings();
   const { worker, heartbeats } = settings;
   if (worker === undefined || heartbeats === undefined) {
     throw errors.fail(
@@ -33,26 +33,26 @@
       },
     );
   }
-  const agent = kit.owned.add(
+  const agent = ctx.owned.add(
     poolAgent.createPoolAgent({
       worker: workerClient.createWorkerClient({
-        address: () => kit.settings().worker ?? worker,
-        call: kit.call,
-        metrics: kit.metrics,
+        address: () => ctx.settings().worker ?? worker,
+        call: ctx.call,
+        metrics: ctx.metrics,
       }),
-      clock: kit.clock,
-      log: kit.log,
-      metrics: kit.metrics,
-      bootId: kit.newId(),
+      clock: ctx.clock,
+      log: ctx.log,
+      metrics: ctx.metrics,
+      bootId: ctx.newId(),
     }),
   );
   const router = poolRouters.createPoolAgentRouter({
-    sync: async ({ sync }) => ({ from: kit.sender(), news: await agent.sync(sync) }),
-    order: async ({ order }) => ({ from: kit.sender(), reply: await agent.order(order) }),
+    sync: async ({ sync }) => ({ from: ctx.sender(), news: await agent.sync(sync) }),
+    order: async ({ order }) => ({ from: ctx.sender(), reply: await agent.order(order) }),
   });
-  const server = await poolKit.listenForPeers(kit, router, () => undefined);
-  const api = heartbeatApi.createHeartbeatApi({ agent, log: kit.log, metrics: kit.metrics });
-  kit.owned.add(
+  const server = await poolKit.listenForPeers(ctx, router, () => undefined);
+  const api = heartbeatApi.createHeartbeatApi({ agent, log: ctx.log, metrics: ctx.metrics });
+  ctx.owned.add(
     await httpServer.listen(
       {
         ...heartbeats,
@@ -63,11 +63,11 @@
     ),
   );
   const url = http.formatAddress(server.address);
-  const presence = poolKit.keepPresence(kit, poolKeys.agentKey(settings.nodeId), url);
+  const presence = poolKit.keepPresence(ctx, poolKeys.agentKey(settings.nodeId), url);
   return {
     shutdown: async () => {
       await presence.dispose();
-      await kit.owned.dispose();
+      await ctx.owned.dispose();
     },
   };
 };
--- a/src/programs/poolEntry.ts
+++ b/src/programs/poolEntry.ts
@@ -42,43 +42,43 @@
 const EXIT_SLACK_MS = 700;
 
 /**
- * @param kit - shared services of the program
+ * @param ctx - shared services of the program
  * @returns the running entry
  */
-export const startPoolEntry = async (kit: poolKit.PoolKit): Promise<poolKit.PoolProgram> => {
-  const settings = kit.settings();
+export const startPoolEntry = async (ctx: poolKit.PoolKit): Promise<poolKit.PoolProgram> => {
+  const settings = ctx.settings();
   let isLeaving = false;
-  const feed = kit.owned.add(
+  const feed = ctx.owned.add(
     poolConfigurationFeed.startConfigurationFeed({
-      store: kit.store,
-      clock: kit.clock,
-      log: kit.log,
+      store: ctx.store,
+      clock: ctx.clock,
+      log: ctx.log,
       key: operatorConfiguration.CONFIGURATION_KEY,
       decode: operatorConfiguration.decodeConfiguration,
     }),
   );
   const clients = rpcClient.createRpcClients({
-    call: kit.call,
+    call: ctx.call,
     timeoutMs: LEADER_TIMEOUT_MS,
     peerSecret: poolKit.PEER_SECRET,
   });
   const counts = pendingCounts.createPendingCounts({
-    store: kit.store,
-    clock: kit.clock,
-    log: kit.log,
+    store: ctx.store,
+    clock: ctx.clock,
+    log: ctx.log,
     askLeader: async (url) => {
-      const answer = await clients.poolScheduler(url).pending({ from: kit.sender() });
+      const answer = await clients.poolScheduler(url).pending({ from: ctx.sender() });
       return answer.pendingByQueue;
     },
   });
   const jobRequests = jobRequestHandler.createJobRequestHandler({
-    store: kit.store,
-    clock: kit.clock,
-    log: kit.log,
-    metrics: kit.metrics,
+    store: ctx.store,
+    clock: ctx.clock,
+    log: ctx.log,
+    metrics: ctx.metrics,
     feed,
     configurationKey: operatorConfiguration.CONFIGURATION_KEY,
-    storeAgeMs: kit.storeAgeMs,
+    storeAgeMs: ctx.storeAgeMs,
     revokeMs: settings.maxRevocationMs,
   });
   const api = jobApi.createJobApi({
@@ -86,32 +86,32 @@
     pending: counts.ofQueue,
     maxBodyBytes: () => feed.current()?.configuration.maxBodyBytes ?? MAX_BODY_BYTES,
     shouldCloseConnections: () => notReadyReason() !== undefined,
-    onDidStore: schedulerNews.createSchedulerNews(kit),
-    newRequestId: () => kit.newId().slice(0, 8),
-    nowMs: kit.clock.monotonicMs,
-    log: kit.log,
-    metrics: kit.metrics,
+    onDidStore: schedulerNews.createSchedulerNews(ctx),
+    newRequestId: () => ctx.newId().slice(0, 8),
+    nowMs: ctx.clock.monotonicMs,
+    log: ctx.log,
+    metrics: ctx.metrics,
   });
   const share = configurationShare.shareConfiguration({
     feed,
-    clock: kit.clock,
-    storeAgeMs: kit.storeAgeMs,
+    clock: ctx.clock,
+    storeAgeMs: ctx.storeAgeMs,
   });
   const router = poolRouters.createPoolEntryRouter({
     configuration: async ({ afterRevision, waitMs }) => ({
-      from: kit.sender(),
+      from: ctx.sender(),
       ...(await share(afterRevision, waitMs)),
     }),
     relay: async (message) => ({
-      from: kit.sender(),
-      ...(await relayRpc.serveRelay(message, kit.settings().store, kit.serveStore)),
+      from: ctx.sender(),
+      ...(await relayRpc.serveRelay(message, ctx.settings().store, ctx.serveStore)),
     }),
   });
   const notReadyReason = (): string | undefined => {
     if (isLeaving) return 'leaving';
     if (feed.current() === undefined) return 'no configuration yet';
     if (!jobRequests.canCheckCredentials()) return 'the configuration is not proved';
-    return kit.storeAgeMs() > READY_AGE_MS ? 'the store is out of reach' : undefined;
+    return ctx.storeAgeMs() > READY_AGE_MS ? 'the store is out of reach' : undefined;
   };
   const readiness: httpServer.Handler = () => {
     const reason = notReadyReason();
@@ -136,19 +136,19 @@
     { ...settings.readiness, ...limits },
     httpServer.toListener(readiness, MAX_BODY_BYTES),
   );
-  kit.owned.add(front);
-  kit.owned.add(ready);
-  const server = await poolKit.listenForPeers(kit, router, notReadyReason);
+  ctx.owned.add(front);
+  ctx.owned.add(ready);
+  const server = await poolKit.listenForPeers(ctx, router, notReadyReason);
   const key = poolKeys.peerKey(poolKeys.PeerRole.entry, settings.nodeId);
-  const presence = poolKit.keepPresence(kit, key, http.formatAddress(server.address));
+  const presence = poolKit.keepPresence(ctx, key, http.formatAddress(server.address));
   return {
     shutdown: async () => {
       isLeaving = true;
       front.discourage();
       // In parallel to the wait: an unreachable store must not use up the time for the last responses.
-      await Promise.all([presence.dispose(), clock.sleep(kit.clock, BALANCER_DELAY_MS)]);
+      await Promise.all([presence.dispose(), clock.sleep(ctx.clock, BALANCER_DELAY_MS)]);
       await front.drain(settings.graceMs - BALANCER_DELAY_MS - EXIT_SLACK_MS);
-      await kit.owned.dispose();
+      await ctx.owned.dispose();
     },
   };
 };
--- a/src/programs/poolKit.ts
+++ b/src/programs/poolKit.ts
@@ -173,47 +173,47 @@
 const PRESENCE_LEASE_MS = 6000;
 
 /**
- * @param kit - shared services of the program
+ * @param ctx - shared services of the program
  * @param key - key of the process's record
  * @param url - its address for other processes
  * @returns the leased record that publishes the address, renewed until it is disposed
  */
-export const keepPresence = (kit: PoolKit, key: string, url: string): disposable.Disposable =>
+export const keepPresence = (ctx: PoolKit, key: string, url: string): disposable.Disposable =>
   leasedRecord.maintainLeasedRecord({
-    store: kit.store,
-    clock: kit.clock,
-    log: kit.log,
+    store: ctx.store,
+    clock: ctx.clock,
+    log: ctx.log,
     key,
     value: addressRecord.formatAddressRecord(url),
-    leaseMs: Math.max(PRESENCE_LEASE_MS, kit.settings().minStoreLeaseMs),
+    leaseMs: Math.max(PRESENCE_LEASE_MS, ctx.settings().minStoreLeaseMs),
   });
 
 /**
  * Serves the other processes of the system, and health and metrics at the same address.
  *
- * @param kit - shared services of the program
+ * @param ctx - shared services of the program
  * @param router - calls offered to other processes; undefined if there are none
  * @param notReadyReason - why the process should get no traffic now
  * @returns the server
  */
 export const listenForPeers = async (
-  kit: PoolKit,
+  ctx: PoolKit,
   router: Parameters<typeof rpcServer.createRpcListener>[0] | undefined,
   notReadyReason: () => string | undefined,
 ): Promise<httpServer.HttpServer> => {
   const local: httpServer.Handler = (request) => {
-    const answer = healthApi.answerHealth({ metrics: kit.metrics, notReadyReason }, request);
+    const answer = healthApi.answerHealth({ metrics: ctx.metrics, notReadyReason }, request);
     if (answer !== undefined) return Promise.resolve(answer);
     throw errors.fail('notFound', `no page ${request.path}`, { field: 'path' });
   };
   const listener = httpServer.toListener(local, rpcServer.MAX_RPC_BYTES);
   const server = await httpServer.listen(
     {
-      ...kit.settings().peers,
+      ...ctx.settings().peers,
       maxBodyBytes: rpcServer.MAX_RPC_BYTES,
       maxConnections: MAX_PEER_CONNECTIONS,
     },
     router === undefined ? listener : rpcServer.createRpcListener(router, PEER_SECRET, listener),
   );
-  return kit.owned.add(server);
+  return ctx.owned.add(server);
 };
--- a/src/programs/poolScheduler.ts
+++ b/src/programs/poolScheduler.ts
@@ -35,18 +35,18 @@
  */
 const LEADER_LEASE_MS = 1500;
 
-const createLink = (kit: poolKit.PoolKit): agentContract.AgentApi => {
+const createLink = (ctx: poolKit.PoolKit): agentContract.AgentApi => {
   const clientsWith = (timeoutMs: number): rpcClient.RpcClients =>
-    rpcClient.createRpcClients({ call: kit.call, timeoutMs, peerSecret: poolKit.PEER_SECRET });
+    rpcClient.createRpcClients({ call: ctx.call, timeoutMs, peerSecret: poolKit.PEER_SECRET });
   const syncClients = clientsWith(SYNC_TIMEOUT_MS);
   const orderClients = clientsWith(ORDER_TIMEOUT_MS);
   return {
     sync: async (url, sync) => {
-      const { news } = await syncClients.poolAgent(url).sync({ from: kit.sender(), sync });
+      const { news } = await syncClients.poolAgent(url).sync({ from: ctx.sender(), sync });
       return news;
     },
     order: async (url, order) => {
-      const { reply } = await orderClients.poolAgent(url).order({ from: kit.sender(), order });
+      const { reply } = await orderClients.poolAgent(url).order({ from: ctx.sender(), order });
       return reply;
     },
   };
@@ -54,12 +54,12 @@
 
 /** Reads the configuration record through the entry on this machine, if there is one. */
 const createConfigurationStore = (
-  kit: poolKit.PoolKit,
+  ctx: poolKit.PoolKit,
 ): Pick<recordStore.RecordStore, 'list' | 'watch'> => {
-  const { ownEntry } = kit.settings();
-  if (ownEntry === undefined) return kit.store;
+  const { ownEntry } = ctx.settings();
+  if (ownEntry === undefined) return ctx.store;
   const clients = rpcClient.createRpcClients({
-    call: kit.call,
+    call: ctx.call,
     timeoutMs: CONFIGURATION_TIMEOUT_MS,
     transfer: platformStore.TRANSFER_LIMITS,
     peerSecret: poolKit.PEER_SECRET,
@@ -67,27 +67,27 @@
   const entry = clients.poolEntry(http.formatAddress(ownEntry));
   return configurationShare.createSharedConfigurationStore({
     ask: (afterRevision, waitMs) =>
-      entry.configuration({ from: kit.sender(), afterRevision, waitMs }),
-    store: kit.store,
+      entry.configuration({ from: ctx.sender(), afterRevision, waitMs }),
+    store: ctx.store,
     key: operatorConfiguration.CONFIGURATION_KEY,
-    log: kit.log,
+    log: ctx.log,
   });
 };
 
 /**
- * @param kit - shared services of the program
+ * @param ctx - shared services of the program
  * @returns the running scheduler
  */
-export const startPoolScheduler = async (kit: poolKit.PoolKit): Promise<poolKit.PoolProgram> => {
-  const settings = kit.settings();
-  const link = createLink(kit);
+export const startPoolScheduler = async (ctx: poolKit.PoolKit): Promise<poolKit.PoolProgram> => {
+  const settings = ctx.settings();
+  const link = createLink(ctx);
   const seenDone = doneRuns.createDoneRuns();
   let leader: poolLeader.PoolLeader | undefined;
-  const feed = kit.owned.add(
+  const feed = ctx.owned.add(
     configurationFeed.startConfigurationFeed({
-      store: createConfigurationStore(kit),
-      clock: kit.clock,
-      log: kit.log,
+      store: createConfigurationStore(ctx),
+      clock: ctx.clock,
+      log: ctx.log,
       key: operatorConfiguration.CONFIGURATION_KEY,
       decode: operatorConfiguration.decodeConfiguration,
     }),
@@ -105,34 +105,34 @@
           'this scheduler does not lead, or does not know the latest jobs; nothing ran',
         );
       }
-      return Promise.resolve({ from: kit.sender(), pendingByQueue });
+      return Promise.resolve({ from: ctx.sender(), pendingByQueue });
     },
     jobChanged: ({ jobId, part }) => {
       void leader?.handleStoredRecord(jobId, part);
-      return Promise.resolve({ from: kit.sender() });
+      return Promise.resolve({ from: ctx.sender() });
     },
   });
-  const server = await poolKit.listenForPeers(kit, router, () => undefined);
+  const server = await poolKit.listenForPeers(ctx, router, () => undefined);
   const url = http.formatAddress(server.address);
   const key = poolKeys.peerKey(poolKeys.PeerRole.scheduler, settings.nodeId);
-  const presence = poolKit.keepPresence(kit, key, url);
-  const leadership: poolLeadership.Leadership = kit.owned.add(
+  const presence = poolKit.keepPresence(ctx, key, url);
+  const leadership: poolLeadership.Leadership = ctx.owned.add(
     poolLeadership.createLeadership({
-      store: kit.store,
-      clock: kit.clock,
-      random: kit.random,
-      log: kit.log,
-      newId: kit.newId,
-      holderId: kit.sender().processId,
+      store: ctx.store,
+      clock: ctx.clock,
+      random: ctx.random,
+      log: ctx.log,
+      newId: ctx.newId,
+      holderId: ctx.sender().processId,
       url,
-      bootId: kit.newId(),
+      bootId: ctx.newId(),
       leaseMs: Math.max(LEADER_LEASE_MS, settings.minStoreLeaseMs),
       onDidGain: (term) => {
         leader = poolLeader.startPoolLeader({
-          store: kit.store,
-          clock: kit.clock,
-          log: kit.log,
-          metrics: kit.metrics,
+          store: ctx.store,
+          clock: ctx.clock,
+          log: ctx.log,
+          metrics: ctx.metrics,
           link,
           term,
           doneRuns: seenDone,
@@ -143,8 +143,8 @@
           },
           configuration: () => feed.current()?.configuration,
           askAdvice: adviceClient.createAdviceClient({
-            address: () => kit.settings().advice,
-            call: kit.call,
+            address: () => ctx.settings().advice,
+            call: ctx.call,
           }),
           onDidConflict: (reason) => leadership.abandon(reason),
         });
@@ -157,7 +157,7 @@
       endTerm();
       await leadership.release();
       await presence.dispose();
-      await kit.owned.dispose();
+      await ctx.owned.dispose();
     },
   };
 };
--- a/src/programs/runPoolMain.ts
+++ b/src/programs/runPoolMain.ts
@@ -16,33 +16,33 @@
 
 const runUntilSignal = async (
   role: bootSettings.PoolProgram,
-  start: (kit: poolKit.PoolKit) => Promise<poolKit.PoolProgram>,
+  start: (ctx: poolKit.PoolKit) => Promise<poolKit.PoolProgram>,
 ): Promise<void> => {
   const path = bootSettings.bootSettingsPath();
   let settings = bootSettings.readBootSettings(path, role);
-  const kit = poolKit.createPoolKit(role, () => settings);
+  const ctx = poolKit.createPoolKit(role, () => settings);
   const stopped = waitForSignal();
-  const program = await start(kit);
+  const program = await start(ctx);
   const watch = settingsWatch.watchSettings({
     path,
     program: role,
-    clock: kit.clock,
-    log: kit.log,
+    clock: ctx.clock,
+    log: ctx.log,
     onDidChange: (changed) => {
       settings = changed;
     },
   });
-  kit.log('info', 'started', {
+  ctx.log('info', 'started', {
     peers: settings.peers.port,
     zone: settings.zone,
     region: settings.region,
     startMs: Math.round(process.uptime() * 1000),
   });
   const signal = await stopped;
-  kit.log('info', 'stopping', { signal });
+  ctx.log('info', 'stopping', { signal });
   void watch.dispose();
   await program.shutdown();
-  kit.log('info', 'stopped', { signal });
+  ctx.log('info', 'stopped', { signal });
 };
 
 /**
@@ -53,7 +53,7 @@
  */
 export const runPoolMain = async (
   role: bootSettings.PoolProgram,
-  start: (kit: poolKit.PoolKit) => Promise<poolKit.PoolProgram>,
+  start: (ctx: poolKit.PoolKit) => Promise<poolKit.PoolProgram>,
 ): Promise<void> => {
   try {
     await runUntilSignal(role, start);
--- a/src/programs/scheduler.ts
+++ b/src/programs/scheduler.ts
@@ -21,7 +21,7 @@
 const MAX_CONNECTIONS = 4096;
 
 const createService = (
-  kit: processKit.ProcessKit,
+  ctx: processKit.ProcessKit,
   claims: cellClaims.CellClaims,
 ): schedulerRouter.SchedulerService => {
   const requireLeader = (cell: string): cellLeader.CellLeader => {
@@ -34,10 +34,10 @@
     return leader;
   };
   const cellReply = (leader: cellLeader.CellLeader): entrySchedulerMessages.CellReply => ({
-    from: kit.sender(),
+    from: ctx.sender(),
     cell: leader.cell,
     epoch: leader.epoch,
-    leaderId: kit.sender().processId,
+    leaderId: ctx.sender().processId,
     workers: [...leader.workers()],
     jobs: [...leader.jobs()],
     warnings: [...leader.warnings()],
@@ -56,29 +56,29 @@
         isLeaving: request.isLeaving,
       });
       const acknowledged = [...answer.acknowledged];
-      return Promise.resolve({ from: kit.sender(), ...answer, acknowledged });
+      return Promise.resolve({ from: ctx.sender(), ...answer, acknowledged });
     },
     submit: async ({ spec }) => ({
-      from: kit.sender(),
+      from: ctx.sender(),
       job: await requireLeader(spec.cell).submit(spec),
     }),
     cancel: async ({ cell, jobIds }) => ({
-      from: kit.sender(),
+      from: ctx.sender(),
       jobs: [...(await requireLeader(cell).cancel(jobIds))],
     }),
     show: ({ cell, jobId }) =>
-      Promise.resolve({ from: kit.sender(), job: requireLeader(cell).show(jobId) }),
+      Promise.resolve({ from: ctx.sender(), job: requireLeader(cell).show(jobId) }),
     cell: ({ cell }) => Promise.resolve(cellReply(requireLeader(cell))),
     quarantine: ({ cell, workerId, isQuarantined, reason }) => {
       const leader = requireLeader(cell);
       leader.quarantine(workerId, isQuarantined, reason);
       return Promise.resolve(cellReply(leader));
     },
-    version: () => Promise.resolve({ from: kit.sender() }),
+    version: () => Promise.resolve({ from: ctx.sender() }),
     configuration: () => {
-      const record = kit.configuration.current();
+      const record = ctx.configuration.current();
       return Promise.resolve({
-        from: kit.sender(),
+        from: ctx.sender(),
         ...(record === undefined ? {} : { record }),
       });
     },
@@ -92,23 +92,23 @@
 export const startScheduler = async (
   settings: settingsSchema.SchedulerSettings,
 ): Promise<processKit.Program> => {
-  const kit = processKit.createProcessKit('scheduler', settings);
-  const { store, live } = storeLinks.connectStore(kit, settings);
+  const ctx = processKit.createProcessKit('scheduler', settings);
+  const { store, live } = storeLinks.connectStore(ctx, settings);
   let isLeaving = false;
-  const sync = configurationLinks.startSync(kit, store, live, settings.peerUrls);
-  const levels = serviceLevels.keepServiceLevels(kit, store);
+  const sync = configurationLinks.startSync(ctx, store, live, settings.peerUrls);
+  const levels = serviceLevels.keepServiceLevels(ctx, store);
   const claims = cellClaims.createCellClaims({
-    kit,
+    ctx,
     settings,
     store,
     live,
     onDidChangeJob: levels.noteJob,
   });
   const health: healthApi.HealthOptions = {
-    metrics: kit.metrics,
+    metrics: ctx.metrics,
     notReadyReason: () => {
       if (isLeaving) return 'leaving';
-      return kit.configuration.current() === undefined ? 'no configuration yet' : undefined;
+      return ctx.configuration.current() === undefined ? 'no configuration yet' : undefined;
     },
     warnings: sync.warnings,
   };
@@ -125,18 +125,18 @@
     },
     rpcServer.createRpcListener(
       schedulerRouter.createSchedulerRouter(
-        configurationLinks.withVersions(createService(kit, claims), sync, ['submit']),
+        configurationLinks.withVersions(createService(ctx, claims), sync, ['submit']),
       ),
       settings.peerSecret,
       httpServer.toListener(local, rpcServer.MAX_RPC_BYTES),
     ),
   );
-  kit.owned.add(server);
+  ctx.owned.add(server);
   const peersUrl = http.formatAddress(server.address);
-  kit.owned.add(
+  ctx.owned.add(
     processPresence.announce({
       store,
-      clock: kit.clock,
+      clock: ctx.clock,
       ttlMs: settings.leaseMs,
       record: {
         processId: settings.processId,
@@ -148,7 +148,7 @@
     }),
   );
   claims.start(peersUrl);
-  kit.log('info', 'started', { url: peersUrl, zone: settings.zone });
+  ctx.log('info', 'started', { url: peersUrl, zone: settings.zone });
   return {
     peersUrl,
     shutdown: async () => {
@@ -156,11 +156,11 @@
       await claims.release();
       await levels.flush();
       await server.drain(settings.drainMs);
-      await kit.owned.dispose();
+      await ctx.owned.dispose();
     },
     dispose: async () => {
       await claims.abandon();
-      await kit.owned.dispose();
+      await ctx.owned.dispose();
     },
   };
 };
--- a/src/programs/schedulerNews.ts
+++ b/src/programs/schedulerNews.ts
@@ -14,26 +14,26 @@
 const NOTIFY_TIMEOUT_MS = 500;
 
 /**
- * @param kit - shared services of the program
+ * @param ctx - shared services of the program
  * @returns notifies all schedulers, since an entry does not know the leader; does not wait for responses
  */
 export const createSchedulerNews = (
-  kit: poolKit.PoolKit,
+  ctx: poolKit.PoolKit,
 ): ((jobId: string, part: poolKeys.JobPart) => void) => {
   const clients = rpcClient.createRpcClients({
-    call: kit.call,
+    call: ctx.call,
     timeoutMs: NOTIFY_TIMEOUT_MS,
     peerSecret: poolKit.PEER_SECRET,
   });
   const notify = async (url: string, jobId: string, part: poolKeys.JobPart): Promise<void> => {
     try {
-      await clients.poolScheduler(url).jobChanged({ from: kit.sender(), jobId, part });
+      await clients.poolScheduler(url).jobChanged({ from: ctx.sender(), jobId, part });
     } catch (thrown) {
       const { kind } = errors.normalize(thrown);
-      kit.metrics.count('auburnlift_schedulers_not_told_total', { kind });
+      ctx.metrics.count('auburnlift_schedulers_not_told_total', { kind });
     }
   };
   return (jobId, part) => {
-    for (const url of kit.peerUrls(poolKeys.PeerRole.scheduler)) void notify(url, jobId, part);
+    for (const url of ctx.peerUrls(poolKeys.PeerRole.scheduler)) void notify(url, jobId, part);
   };
 };
--- a/src/programs/serviceLevels.ts
+++ b/src/programs/serviceLevels.ts
@@ -23,31 +23,31 @@
 }
 
 /**
- * @param kit - shared services of the process
+ * @param ctx - shared services of the process
  * @param target - the store
  * @returns the counters, owned by the process
  */
 export const keepServiceLevels = (
-  kit: processKit.ProcessKit,
+  ctx: processKit.ProcessKit,
   target: store.Store,
 ): ServiceLevels => {
-  const recorder = kit.owned.add(
+  const recorder = ctx.owned.add(
     serviceLevelRecorder.createServiceLevelRecorder({
-      writerId: `${kit.sender().processId}.${kit.newId()}`,
+      writerId: `${ctx.sender().processId}.${ctx.newId()}`,
       store: target,
-      clock: kit.clock,
-      log: kit.log,
+      clock: ctx.clock,
+      log: ctx.log,
     }),
   );
   const objectives = (): readonly configuration.Objective[] =>
-    kit.configuration.current()?.document.objectives ?? [];
+    ctx.configuration.current()?.document.objectives ?? [];
   return {
     observeCalls: (handler) =>
-      callObserver.observeCalls(handler, kit.clock, (end) => {
+      callObserver.observeCalls(handler, ctx.clock, (end) => {
         recorder.note(serviceLevelCounters.evaluateRequest(objectives(), end));
       }),
     noteJob: (before, after) => {
-      const nowMs = kit.clock.wallMs();
+      const nowMs = ctx.clock.wallMs();
       recorder.note(serviceLevelCounters.evaluateStart(objectives(), before, after, nowMs));
     },
     flush: async () => {
@@ -55,7 +55,7 @@
         await recorder.flush();
       } catch (thrown) {
         const reason = errors.normalize(thrown).message;
-        kit.log('warn', 'serviceLevelsNotWritten', { reason });
+        ctx.log('warn', 'serviceLevelsNotWritten', { reason });
       }
     },
   };
--- a/src/programs/storeLinks.ts
+++ b/src/programs/storeLinks.ts
@@ -28,22 +28,22 @@
 const RETRY_MS = 500;
 
 /**
- * @param kit - parts of the process
+ * @param ctx - parts of the process
  * @param settings - address and timeout of the store
  * @returns the store and the watch, already running
  */
-export const connectStore = (kit: processKit.ProcessKit, settings: StoreSettings): StoreLinks => {
+export const connectStore = (ctx: processKit.ProcessKit, settings: StoreSettings): StoreLinks => {
   const target = httpStore.createHttpStore({
     url: settings.storeUrl,
     timeoutMs: settings.storeTimeoutMs,
-    call: kit.http.call,
-    metrics: kit.metrics,
+    call: ctx.http.call,
+    metrics: ctx.metrics,
   });
-  const live = kit.owned.add(
+  const live = ctx.owned.add(
     liveWatch.startLiveWatch({
       store: target,
-      clock: kit.clock,
-      log: kit.log,
+      clock: ctx.clock,
+      log: ctx.log,
       watchMs: WATCH_MS,
       listMs: LIST_MS,
       retryMs: RETRY_MS,
