--- a/src/programs/entry.ts
+++ b/src/programs/entry.ts
@@ -108,7 +108,7 @@
   const sync = configurationLinks.startSync(ctx, store, live, settings.peerUrls);
   const registerMs = settings.registerMs ?? agentDirectory.REGISTER_MS;
   const directory = agentDirectory.createAgentDirectory(registerMs);
-  const agentDiscovery = entryDirectory.createEntryDirectory({
+  const discovery = entryDirectory.createEntryDirectory({
     ctx,
     region: settings.region,
     directory,
@@ -119,7 +119,7 @@
     live.onDidChange(() => {
       if (hasStartedDiscovery) return;
       hasStartedDiscovery = true;
-      void agentDiscovery.takeOver();
+      void discovery.takeOver();
     }),
   );
   const presence = ctx.owned.add(
@@ -142,7 +142,7 @@
     sender: ctx.sender,
     policy: () => ctx.configuration.current()?.document.routing,
     peerSecretHeaders: ctx.peerHeaders,
-    onRegionSaturated: agentDiscovery.learnRemote,
+    onRegionSaturated: discovery.learnRemote,
     claims: requestClaims.createRequestClaims(store, ctx.clock),
   });
   const health: healthApi.HealthOptions = {
