--- a/src/programs/cellClaims.ts
+++ b/src/programs/cellClaims.ts
@@ -1,6 +1,6 @@
 /**
- * Which cells a scheduler leads: it claims cells without a leader, its own zone's first, so that the
- * cells spread over the schedulers and any of them can take any cell.
+ * Decides which cells a scheduler leads: it claims cells without a leader, those of its own zone first, so
+ * that cells are distributed over the schedulers and any scheduler can lead any cell.
  */
 import type * as disposable from '../base/common/disposable.js';
 import * as errors from '../base/common/errors.js';
@@ -15,9 +15,9 @@
 
 import type * as processKit from './processKit.js';
 
-/** What claiming needs. */
+/** Dependencies of the claims. */
 export interface CellClaimsOptions {
-  readonly kit: processKit.ProcessKit;
+  readonly ctx: processKit.ProcessKit;
   readonly settings: settingsSchema.SchedulerSettings;
   readonly store: store.Store;
   readonly live: liveWatch.LiveWatch;
@@ -29,9 +29,9 @@
 export interface CellClaims {
   readonly start: (url: string) => void;
   readonly leaderOf: (cell: string) => cellLeader.CellLeader | undefined;
-  /** Writes everything and lets other schedulers have the cells. */
+  /** Writes all pending state and releases the cells to other schedulers. */
   readonly release: () => Promise<void>;
-  /** Stops without a word, as a killed process does. */
+  /** Stops without releasing the leases, as a killed process does. */
   readonly abandon: () => Promise<void>;
 }
 
@@ -44,18 +44,18 @@
 /** How often a scheduler looks for cells without a leader. */
 const CLAIM_MS = 500;
 
-/** A cell of another zone is left to that zone's schedulers for this long. */
-const FOREIGN_PATIENCE_MS = 1500;
+/** Delay before a cell of another zone is claimed; its own schedulers come first. */
+const OTHER_ZONE_DELAY_MS = 1500;
 
-/** Each cell already led makes a scheduler wait longer, so that idle ones are first. */
-const LOAD_PATIENCE_MS = 500;
+/** Additional delay for each cell already led, so that idle schedulers claim first. */
+const LED_CELL_DELAY_MS = 500;
 
 /**
- * @param options - what claiming needs
+ * @param options - dependencies of the claims
  * @returns claims that are not started
  */
 export const createCellClaims = (options: CellClaimsOptions): CellClaims => {
-  const { kit, settings, live } = options;
+  const { ctx, settings, live } = options;
   const claims = new Map<string, Claim>();
   const unledSinceMs = new Map<string, number>();
   let url = '';
@@ -66,7 +66,7 @@
     const claim = claims.get(cell);
     if (claim === undefined) return;
     claims.delete(cell);
-    kit.log('warn', 'cellDropped', { cell, epoch: claim.leadership.epoch, why });
+    ctx.log('warn', 'cellDropped', { cell, epoch: claim.leadership.epoch, why });
     await claim.leader.dispose();
     await claim.leadership.lease.dispose();
   };
@@ -75,8 +75,8 @@
     const found = await Promise.all(
       entries.map(async (it) => {
         try {
-          const request = { from: kit.sender(), zone: cell };
-          return (await kit.clients.entry(it.url).agents(request)).agentUrls;
+          const request = { from: ctx.sender(), zone: cell };
+          return (await ctx.clients.entry(it.url).agents(request)).agentUrls;
         } catch {
           return [];
         }
@@ -91,19 +91,19 @@
       epoch,
       isLeaseHeld: won.lease.isHeld,
       store: options.store,
-      jobStore: jobStore.createJobStore({ store: options.store, cell, epoch, newId: kit.newId }),
-      clock: kit.clock,
-      log: kit.log,
-      metrics: kit.metrics,
-      configuration: kit.configuration,
+      jobStore: jobStore.createJobStore({ store: options.store, cell, epoch, newId: ctx.newId }),
+      clock: ctx.clock,
+      log: ctx.log,
+      metrics: ctx.metrics,
+      configuration: ctx.configuration,
       fence: async (agentUrl) => {
-        const request = { from: kit.sender(), cell, epoch, leaderUrl: url };
-        const reply = await kit.clients.agent(agentUrl).fence(request);
+        const request = { from: ctx.sender(), cell, epoch, leaderUrl: url };
+        const reply = await ctx.clients.agent(agentUrl).fence(request);
         return { ...reply, worker: reply.worker };
       },
       sendCommands: async (agentUrl, bootId, commands) => {
-        const request = { from: kit.sender(), cell, epoch, bootId, commands: [...commands] };
-        return kit.clients.agent(agentUrl).command(request);
+        const request = { from: ctx.sender(), cell, epoch, bootId, commands: [...commands] };
+        return ctx.clients.agent(agentUrl).command(request);
       },
       discoverAgents: () => discoverAgents(cell),
       ...(options.onDidChangeJob === undefined ? {} : { onDidChangeJob: options.onDidChangeJob }),
@@ -115,12 +115,12 @@
   const claim = async (cell: string): Promise<void> => {
     const won = await leadership.tryAcquireLeadership({
       store: options.store,
-      clock: kit.clock,
+      clock: ctx.clock,
       cell,
       leaderId: settings.processId,
       url,
       ttlMs: settings.leaseMs,
-      newId: kit.newId,
+      newId: ctx.newId,
     });
     if (won === undefined) return;
     const held: Claim = {
@@ -136,35 +136,35 @@
       await drop(cell, errors.normalize(thrown).message);
     }
   };
-  const patienceMs = (cell: string): number =>
-    (cell === settings.zone ? 0 : FOREIGN_PATIENCE_MS) + claims.size * LOAD_PATIENCE_MS;
+  const claimDelayMs = (cell: string): number =>
+    (cell === settings.zone ? 0 : OTHER_ZONE_DELAY_MS) + claims.size * LED_CELL_DELAY_MS;
   const isDue = (cell: string): boolean => {
     if (claims.has(cell) || liveEntries.isLed(live.entries(), cell)) {
       unledSinceMs.delete(cell);
       return false;
     }
-    const nowMs = kit.clock.monotonicMs();
+    const nowMs = ctx.clock.monotonicMs();
     const sinceMs = unledSinceMs.get(cell) ?? nowMs;
     unledSinceMs.set(cell, sinceMs);
-    return nowMs - sinceMs >= patienceMs(cell);
+    return nowMs - sinceMs >= claimDelayMs(cell);
   };
-  const turn = async (): Promise<void> => {
+  const claimDueCells = async (): Promise<void> => {
     for (const [cell, held] of [...claims]) {
       if (held.leadership.lease.isLost()) await drop(cell, 'its lease lapsed');
     }
-    const cells = kit.configuration.current()?.document.cells ?? [];
+    const cells = ctx.configuration.current()?.document.cells ?? [];
     if (!live.isConnected()) return;
     for (const { cell } of cells) {
       if (!isStopped && isDue(cell)) await claim(cell);
     }
   };
   const loop = (): void => {
-    turn()
+    claimDueCells()
       .catch((thrown: unknown) => {
-        kit.log('warn', 'claimFailed', { reason: errors.normalize(thrown).message });
+        ctx.log('warn', 'claimFailed', { reason: errors.normalize(thrown).message });
       })
       .finally(() => {
-        if (!isStopped) timer = kit.clock.after(CLAIM_MS, loop);
+        if (!isStopped) timer = ctx.clock.after(CLAIM_MS, loop);
       })
       .catch(() => undefined);
   };
--- a/src/programs/poolEntry.ts
+++ b/src/programs/poolEntry.ts
@@ -1,6 +1,6 @@
 /**
- * The entry of pools: takes clients' jobs, cancels them and tells their state. Needs no leader for
- * any of it.
+ * The entry of pools: accepts clients' jobs, cancels them and reports their state. None of this requires
+ * a leader.
  */
 import * as poolConfigurationFeed from '../coordination/node/pool/configurationFeed.js';
 import * as configurationShare from '../coordination/node/pool/configurationShare.js';
@@ -20,98 +20,98 @@
 import * as relayRpc from './relayRpc.js';
 import * as schedulerNews from './schedulerNews.js';
 
-/** Clients' connections; the platform gives a process some four thousand descriptors. */
+/** Limit of clients' connections; the platform allows a process about four thousand descriptors. */
 const MAX_CONNECTIONS = 3000;
 
-/** Above any configured limit, so that the limit itself is answered with a clear error. */
+/** Above any configured limit, so that a body over the configured limit gets a clear error. */
 const MAX_BODY_BYTES = 1_048_576;
 
-/** The leader answers from memory, half a world away at most. */
+/** The leader answers from memory; the time covers a round trip to the other side of the world. */
 const LEADER_TIMEOUT_MS = 700;
 
-/** While the store is silent for longer, the entry asks for no new connections. */
+/** Without a response of the store for longer than this, the entry reports that it is not ready. */
 const READY_AGE_MS = 2000;
 
 /**
- * New connections still come until the balancer has missed two looks a second apart; the entry
- * answers them meanwhile.
+ * New connections arrive until two health checks of the balancer, a second apart, have failed; the entry
+ * still serves them.
  */
-const LEAVE_MS = 2300;
+const BALANCER_DELAY_MS = 2300;
 
-/** Kept of the time before the process is killed, for its last answers. */
+/** Part of the grace period that is reserved for the last responses before the process is killed. */
 const EXIT_SLACK_MS = 700;
 
 /**
- * @param kit - the program's parts
+ * @param ctx - shared services of the program
  * @returns the running entry
  */
-export const startPoolEntry = async (kit: poolKit.PoolKit): Promise<poolKit.PoolProgram> => {
-  const settings = kit.settings();
+export const startPoolEntry = async (ctx: poolKit.PoolKit): Promise<poolKit.PoolProgram> => {
+  const settings = ctx.settings();
   let isLeaving = false;
-  const feed = kit.owned.add(
+  const feed = ctx.owned.add(
     poolConfigurationFeed.startConfigurationFeed({
-      store: kit.store,
-      clock: kit.clock,
-      log: kit.log,
+      store: ctx.store,
+      clock: ctx.clock,
+      log: ctx.log,
       key: operatorConfiguration.CONFIGURATION_KEY,
       decode: operatorConfiguration.decodeConfiguration,
     }),
   );
   const clients = rpcClient.createRpcClients({
-    call: kit.call,
+    call: ctx.call,
     timeoutMs: LEADER_TIMEOUT_MS,
     peerSecret: poolKit.PEER_SECRET,
   });
   const counts = pendingCounts.createPendingCounts({
-    store: kit.store,
-    clock: kit.clock,
-    log: kit.log,
+    store: ctx.store,
+    clock: ctx.clock,
+    log: ctx.log,
     askLeader: async (url) => {
-      const answer = await clients.poolScheduler(url).pending({ from: kit.sender() });
+      const answer = await clients.poolScheduler(url).pending({ from: ctx.sender() });
       return answer.pendingByQueue;
     },
   });
-  const desk = jobRequestHandler.createJobRequestHandler({
-    store: kit.store,
-    clock: kit.clock,
-    log: kit.log,
-    metrics: kit.metrics,
+  const jobRequests = jobRequestHandler.createJobRequestHandler({
+    store: ctx.store,
+    clock: ctx.clock,
+    log: ctx.log,
+    metrics: ctx.metrics,
     feed,
     configurationKey: operatorConfiguration.CONFIGURATION_KEY,
-    storeAgeMs: kit.storeAgeMs,
+    storeAgeMs: ctx.storeAgeMs,
     revokeMs: settings.maxRevocationMs,
   });
   const api = jobApi.createJobApi({
-    jobs: desk,
+    jobs: jobRequests,
     pending: counts.ofQueue,
     maxBodyBytes: () => feed.current()?.configuration.maxBodyBytes ?? MAX_BODY_BYTES,
     shouldCloseConnections: () => notReadyReason() !== undefined,
-    onDidStore: schedulerNews.createSchedulerNews(kit),
-    newRequestId: () => kit.newId().slice(0, 8),
-    nowMs: kit.clock.monotonicMs,
-    log: kit.log,
-    metrics: kit.metrics,
+    onDidStore: schedulerNews.createSchedulerNews(ctx),
+    newRequestId: () => ctx.newId().slice(0, 8),
+    nowMs: ctx.clock.monotonicMs,
+    log: ctx.log,
+    metrics: ctx.metrics,
   });
   const share = configurationShare.shareConfiguration({
     feed,
-    clock: kit.clock,
-    storeAgeMs: kit.storeAgeMs,
+    clock: ctx.clock,
+    storeAgeMs: ctx.storeAgeMs,
   });
   const router = poolRouters.createPoolEntryRouter({
     configuration: async ({ afterRevision, waitMs }) => ({
-      from: kit.sender(),
+      from: ctx.sender(),
       ...(await share(afterRevision, waitMs)),
     }),
     relay: async (message) => ({
-      from: kit.sender(),
-      ...(await relayRpc.serveRelay(message, kit.settings().store, kit.serveStore)),
+      from: ctx.sender(),
+      ...(await relayRpc.serveRelay(message, ctx.settings().store, ctx.serveStore)),
     }),
   });
   const notReadyReason = (): string | undefined => {
     if (isLeaving) return 'leaving';
     if (feed.current() === undefined) return 'no configuration yet';
-    if (!desk.canCheckCredentials()) return 'the configuration is not proved';
-    return kit.storeAgeMs() > READY_AGE_MS ? 'the store is out of reach' : undefined;
+    if (!jobRequests.canCheckCredentials()) return 'the configuration is not proved';
+    return ctx.storeAgeMs() > READY_AGE_MS ? 'the store is out of reach' : undefined;
   };
   const readiness: httpServer.Handler = () => {
     const reason = notReadyReason();
@@ -119,9 +119,13 @@
     return Promise.resolve(httpServer.jsonReply({ reason: reason ?? 'ready' }, status));
   };
   if (settings.front === undefined || settings.readiness === undefined) {
-    throw errors.fail('invalidRequest', 'an entry needs its addresses for clients and readiness', {
-      field: 'listen',
-    });
+    throw errors.fail(
+      'invalidRequest',
+      'the settings of an entry must contain its addresses for clients and readiness',
+      {
+        field: 'listen',
+      },
+    );
   }
   const limits = { maxBodyBytes: MAX_BODY_BYTES, maxConnections: MAX_CONNECTIONS };
   const front = await httpServer.listen(
@@ -132,19 +136,19 @@
     { ...settings.readiness, ...limits },
     httpServer.toListener(readiness, MAX_BODY_BYTES),
   );
-  kit.owned.add(front);
-  kit.owned.add(ready);
-  const server = await poolKit.listenForPeers(kit, router, notReadyReason);
+  ctx.owned.add(front);
+  ctx.owned.add(ready);
+  const server = await poolKit.listenForPeers(ctx, router, notReadyReason);
   const key = poolKeys.peerKey(poolKeys.PeerRole.entry, settings.nodeId);
-  const presence = poolKit.keepPresence(kit, key, http.formatAddress(server.address));
+  const presence = poolKit.keepPresence(ctx, key, http.formatAddress(server.address));
   return {
     shutdown: async () => {
       isLeaving = true;
       front.discourage();
-      // Beside the wait: a store that is away must not take the time of the last answers.
-      await Promise.all([presence.dispose(), clock.sleep(kit.clock, LEAVE_MS)]);
-      await front.drain(settings.graceMs - LEAVE_MS - EXIT_SLACK_MS);
-      await kit.owned.dispose();
+      // In parallel to the wait: an unreachable store must not use up the time for the last responses.
+      await Promise.all([presence.dispose(), clock.sleep(ctx.clock, BALANCER_DELAY_MS)]);
+      await front.drain(settings.graceMs - BALANCER_DELAY_MS - EXIT_SLACK_MS);
+      await ctx.owned.dispose();
     },
   };
 };
--- a/src/programs/runPoolMain.ts
+++ b/src/programs/runPoolMain.ts
@@ -1,5 +1,5 @@
 /**
- * The life of a program that serves pools: settings, start, reloads, a signal, a graceful end.
+ * Lifecycle of a pool program: settings, start, reloads, a signal, a graceful shutdown.
  */
 import * as errorKinds from '../base/common/errorKinds.js';
 import * as errors from '../base/common/errors.js';
@@ -8,41 +8,41 @@
 
 import * as poolKit from './poolKit.js';
 
-const signalled = (): Promise<string> =>
+const waitForSignal = (): Promise<string> =>
   new Promise((resolve) => {
     process.once('SIGTERM', () => resolve('SIGTERM'));
     process.once('SIGINT', () => resolve('SIGINT'));
   });
 
-const live = async (
+const runUntilSignal = async (
   role: bootSettings.PoolProgram,
-  start: (kit: poolKit.PoolKit) => Promise<poolKit.PoolProgram>,
+  start: (ctx: poolKit.PoolKit) => Promise<poolKit.PoolProgram>,
 ): Promise<void> => {
   const path = bootSettings.bootSettingsPath();
   let settings = bootSettings.readBootSettings(path, role);
-  const kit = poolKit.createPoolKit(role, () => settings);
-  const stopped = signalled();
-  const program = await start(kit);
+  const ctx = poolKit.createPoolKit(role, () => settings);
+  const stopped = waitForSignal();
+  const program = await start(ctx);
   const watch = settingsWatch.watchSettings({
     path,
     program: role,
-    clock: kit.clock,
-    log: kit.log,
+    clock: ctx.clock,
+    log: ctx.log,
     onDidChange: (changed) => {
       settings = changed;
     },
   });
-  kit.log('info', 'started', {
+  ctx.log('info', 'started', {
     peers: settings.peers.port,
     zone: settings.zone,
     region: settings.region,
     startMs: Math.round(process.uptime() * 1000),
   });
   const signal = await stopped;
-  kit.log('info', 'stopping', { signal });
+  ctx.log('info', 'stopping', { signal });
   void watch.dispose();
   await program.shutdown();
-  kit.log('info', 'stopped', { signal });
+  ctx.log('info', 'stopped', { signal });
 };
 
 /**
@@ -53,10 +53,10 @@
  */
 export const runPoolMain = async (
   role: bootSettings.PoolProgram,
-  start: (kit: poolKit.PoolKit) => Promise<poolKit.PoolProgram>,
+  start: (ctx: poolKit.PoolKit) => Promise<poolKit.PoolProgram>,
 ): Promise<void> => {
   try {
-    await live(role, start);
+    await runUntilSignal(role, start);
     process.exit(0);
   } catch (thrown) {
     const error = errors.normalize(thrown);
