--- a/src/soak/callers.ts
+++ b/src/soak/callers.ts
@@ -1,6 +1,6 @@
 /**
- * The callers of a soak: hand jobs in, ask for their states and cancel some, over connections that they
- * keep open until the other side ends them. Each call is recorded as the caller saw it.
+ * The callers of a soak: submit jobs, read their states and cancel some, over keep-alive connections that
+ * stay open until the server closes them. Each call is recorded as the caller observed it.
  */
 import * as http from 'node:http';
 
@@ -8,14 +8,14 @@
 import * as random from '../base/common/random.js';
 import * as evidence from './evidence.js';
 
-/** An entry as callers reach it. */
+/** The address of an entry for callers. */
 export interface EntryDoor {
   readonly name: string;
-  /** Loopback port of its line. */
+  /** Loopback port of the link to it. */
   readonly port: number;
 }
 
-/** What callers need. */
+/** Options of the callers. */
 export interface CallersOptions {
   readonly clock: clock.Clock;
   readonly random: random.Random;
@@ -23,7 +23,7 @@
   /** Host name and path of the queue. */
   readonly host: string;
   readonly pathPrefix: string;
-  /** Keys in use; a revoked one goes on being tried. */
+  /** Keys to choose from; callers keep using revoked ones. */
   readonly apiKeys: readonly string[];
 }
 
@@ -31,24 +31,24 @@
 export interface Callers {
   readonly jobs: evidence.SubmittedJob[];
   readonly calls: evidence.CallRecord[];
-  /** Hands in one job, again and again until an answer is final; settled then. */
+  /** Submits one job and retries until a response is final or the attempts are used up. */
   readonly submit: () => Promise<void>;
   readonly askAny: () => Promise<void>;
   readonly cancelAny: () => Promise<void>;
-  /** Asks for every accepted job until it has ended, at most until then. */
+  /** Polls every accepted job until it has ended, but no longer than this time. */
   readonly askUntilEnded: (untilMs: number) => Promise<void>;
   readonly dispose: () => void;
 }
 
-/** As the callers of the platform. */
+/** Deadline and retries as used by the platform's callers. */
 const DEADLINE_MS = 3000;
 const MAX_ATTEMPTS = 5;
 const RETRY_MS = 250;
 
-/** Between two questions about one job. */
-const ASK_AGAIN_MS = 300;
+/** Interval between two reads of one job's state. */
+const POLL_MS = 300;
 
-const LAST_STATES = new Set(['complete', 'failed', 'cancelled']);
+const FINAL_STATES = new Set(['complete', 'failed', 'cancelled']);
 
 interface Reply {
   readonly end: evidence.CallEnd;
@@ -82,11 +82,11 @@
     request.end(body);
   });
 
-const stateIn = (body: string): string | undefined => {
+const parseState = (body: string): string | undefined => {
   try {
     return (JSON.parse(body) as { state?: string }).state;
   } catch {
-    // Not a job's state: the answer to another kind of call.
+    // Not JSON, so the response contains no job state.
     return undefined;
   }
 };
@@ -101,7 +101,7 @@
   return next() < 0.3 ? [first, { count: 2, accelerators: 1, isGang: false, after: [0] }] : [first];
 };
 
-const wireOf = (job: evidence.SubmittedJob): string =>
+const requestBodyOf = (job: evidence.SubmittedJob): string =>
   JSON.stringify({
     spec: job.payload,
     steps: job.steps.map(({ count, accelerators, isGang, after }) => ({
@@ -116,8 +116,8 @@
   });
 
 /**
- * @param options - what callers need
- * @returns callers that have done nothing yet
+ * @param options - options of the callers
+ * @returns callers that have sent nothing yet
  */
 export const createCallers = (options: CallersOptions): Callers => {
   const { clock: time, random: next } = options;
@@ -134,12 +134,12 @@
     jobId: string,
     body = '',
   ): Promise<evidence.CallRecord> => {
-    const door = pick(options.doors) as EntryDoor;
+    const endpoint = pick(options.doors) as EntryDoor;
     const apiKey = pick(options.apiKeys) ?? '';
     const sentAtMs = time.monotonicMs();
     const request = http.request({
       host: '127.0.0.1',
-      port: door.port,
+      port: endpoint.port,
       method,
       path: `${options.pathPrefix}${jobId}`,
       agent,
@@ -151,17 +151,26 @@
       },
     });
     const { end, status, body: text } = await send(request, body);
-    const state = status === 200 && method === 'GET' ? stateIn(text) : undefined;
+    const state = status === 200 && method === 'GET' ? parseState(text) : undefined;
     const endedAtMs = time.monotonicMs();
-    const record = { entry: door.name, method, jobId, apiKey, sentAtMs, endedAtMs, end, status };
-    const seen = { ...record, state };
-    calls.push(seen);
-    return seen;
+    const record = {
+      entry: endpoint.name,
+      method,
+      jobId,
+      apiKey,
+      sentAtMs,
+      endedAtMs,
+      end,
+      status,
+    };
+    const callRecord = { ...record, state };
+    calls.push(callRecord);
+    return callRecord;
   };
 
-  const ask = async (jobId: string): Promise<boolean> => {
+  const readHasEnded = async (jobId: string): Promise<boolean> => {
     const { state } = await call('GET', jobId);
-    return state !== undefined && LAST_STATES.has(state);
+    return state !== undefined && FINAL_STATES.has(state);
   };
 
   return {
@@ -172,7 +181,7 @@
       const job = { jobId, payload: `work of ${jobId}`, steps: makeSteps(next) };
       jobs.push(job);
       for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt += 1) {
-        const { status } = await call('POST', jobId, wireOf(job));
+        const { status } = await call('POST', jobId, requestBodyOf(job));
         if (status === 200) accepted.add(jobId);
         if (status === 200 || status === 400 || status === 404) return;
         await clock.sleep(time, RETRY_MS);
@@ -187,12 +196,12 @@
       if (jobId !== undefined) await call('DELETE', jobId);
     },
     askUntilEnded: async (untilMs) => {
-      const askOne = async (jobId: string): Promise<void> => {
-        while (time.monotonicMs() < untilMs && !(await ask(jobId))) {
-          await clock.sleep(time, ASK_AGAIN_MS);
+      const pollOne = async (jobId: string): Promise<void> => {
+        while (time.monotonicMs() < untilMs && !(await readHasEnded(jobId))) {
+          await clock.sleep(time, POLL_MS);
         }
       };
-      await Promise.all([...accepted].map(askOne));
+      await Promise.all([...accepted].map(pollOne));
     },
     dispose: () => agent.destroy(),
   };
--- a/src/soak/clockStep.ts
+++ b/src/soak/clockStep.ts
@@ -1,9 +1,9 @@
 /**
- * Loaded into a program before it starts (`node --import`): a signal moves its time of day to and fro,
- * as a bad time server does. The monotonic clock is left alone.
+ * Loaded into a program before it starts (`node --import`). SIGUSR2 steps its wall clock forward or back,
+ * as a faulty time server does. The monotonic clock is not changed.
  */
 
-/** How far the time of day jumps: beyond every lease that a process counts by it. */
+/** Size of the wall clock step: longer than every lease that a process measures by that clock. */
 const STEP_MS = 20_000;
 
 const readWall = Date.now.bind(Date);
--- a/src/soak/evidence.ts
+++ b/src/soak/evidence.ts
@@ -1,17 +1,17 @@
 /**
- * What callers and workers saw during a soak; its promises are judged by nothing else.
+ * What callers and workers observed during a soak; its invariants are checked against nothing else.
  */
 import type * as memoryPoolWorker from '../standins/memoryPoolWorker.js';
 
 /** How a call ended for its caller. */
 export const CallEnd = {
-  /** With a whole answer. */
+  /** With a complete response. */
   answered: 'answered',
-  /** The connection ended without one. */
+  /** The connection ended before a complete response. */
   cut: 'cut',
-  /** The caller gave it up. */
+  /** The caller's timeout expired. */
   timeout: 'timeout',
-  /** There was no connection; nothing was sent. */
+  /** No connection was established; nothing was sent. */
   notSent: 'notSent',
 } as const;
 
@@ -28,9 +28,9 @@
   readonly sentAtMs: number;
   readonly endedAtMs: number;
   readonly end: CallEnd;
-  /** 0 without a whole answer. */
+  /** HTTP status; 0 without a complete response. */
   readonly status: number;
-  /** The job's state, where a GET told it. */
+  /** The job's state, if a GET returned it. */
   readonly state: string | undefined;
 }
 
@@ -42,43 +42,43 @@
   readonly after: readonly number[];
 }
 
-/** A job that a caller handed in. */
+/** A job that a caller submitted. */
 export interface SubmittedJob {
   readonly jobId: string;
   readonly payload: string;
   readonly steps: readonly SubmittedStep[];
 }
 
-/** A run with the worker that had it. */
+/** A run with the index of its worker. */
 export interface WorkerRun extends memoryPoolWorker.RecordedRun {
   readonly workerIndex: number;
 }
 
-/** A key that was taken away. */
+/** A revoked API key. */
 export interface Revocation {
   readonly apiKey: string;
   readonly atMs: number;
 }
 
-/** A time during which something besides planned stops was done to an entry or its lines. */
+/** A period during which a fault other than a planned stop affected an entry or its links. */
 export interface Disturbance {
   readonly entry: string;
   readonly fromMs: number;
   readonly untilMs: number;
 }
 
-/** Everything that was seen. */
+/** All observations of a soak. */
 export interface Evidence {
   readonly jobs: readonly SubmittedJob[];
   readonly calls: readonly CallRecord[];
   readonly runs: readonly WorkerRun[];
   readonly revocations: readonly Revocation[];
   readonly disturbances: readonly Disturbance[];
-  /** Processes that ended without having been told to. */
+  /** Processes that exited without having been asked to. */
   readonly failures: readonly string[];
   readonly acceleratorsPerWorker: number;
-  /** Time within which a revoked key stops everywhere. */
+  /** Time within which every entry must refuse a revoked key. */
   readonly revokeMs: number;
-  /** Failed runs after which a task is given up. */
+  /** Failed runs after which a task is abandoned. */
   readonly attempts: number;
 }
--- a/src/soak/faults.ts
+++ b/src/soak/faults.ts
@@ -1,24 +1,24 @@
 /**
- * What a soak does to a site: each fault begins, lasts a while beside others, and is taken back.
+ * The faults that a soak injects into a site. Each lasts for a while, may overlap others, and is then removed.
  */
 import * as random from '../base/common/random.js';
 import * as lineProxy from './lineProxy.js';
 import type * as soakSite from './soakSite.js';
 
-/** What a fault works on. */
+/** What a fault acts on. */
 export interface FaultScene {
   readonly site: soakSite.SoakSite;
   readonly random: random.Random;
-  /** Keys that may be taken away, the next one first. */
+  /** Revokes the next API key that may be revoked. */
   readonly takeKeyAway: () => Promise<void>;
   readonly reconfigure: () => Promise<void>;
 }
 
-/** A fault that has begun. */
+/** An injected fault. */
 export interface BegunFault {
-  /** What it does to whom, for the report. */
+  /** The kind of fault and its target, for the report. */
   readonly what: string;
-  /** Names of the entries that it may reach; planned stops reach none. */
+  /** Processes whose calls it may cut; planned stops list none. */
   readonly disturbs: readonly string[];
   readonly end: () => void;
 }
@@ -26,7 +26,7 @@
 /** A kind of fault. */
 export type Fault = (scene: FaultScene) => BegunFault;
 
-const NOTHING = (): void => undefined;
+const NO_END = (): void => undefined;
 
 const pick = <T>(scene: FaultScene, items: readonly T[]): T => random.pick(scene.random, items);
 
@@ -37,7 +37,7 @@
   ...site.agents,
 ];
 
-const begun = (what: string, end = NOTHING, disturbs: readonly string[] = []): BegunFault => ({
+const activeFault = (what: string, end = NO_END, disturbs: readonly string[] = []): BegunFault => ({
   what,
   disturbs,
   end,
@@ -50,18 +50,18 @@
   const fault: Fault = (scene) => {
     const node = pick(scene, allNodes(scene));
     const end = begin(node, scene);
-    return begun(`${name} ${node.process.name}`, end, [node.process.name]);
+    return activeFault(`${name} ${node.process.name}`, end, [node.process.name]);
   };
   return fault;
 };
 
-const onLine = (what: lineProxy.LineFault): Fault =>
-  onNode(`line ${what}`, (node, scene) => {
-    const line = pick(scene, node.lines);
-    line.setFault(what);
+const onLink = (what: lineProxy.LineFault): Fault =>
+  onNode(`link ${what}`, (node, scene) => {
+    const link = pick(scene, node.lines);
+    link.setFault(what);
     return () => {
-      line.setFault(lineProxy.LineFault.none);
-      // What was lost leaves its connection silent for good; nobody is told.
+      link.setFault(lineProxy.LineFault.none);
+      // Connections that lost bytes stay stalled; neither end is notified.
     };
   });
 
@@ -76,49 +76,49 @@
     const worker = pick(scene, scene.site.workers);
     const { workerId } = worker.info();
     const end = begin(worker, scene);
-    return begun(`worker ${name} ${workerId}`, end);
+    return activeFault(`worker ${name} ${workerId}`, end);
   };
   return fault;
 };
 
-/** All entries share the store: trouble there may reach each of them. */
+/** All entries share the store, so a store fault may affect each of them. */
 const onStore = (name: string, begin: (scene: FaultScene) => () => void): Fault => {
   const fault: Fault = (scene) => {
     const end = begin(scene);
-    const everybody = scene.site.entries.map((it) => it.process.name);
-    return begun(`store ${name}`, end, everybody);
+    const entryNames = scene.site.entries.map((it) => it.process.name);
+    return activeFault(`store ${name}`, end, entryNames);
   };
   return fault;
 };
 
-/** Longest time away of a process that lost its power. */
-const MAX_AWAY_MS = 4000;
+/** Longest downtime of a process after a power loss. */
+const MAX_DOWNTIME_MS = 4000;
 
-/** A worker that leaves goes on this long. */
+/** How long a draining worker keeps running. */
 const DRAIN_MS = 2500;
 
 /** Every kind of fault. */
 export const FAULTS: readonly Fault[] = [
-  onLine(lineProxy.LineFault.delay),
-  onLine(lineProxy.LineFault.refuse),
-  onLine(lineProxy.LineFault.silence),
-  onLine(lineProxy.LineFault.cutRequests),
-  onLine(lineProxy.LineFault.cutAnswers),
+  onLink(lineProxy.LineFault.delay),
+  onLink(lineProxy.LineFault.refuse),
+  onLink(lineProxy.LineFault.silence),
+  onLink(lineProxy.LineFault.cutRequests),
+  onLink(lineProxy.LineFault.cutAnswers),
   onNode('reset', (node) => {
     node.lines.forEach((it) => it.reset());
-    return NOTHING;
+    return NO_END;
   }),
-  onNode('silent connections', (node) => {
+  onNode('stall connections', (node) => {
     node.lines.forEach((it) => it.silenceOpen());
-    return NOTHING;
+    return NO_END;
   }),
   onNode('kill', (node) => {
     node.process.kill(0);
-    return NOTHING;
+    return NO_END;
   }),
-  onNode('power', (node, scene) => {
-    node.process.kill(scene.random() * MAX_AWAY_MS);
-    return NOTHING;
+  onNode('power loss', (node, scene) => {
+    node.process.kill(scene.random() * MAX_DOWNTIME_MS);
+    return NO_END;
   }),
   onNode('pause', (node) => {
     node.process.signal('SIGSTOP');
@@ -128,7 +128,7 @@
     node.process.signal('SIGUSR2');
     return () => node.process.signal('SIGUSR2');
   }),
-  onNode('turned away', (node) => {
+  onNode('refused by the store', (node) => {
     node.isTurnedAway = true;
     return () => {
       node.isTurnedAway = false;
@@ -137,16 +137,16 @@
   (scene) => {
     const node = pick(scene, allNodes(scene));
     node.process.terminate();
-    return begun(`stop ${node.process.name}`);
+    return activeFault(`stop ${node.process.name}`);
   },
   (scene) => {
     const node = pick(scene, allNodes(scene));
     node.process.signal('SIGHUP');
-    return begun(`reload ${node.process.name}`);
+    return activeFault(`reload ${node.process.name}`);
   },
   (scene) => {
     for (const node of scene.site.schedulers) node.process.kill(0);
-    return begun('kill all schedulers');
+    return activeFault('kill all schedulers');
   },
   onStore('down', ({ site }) => {
     site.store.faults.isDown = true;
@@ -160,23 +160,23 @@
       site.store.faults.delayMs = 0;
     };
   }),
-  onStore('loses answers', ({ site }) => {
+  onStore('loses write responses', ({ site }) => {
     site.store.faults.loseWriteAnswers += 3;
-    return NOTHING;
+    return NO_END;
   }),
-  onStore('writes late', ({ site }) => {
+  onStore('applies writes late', ({ site }) => {
     site.store.faults.delayTransactions += 2;
-    return NOTHING;
+    return NO_END;
   }),
   onStore('forgets history', ({ site }) => {
     site.store.faults.skipNextWatch = true;
-    return NOTHING;
+    return NO_END;
   }),
   onWorker('crash', (worker) => {
     worker.crash();
     return undefined;
   }),
-  onWorker('reborn', (worker, scene) => {
+  onWorker('crash with a new id', (worker, scene) => {
     worker.crash(`w-${Math.floor(scene.random() * 1e9)}`);
     return undefined;
   }),
@@ -196,7 +196,7 @@
       worker.faults.failsAll = false;
     };
   }),
-  onWorker('leaves', (worker, scene) => {
+  onWorker('drain', (worker, scene) => {
     const { workerId } = worker.info();
     worker.drain(DRAIN_MS);
     setTimeout(() => {
@@ -208,10 +208,10 @@
   }),
   (scene) => {
     void scene.reconfigure();
-    return begun('configuration');
+    return activeFault('configuration');
   },
   (scene) => {
     void scene.takeKeyAway();
-    return begun('key taken away');
+    return activeFault('key revoked');
   },
 ];
--- a/src/soak/keptSeeds.ts
+++ b/src/soak/keptSeeds.ts
@@ -1,26 +1,27 @@
 /**
- * Seeds of soaks that showed a fault, with its cause: played again by `npm run soak -- kept`. The order of
- * events in real processes is not decided by the seed alone, so each fault has a test in virtual time as well.
+ * Regression seeds of soaks that exposed a fault, with its cause; rerun by `npm run soak -- kept`. The seed does
+ * not fully determine the order of events in real processes, so each fault also has a test in virtual time.
  */
 
-/** A seed that showed a fault. */
+/** A seed that exposed a fault. */
 export interface KeptSeed {
   readonly seed: number;
   readonly seconds: number;
   readonly cause: string;
 }
 
-/** Every seed that ever failed by a fault of the product. */
+/** Every seed that failed because of a fault in the product. */
 export const KEPT_SEEDS: readonly KeptSeed[] = [
-  { seed: 103, seconds: 20, cause: 'SIGHUP while a program loads ended it' },
+  { seed: 103, seconds: 20, cause: 'SIGHUP killed a program that was still loading' },
   {
     seed: 403,
     seconds: 20,
-    cause: 'a late order to the former life of a worker ran in its next one',
+    cause: 'a delayed order to the previous incarnation of a worker ran in the new one',
   },
   {
     seed: 540,
     seconds: 20,
-    cause: 'a late write put back the lapsing lease of an agent, which no later leader heard of',
+    cause:
+      'a delayed write restored the expiring lease of an agent, and no later leader received it',
   },
 ];
--- a/src/soak/lineProxy.ts
+++ b/src/soak/lineProxy.ts
@@ -1,49 +1,49 @@
 /**
- * A loopback proxy in front of one address, through which a soak harms the line between two processes
- * from outside of both: delay, reset, refusal, silence of open connections, and cuts one way.
+ * A loopback proxy in front of one address, through which a soak injects faults into the link between two
+ * processes: delay, reset, refusal, stalled connections, and loss in one direction.
  */
 import * as net from 'node:net';
 
 import type * as disposable from '../base/common/disposable.js';
 
-/** What happens to the bytes of a line. */
+/** What happens to the bytes of a link. */
 export const LineFault = {
   none: 'none',
-  /** Every piece is passed on late, in order. */
+  /** Every chunk is forwarded after a delay, in order. */
   delay: 'delay',
   /** New connections are reset. */
   refuse: 'refuse',
-  /** Nothing passes in either direction, and nobody is told. */
+  /** Bytes are dropped in both directions; neither end is notified. */
   silence: 'silence',
-  /** What the caller sends is lost; answers pass. */
+  /** What the caller sends is dropped; responses are forwarded. */
   cutRequests: 'cutRequests',
-  /** Requests arrive; what is answered is lost. */
+  /** Requests are forwarded; responses are dropped. */
   cutAnswers: 'cutAnswers',
 } as const;
 
 /** One of the values of {@link LineFault}. */
 export type LineFault = (typeof LineFault)[keyof typeof LineFault];
 
-/** A line that can be harmed. */
+/** A link into which faults can be injected. */
 export interface LineProxy extends disposable.Disposable {
   readonly port: number;
-  /** Holds until the next one is set; connections that lost bytes stay silent for good. */
+  /** Applies a fault until the next call; connections that lost bytes stay stalled. */
   readonly setFault: (fault: LineFault) => void;
   /** Resets every open connection. */
   readonly reset: () => void;
-  /** Open connections go silent for good, while new ones work. */
+  /** Stalls all open connections permanently; new ones work. */
   readonly silenceOpen: () => void;
 }
 
-/** Longer than a process waits between two renewals of a leadership, shorter than any time-out. */
+/** Longer than the interval between two renewals of a leadership, shorter than any timeout. */
 const DELAY_MS = 180;
 
-/** Of all connections of a narrow line together, each way: the narrowest that a machine of a site has. */
-const NARROW_BYTES_PER_S = 875_000;
+/** Bandwidth of a low-bandwidth link in each direction, shared by its connections: the lowest of any machine. */
+const LOW_BANDWIDTH_BYTES_PER_S = 875_000;
 
 /**
- * A socket that is closing can't be reset any more: its handle would stay open for good, and with it the
- * process of the soak.
+ * Resets a socket. One that is closing can't be reset any more: its handle would stay open and keep the
+ * process of the soak alive.
  */
 const resetSocket = (socket: net.Socket): void => {
   if (socket.writableEnded) socket.destroy();
@@ -58,11 +58,11 @@
 
 interface Connection {
   readonly sockets: readonly net.Socket[];
-  /** Bytes were lost on it: anything that still passed would be garbage. */
-  isMute: boolean;
+  /** Whether bytes were lost: anything forwarded later would be corrupt. */
+  isStalled: boolean;
 }
 
-const LOST: Readonly<Record<LineFault, (flow: Flow) => boolean>> = {
+const IS_DROPPED: Readonly<Record<LineFault, (flow: Flow) => boolean>> = {
   none: () => false,
   delay: () => false,
   refuse: () => false,
@@ -71,59 +71,59 @@
   cutAnswers: (flow) => !flow.isRequest,
 };
 
-/** When the bytes that are sent now have passed a line, behind all that was sent before. */
-type Occupy = (bytes: number) => number;
+/** Reserves bandwidth and returns the delay in ms until these bytes have passed, after all earlier ones. */
+type ReserveBandwidth = (bytes: number) => number;
 
-const createLineTime = (): Occupy => {
+const createBandwidthLimit = (): ReserveBandwidth => {
   let freeAtMs = 0;
   return (bytes) => {
     const nowMs = performance.now();
-    freeAtMs = Math.max(freeAtMs, nowMs) + (bytes * 1000) / NARROW_BYTES_PER_S;
+    freeAtMs = Math.max(freeAtMs, nowMs) + (bytes * 1000) / LOW_BANDWIDTH_BYTES_PER_S;
     return freeAtMs - nowMs;
   };
 };
 
 /**
- * @param targetPort - loopback port that the line leads to
- * @param isNarrow - whether it is narrow while no other fault is on it
- * @returns the line, without a fault
+ * @param targetPort - loopback port that the link leads to
+ * @param isNarrow - whether its bandwidth is limited
+ * @returns the link, without a fault
  */
 export const openLine = async (targetPort: number, isNarrow = false): Promise<LineProxy> => {
   const connections = new Set<Connection>();
-  const occupyRequests = createLineTime();
-  const occupyAnswers = createLineTime();
+  const reserveForRequests = createBandwidthLimit();
+  const reserveForAnswers = createBandwidthLimit();
   let fault: LineFault = LineFault.none;
 
-  const carry = (connection: Connection, flow: Flow): void => {
+  const forward = (connection: Connection, flow: Flow): void => {
     const { from, to } = flow;
-    const pass = (act: () => void): void => {
-      if (LOST[fault](flow)) connection.isMute = true;
-      if (connection.isMute) return;
+    const forwardUnlessLost = (action: () => void): void => {
+      if (IS_DROPPED[fault](flow)) connection.isStalled = true;
+      if (connection.isStalled) return;
       const deliver = (): void => {
-        if (!connection.isMute && !to.destroyed) act();
+        if (!connection.isStalled && !to.destroyed) action();
       };
       if (fault === LineFault.delay) setTimeout(deliver, DELAY_MS);
       else deliver();
     };
-    /** No more is taken from the sender before this has passed: a line holds little. */
-    const passNarrow = (chunk: Buffer): void => {
+    /** Pauses the sender until the chunk has passed, since a link buffers little. */
+    const forwardThrottled = (chunk: Buffer): void => {
       from.pause();
-      const occupy = flow.isRequest ? occupyRequests : occupyAnswers;
+      const reserve = flow.isRequest ? reserveForRequests : reserveForAnswers;
       setTimeout(() => {
-        if (!to.destroyed && !connection.isMute) to.write(chunk);
+        if (!to.destroyed && !connection.isStalled) to.write(chunk);
         from.resume();
-      }, occupy(chunk.length));
+      }, reserve(chunk.length));
     };
     from.on('data', (chunk: Buffer) =>
-      pass(() => {
-        if (isNarrow) passNarrow(chunk);
+      forwardUnlessLost(() => {
+        if (isNarrow) forwardThrottled(chunk);
         else to.write(chunk);
       }),
     );
-    from.on('end', () => pass(() => to.end()));
-    // A partition hides the end of a connection as well; its other side finds out by a time-out.
-    from.on('close', () => pass(() => to.destroySoon()));
-    from.on('error', () => pass(() => resetSocket(to)));
+    from.on('end', () => forwardUnlessLost(() => to.end()));
+    // A partition also hides the close of a connection; the other end detects it by a timeout.
+    from.on('close', () => forwardUnlessLost(() => to.destroySoon()));
+    from.on('error', () => forwardUnlessLost(() => resetSocket(to)));
   };
 
   const server = net.createServer({ allowHalfOpen: true }, (caller) => {
@@ -133,15 +133,15 @@
       return;
     }
     const target = net.connect({ port: targetPort, host: '127.0.0.1', allowHalfOpen: true });
-    const connection = { sockets: [caller, target], isMute: false };
+    const connection = { sockets: [caller, target], isStalled: false };
     connections.add(connection);
-    carry(connection, { from: caller, to: target, isRequest: true });
-    carry(connection, { from: target, to: caller, isRequest: false });
-    const forget = (): void => {
+    forward(connection, { from: caller, to: target, isRequest: true });
+    forward(connection, { from: target, to: caller, isRequest: false });
+    const removeIfClosed = (): void => {
       if (caller.destroyed && target.destroyed) connections.delete(connection);
     };
-    caller.on('close', forget);
-    target.on('close', forget);
+    caller.on('close', removeIfClosed);
+    target.on('close', removeIfClosed);
   });
   await new Promise<void>((resolve, reject) => {
     server.once('error', reject);
@@ -158,7 +158,7 @@
     },
     reset,
     silenceOpen: () => {
-      for (const connection of connections) connection.isMute = true;
+      for (const connection of connections) connection.isStalled = true;
     },
     dispose: () =>
       new Promise<void>((resolve) => {
--- a/src/soak/promises.ts
+++ b/src/soak/promises.ts
@@ -1,17 +1,17 @@
 /**
- * What must hold whatever happens, judged from what callers and workers saw. Pure: each check takes the
- * evidence and says which promises it finds broken.
+ * Invariants that must hold under all faults, checked against what callers and workers observed. Each check
+ * is a pure function from the evidence to the violations it finds.
  */
 import * as poolWorker from '../state/common/pool/poolWorker.js';
 import * as evidence from './evidence.js';
 
-/** Finds broken promises of one kind. */
+/** Finds violations of one invariant. */
 export type Check = (seen: evidence.Evidence) => string[];
 
-/** An answer that is cut this soon after the request may have crossed the end of the connection. */
-const CROSSING_MS = 200;
+/** A call cut this soon after it was sent may have crossed the server's close of the connection. */
+const CLOSE_RACE_MS = 200;
 
-/** Before a cut, trouble this recent may still be its cause. */
+/** A fault that ended this recently before a call may still have cut it. */
 const AFTERMATH_MS = 1500;
 
 const REFUSALS = new Set([400, 401, 404, 429, 503]);
@@ -26,7 +26,7 @@
 
 const isDone = (run: evidence.WorkerRun): boolean => run.how === 'done';
 
-const noOverlap: Check = (seen) =>
+const noConcurrentRuns: Check = (seen) =>
   [...runsByTask(seen)].flatMap(([task, runs]) =>
     runs.slice(1).flatMap((run, index) => {
       const before = runs[index];
@@ -37,14 +37,14 @@
     }),
   );
 
-const noneAfterDone: Check = (seen) =>
+const noRunAfterDone: Check = (seen) =>
   [...runsByTask(seen)].flatMap(([task, runs]) => {
     const done = runs.find((it) => isDone(it) && it.isAcknowledged);
     const again = runs.find((it) => done !== undefined && it.startedAtMs > (done.endedAtMs ?? 0));
     return again === undefined ? [] : [`${task}: run ${again.run} began after the task was done`];
   });
 
-const noneAfterRefusal: Check = (seen) =>
+const noRunAfterRefusal: Check = (seen) =>
   seen.jobs.flatMap(({ jobId }) => {
     const submits = seen.calls.filter((it) => it.method === 'POST' && it.jobId === jobId);
     const isRefused = submits.every(
@@ -52,7 +52,7 @@
     );
     const hasRun = seen.runs.some((it) => it.task.startsWith(`${jobId}.`));
     return isRefused && hasRun
-      ? [`${jobId}: ran, and every attempt to hand it in was refused`]
+      ? [`${jobId}: ran, although every attempt to hand it in was refused`]
       : [];
   });
 
@@ -63,10 +63,10 @@
   return accepted?.endedAtMs ?? Infinity;
 };
 
-const nothingForgotten: Check = (seen) =>
+const noAcceptedJobLost: Check = (seen) =>
   seen.calls
     .filter((it) => it.status === 410 && it.sentAtMs > acceptedAtMs(seen, it.jobId))
-    .map((it) => `${it.jobId}: ${it.method} says that there is no such job`);
+    .map((it) => `${it.jobId}: ${it.method} reports that there is no such job`);
 
 const tasksOf = (job: evidence.SubmittedJob): string[] =>
   job.steps.flatMap((step, stepIndex) =>
@@ -75,7 +75,7 @@
     ),
   );
 
-/** Failed runs of each task, or of each gang, whose members fail together. */
+/** Number of failed runs of each task, or of each gang, whose members fail together. */
 const failuresOf = (
   job: evidence.SubmittedJob,
   ended: readonly evidence.WorkerRun[],
@@ -91,11 +91,11 @@
   return [...failedRuns.values()].map((it) => it.size);
 };
 
-const statesAreTrue: Check = (seen) => {
+const reportedStatesMatchRuns: Check = (seen) => {
   const byTask = runsByTask(seen);
   const jobs = new Map(seen.jobs.map((it) => [it.jobId, it]));
-  const countRuns = (task: string, isOf: (run: evidence.WorkerRun) => boolean): number =>
-    (byTask.get(task) ?? []).filter(isOf).length;
+  const countRuns = (task: string, matches: (run: evidence.WorkerRun) => boolean): number =>
+    (byTask.get(task) ?? []).filter(matches).length;
   return seen.calls.flatMap((call) => {
     const job = jobs.get(call.jobId);
     if (job === undefined) return [];
@@ -114,16 +114,16 @@
   });
 };
 
-const everythingEnds: Check = (seen) =>
+const acceptedJobsEnd: Check = (seen) =>
   seen.jobs.flatMap(({ jobId }) => {
     if (acceptedAtMs(seen, jobId) === Infinity) return [];
     const states = seen.calls.filter((it) => it.jobId === jobId && it.state !== undefined);
     const last = states.at(-1)?.state;
     const hasEnded = last === 'complete' || last === 'failed' || last === 'cancelled';
-    return hasEnded ? [] : [`${jobId}: accepted, and ${String(last)} long after the faults`];
+    return hasEnded ? [] : [`${jobId}: accepted, but still ${String(last)} long after the faults`];
   });
 
-const nothingLeftRunning: Check = (seen) =>
+const noRunLeftOver: Check = (seen) =>
   seen.runs
     .filter((it) => it.how === undefined)
     .map((it) => `${it.task}: run ${it.run} still works though its job has ended`);
@@ -164,14 +164,14 @@
   });
 };
 
-const asSubmitted: Check = (seen) => {
+const payloadsAsSubmitted: Check = (seen) => {
   const payloads = new Map(seen.jobs.map((it) => [it.jobId, it.payload]));
   return seen.runs
     .filter((it) => it.payload !== payloads.get(poolWorker.parseTaskName(it.task)?.jobId ?? ''))
     .map((it) => `${it.task}: started with something that nobody handed in`);
 };
 
-const revokedKeysStop: Check = (seen) =>
+const revokedKeysAreRefused: Check = (seen) =>
   seen.calls.flatMap((call) => {
     const revoked = seen.revocations.find((it) => it.apiKey === call.apiKey);
     if (revoked === undefined) {
@@ -182,9 +182,9 @@
     return isLate && isServed ? [`${call.entry}: served a key that was taken away`] : [];
   });
 
-const nothingCutOff: Check = (seen) =>
+const noCallCutByPlannedStop: Check = (seen) =>
   seen.calls
-    .filter((it) => it.end === evidence.CallEnd.cut && it.endedAtMs - it.sentAtMs > CROSSING_MS)
+    .filter((it) => it.end === evidence.CallEnd.cut && it.endedAtMs - it.sentAtMs > CLOSE_RACE_MS)
     .filter((call) =>
       seen.disturbances.every(
         (it) =>
@@ -193,25 +193,25 @@
           it.fromMs > call.endedAtMs,
       ),
     )
-    .map((it) => `${it.entry}: cut off ${it.method} ${it.jobId} in a planned stop`);
+    .map((it) => `${it.entry}: cut off ${it.method} ${it.jobId} during a planned stop`);
 
-const noneEndedByItself: Check = (seen) => [...seen.failures];
+const noUnexpectedExit: Check = (seen) => [...seen.failures];
 
 const CHECKS: readonly Check[] = [
-  noOverlap,
-  noneAfterDone,
-  noneAfterRefusal,
-  nothingForgotten,
-  statesAreTrue,
-  everythingEnds,
-  nothingLeftRunning,
+  noConcurrentRuns,
+  noRunAfterDone,
+  noRunAfterRefusal,
+  noAcceptedJobLost,
+  reportedStatesMatchRuns,
+  acceptedJobsEnd,
+  noRunLeftOver,
   stepsInOrder,
   withinCapacity,
-  asSubmitted,
-  revokedKeysStop,
-  nothingCutOff,
-  noneEndedByItself,
+  payloadsAsSubmitted,
+  revokedKeysAreRefused,
+  noCallCutByPlannedStop,
+  noUnexpectedExit,
 ];
 
-/** Checks every promise. */
+/** Checks every invariant. */
 export const findBroken: Check = (seen) => CHECKS.flatMap((check) => check(seen));
--- a/src/soak/soakRun.ts
+++ b/src/soak/soakRun.ts
@@ -1,5 +1,5 @@
 /**
- * One soak: a site of real processes, callers, overlapping faults from one seed, and the judgement.
+ * One soak: a site of real processes, callers, overlapping faults from one seed, and the invariant checks.
  */
 import * as fs from 'node:fs';
 
@@ -14,97 +14,97 @@
 import * as promises from './promises.js';
 import * as soakSite from './soakSite.js';
 
-/** What a soak is. */
+/** Parameters of a soak. */
 export interface SoakOptions {
-  /** Decides the jobs, the faults, their order and their length. */
+  /** Determines the jobs and the faults with their order and duration. */
   readonly seed: number;
-  /** How long faults are made. */
+  /** How long faults are injected. */
   readonly faultsMs: number;
   readonly sizes: soakSite.SoakSizes;
-  /** Folder for settings files and logs; made where it does not exist. */
+  /** Folder for settings files and logs; created if it does not exist. */
   readonly folder: string;
 }
 
-/** What came of a soak. */
+/** Result of a soak. */
 export interface SoakReport {
   readonly seed: number;
-  /** Broken promises; empty in a good soak. */
+  /** Violated invariants; empty if the soak passed. */
   readonly broken: readonly string[];
-  /** Faults with the time at which they began. */
+  /** Faults, each with the time at which it began. */
   readonly faults: readonly string[];
   readonly jobs: number;
   readonly calls: number;
   readonly runs: number;
 }
 
-/** Between two faults, at most. */
-const MAX_GAP_MS = 900;
+/** Longest pause between two faults. */
+const MAX_FAULT_GAP_MS = 900;
 
-/** A fault lasts at most this long; several overlap. */
+/** Longest duration of a fault; several overlap. */
 const MAX_FAULT_MS = 3500;
 
-/** Between two calls of a caller, at most. */
+/** Longest pause between two calls of a caller with share 1. */
 const MAX_CALL_GAP_MS = 220;
 
-/** Without faults everything ends within this: the longest leases, a take-over and the work that waits. */
+/** Without faults all jobs end within this time: the longest leases, a takeover and the backlog. */
 const SETTLE_MS = 60_000;
 
-/** As in the settings files of a soak. */
+/** Time for a key revocation to apply everywhere, as in the settings files of a soak. */
 const REVOKE_MS = 5000;
 
-/** Keys that stay, and keys that the soak takes away. */
-const STAYING_KEYS = ['key-a', 'key-b', 'key-c', 'key-d'] as const;
-const LEAVING_KEYS = ['key-x', 'key-y', 'key-z'] as const;
+/** Keys that stay valid, and keys that the soak revokes. */
+const PERMANENT_KEYS = ['key-a', 'key-b', 'key-c', 'key-d'] as const;
+const REVOCABLE_KEYS = ['key-x', 'key-y', 'key-z'] as const;
 
-/** Of the seeds, so many have narrow lines; told by a generator of its own, so that a seed's faults stay. */
-const NARROW_SHARE = 0.4;
+/** Share of seeds with low-bandwidth links; drawn from a separate generator, so a seed's faults don't change. */
+const LOW_BANDWIDTH_SHARE = 0.4;
 
-/** The entries take calls, and a leader has heard of the workers. */
+/** Time until the entries accept calls and a leader has received the workers' reports. */
 const START_MS = 4000;
 
 /**
- * @param options - what the soak is
- * @returns what came of it; processes are ended, logs stay in the folder
+ * @param options - parameters of the soak
+ * @returns the result; its processes have exited, logs stay in the folder
  */
 export const runSoak = async (options: SoakOptions): Promise<SoakReport> => {
   const time = systemClock.systemClock;
   const next = random.createRandom(options.seed);
   fs.mkdirSync(options.folder, { recursive: true });
   const ports = await portBlock.takePorts(options.seed);
-  const submitted = (): readonly evidence.SubmittedJob[] => people.jobs;
+  const submittedJobs = (): readonly evidence.SubmittedJob[] => soakCallers.jobs;
   const site = await soakSite.startSite({
     sizes: options.sizes,
     folder: options.folder,
     basePort: ports.firstPort,
-    isNarrow: random.createRandom(options.seed + 3)() > 1 - NARROW_SHARE,
+    isNarrow: random.createRandom(options.seed + 3)() > 1 - LOW_BANDWIDTH_SHARE,
     gangOf: (task) => {
       const name = poolWorker.parseTaskName(task);
-      const step = submitted().find((it) => it.jobId === name?.jobId)?.steps[name?.step ?? 0];
+      const step = submittedJobs().find((it) => it.jobId === name?.jobId)?.steps[name?.step ?? 0];
       return step?.isGang === true ? step.count : 1;
     },
   });
-  const people = callers.createCallers({
+  const soakCallers = callers.createCallers({
     clock: time,
     random: random.createRandom(options.seed + 1),
     doors: site.doorPorts.map((port, index) => ({ name: `edge-${index}`, port })),
     ...soakSite.QUEUE,
-    apiKeys: [...STAYING_KEYS, ...LEAVING_KEYS],
+    apiKeys: [...PERMANENT_KEYS, ...REVOCABLE_KEYS],
   });
   const revocations: evidence.Revocation[] = [];
   const disturbances: evidence.Disturbance[] = [];
-  const told: string[] = [];
-  const open = new Set<() => void>();
+  const faultLog: string[] = [];
+  const activeFaults = new Set<() => void>();
   const startedAtMs = time.monotonicMs();
-  let isPressing = true;
+  let isLoadRunning = true;
 
-  const keysLeft = (): string[] => LEAVING_KEYS.slice(revocations.length);
-  const reconfigure = (): Promise<void> => site.configure([...STAYING_KEYS, ...keysLeft()]);
+  const unrevokedKeys = (): string[] => REVOCABLE_KEYS.slice(revocations.length);
+  const reconfigure = (): Promise<void> => site.configure([...PERMANENT_KEYS, ...unrevokedKeys()]);
   const scene: faults.FaultScene = {
     site,
     random: next,
     reconfigure,
     takeKeyAway: async () => {
-      const [apiKey] = keysLeft();
+      const [apiKey] = unrevokedKeys();
       if (apiKey === undefined) return;
       const record = { apiKey, atMs: Infinity };
       revocations.push(record);
@@ -113,7 +113,7 @@
     },
   };
 
-  const makeFault = (): void => {
+  const injectFault = (): void => {
     const begin = faults.FAULTS[random.integerBelow(next, faults.FAULTS.length)];
     const lastsMs = next() * MAX_FAULT_MS;
     if (begin === undefined) return;
@@ -121,19 +121,19 @@
     const fromMs = time.monotonicMs();
     const records = fault.disturbs.map((entry) => ({ entry, fromMs, untilMs: Infinity }));
     disturbances.push(...records);
-    told.push(`${((fromMs - startedAtMs) / 1000).toFixed(2)} s: ${fault.what}`);
+    faultLog.push(`${((fromMs - startedAtMs) / 1000).toFixed(2)} s: ${fault.what}`);
     const end = (): void => {
-      if (!open.delete(end)) return;
+      if (!activeFaults.delete(end)) return;
       fault.end();
       for (const record of records) record.untilMs = time.monotonicMs();
     };
-    open.add(end);
+    activeFaults.add(end);
     setTimeout(end, lastsMs);
   };
 
   const gaps = random.createRandom(options.seed + 2);
-  const press = async (act: () => Promise<void>, share: number): Promise<void> => {
-    while (isPressing) {
+  const runLoad = async (act: () => Promise<void>, share: number): Promise<void> => {
+    while (isLoadRunning) {
       await act();
       await clock.sleep(time, (gaps() * MAX_CALL_GAP_MS) / share);
     }
@@ -142,28 +142,28 @@
   try {
     await reconfigure();
     await clock.sleep(time, START_MS);
-    const pressing = [
-      press(people.submit, 0.2),
-      press(people.submit, 0.2),
-      press(people.askAny, 1),
-      press(people.askAny, 1),
-      press(people.cancelAny, 0.1),
+    const loadLoops = [
+      runLoad(soakCallers.submit, 0.2),
+      runLoad(soakCallers.submit, 0.2),
+      runLoad(soakCallers.askAny, 1),
+      runLoad(soakCallers.askAny, 1),
+      runLoad(soakCallers.cancelAny, 0.1),
     ];
     const untilMs = time.monotonicMs() + options.faultsMs;
     while (time.monotonicMs() < untilMs) {
-      makeFault();
-      await clock.sleep(time, next() * MAX_GAP_MS);
+      injectFault();
+      await clock.sleep(time, next() * MAX_FAULT_GAP_MS);
     }
-    [...open].forEach((end) => end());
+    [...activeFaults].forEach((end) => end());
     site.store.faults.loseWriteAnswers = 0;
     site.store.faults.delayTransactions = 0;
-    isPressing = false;
-    await Promise.all(pressing);
-    await people.askUntilEnded(time.monotonicMs() + SETTLE_MS);
+    isLoadRunning = false;
+    await Promise.all(loadLoops);
+    await soakCallers.askUntilEnded(time.monotonicMs() + SETTLE_MS);
     await clock.sleep(time, START_MS);
     const seen: evidence.Evidence = {
-      jobs: people.jobs,
-      calls: people.calls,
+      jobs: soakCallers.jobs,
+      calls: soakCallers.calls,
       runs: site.runs(),
       revocations,
       disturbances,
@@ -175,13 +175,13 @@
     return {
       seed: options.seed,
       broken: promises.findBroken(seen),
-      faults: told,
+      faults: faultLog,
       jobs: seen.jobs.length,
       calls: seen.calls.length,
       runs: seen.runs.length,
     };
   } finally {
-    people.dispose();
+    soakCallers.dispose();
     await site.dispose();
     await ports.dispose();
   }
--- a/src/soak/soakSite.ts
+++ b/src/soak/soakSite.ts
@@ -1,6 +1,6 @@
 /**
- * What a soak runs on one machine: the product's programs as processes, the platform's side as stand-ins,
- * and a line that can be harmed between any two of them.
+ * A soak's deployment on one machine: the product's programs as processes, stand-ins for the platform,
+ * and links between them whose traffic can be disturbed.
  */
 import * as path from 'node:path';
 
@@ -21,31 +21,31 @@
 import * as lineProxy from './lineProxy.js';
 import * as supervisedProcess from './supervisedProcess.js';
 
-/** How much of everything runs. */
+/** Number of processes and workers of a site. */
 export interface SoakSizes {
   readonly entries: number;
   readonly schedulers: number;
   readonly workers: number;
 }
 
-/** What a site is made from. */
+/** Parameters of a site. */
 export interface SiteOptions {
   readonly sizes: SoakSizes;
   /** Folder for settings files and logs. */
   readonly folder: string;
   /** First of the ports that the site uses. */
   readonly basePort: number;
-  /** Size of the gang that a task belongs to. */
+  /** Returns the size of the gang that a task belongs to. */
   readonly gangOf: (task: string) => number;
-  /** Whether lines to the store are narrow, and each configuration is larger than the one before. */
+  /** Whether links to the store have low bandwidth and each configuration is larger than the previous one. */
   readonly isNarrow: boolean;
 }
 
-/** A process with the lines that begin at it. */
+/** A process with the links that faults on it may disturb. */
 export interface SoakNode {
   readonly process: supervisedProcess.SupervisedProcess;
   readonly lines: readonly lineProxy.LineProxy[];
-  /** The store turns this process away and serves the others. */
+  /** Whether the store refuses this process while it serves the others. */
   isTurnedAway: boolean;
 }
 
@@ -56,10 +56,10 @@
   readonly agents: readonly SoakNode[];
   readonly workers: readonly memoryPoolWorker.MemoryPoolWorker[];
   readonly store: memoryStore.MemoryStore;
-  /** Ports at which callers reach the entries, over a line. */
+  /** Ports at which callers reach the entries, through a link. */
   readonly doorPorts: readonly number[];
   readonly readyPorts: readonly number[];
-  /** Processes that ended by themselves. */
+  /** Processes that exited unexpectedly. */
   readonly failures: readonly string[];
   /** Writes the next version of the configuration, with these keys. */
   readonly configure: (apiKeys: readonly string[]) => Promise<void>;
@@ -69,13 +69,13 @@
 /** Accelerators of each worker. */
 export const ACCELERATORS = 8;
 
-/** Host name and path of the one queue. */
+/** Host name, path and attempts of the one queue. */
 export const QUEUE = { host: 'h', pathPrefix: '/q/', attempts: 3 } as const;
 
-/** Before the operator writes a configuration again. */
-const WRITE_AGAIN_MS = 200;
+/** Delay before a failed write of a configuration is retried. */
+const WRITE_RETRY_MS = 200;
 
-/** Ports of each process: its own, and those between processes. */
+/** Size of the port range of each process. */
 const PORTS_PER_NODE = 12;
 
 const MAX_LEASE_MS = 6000;
@@ -87,14 +87,14 @@
   return 200 + 1.5 * sum;
 };
 
-/** Queues by which a configuration grows with each version, and the most; half a megabyte. */
-const GROWTH = 700;
-const MAX_GROWN = 2800;
+/** Queues that each version adds to the configuration, and their maximum (half a megabyte). */
+const QUEUES_PER_VERSION = 700;
+const MAX_ADDED_QUEUES = 2800;
 
 const configurationText = (
   version: number,
   apiKeys: readonly string[],
-  grownQueues: number,
+  addedQueues: number,
 ): string => {
   const queue = {
     name: 'queue',
@@ -105,7 +105,7 @@
     stretch: 3,
     prio: version % 2,
   };
-  const grown = Array.from({ length: grownQueues }, (_, index) => ({
+  const added = Array.from({ length: addedQueues }, (_, index) => ({
     ...queue,
     name: `grown-${index}`,
     prefix: `/grown${index}/`,
@@ -114,72 +114,72 @@
   }));
   return JSON.stringify({
     version,
-    routes: [queue, ...grown],
+    routes: [queue, ...added],
     services: [{ name: 'service' }],
     tenants: [{ name: 'customer', api_keys: apiKeys, guaranteed: { gpu: ACCELERATORS } }],
   });
 };
 
 /**
- * @param options - what the site is made from
+ * @param options - parameters of the site
  * @returns the site, with all its processes started
  */
 export const startSite = async (options: SiteOptions): Promise<SoakSite> => {
   const owned = disposable.createDisposableStore();
   const store = memoryStore.createMemoryStore(systemClock.systemClock);
   const failures: string[] = [];
-  const board = memoryPoolWorker.createGangBoard();
-  const agentLinePorts = new Map<string, number>();
+  const gangBoard = memoryPoolWorker.createGangBoard();
+  const agentLinkPorts = new Map<string, number>();
   let version = 0;
   let nodeCount = 0;
 
-  const openLine = async (targetPort: number, isNarrow = false): Promise<lineProxy.LineProxy> =>
+  const openLink = async (targetPort: number, isNarrow = false): Promise<lineProxy.LineProxy> =>
     owned.add(await lineProxy.openLine(targetPort, isNarrow));
 
-  const takePorts = (): number => {
+  const allocatePorts = (): number => {
     nodeCount += 1;
     return options.basePort + (nodeCount - 1) * PORTS_PER_NODE;
   };
 
-  /** Leaders reach agents at the address that stands in the store: there the line is put between. */
+  /** Leaders reach agents at the address in the store; it is replaced by the address of the link. */
   const redirect = (put: recordStore.Put): recordStore.Put => {
     if (!put.key.startsWith(poolKeys.AGENTS)) return put;
-    const port = agentLinePorts.get(put.key.slice(poolKeys.AGENTS.length));
+    const port = agentLinkPorts.get(put.key.slice(poolKeys.AGENTS.length));
     return { ...put, value: addressRecord.formatAddressRecord(`http://127.0.0.1:${String(port)}`) };
   };
 
-  /** The store as one process sees it. */
+  /** The store with the access of one process. */
   const storeFor = (isTurnedAway: () => boolean): recordStore.RecordStore => {
-    const enter = (): void => {
-      if (isTurnedAway()) throw errors.fail('storeUnavailable', 'this machine is turned away');
+    const checkAccess = (): void => {
+      if (isTurnedAway()) throw errors.fail('storeUnavailable', 'the store refuses this machine');
     };
     return {
       get: async (key) => {
-        enter();
+        checkAccess();
         return store.get(key);
       },
       list: async (prefix) => {
-        enter();
+        checkAccess();
         return store.list(prefix);
       },
       grantLease: async (ttlMs) => {
-        enter();
+        checkAccess();
         return store.grantLease(ttlMs);
       },
       renewLease: async (leaseId) => {
-        enter();
+        checkAccess();
         return store.renewLease(leaseId);
       },
       revokeLease: async (leaseId) => {
-        enter();
+        checkAccess();
         return store.revokeLease(leaseId);
       },
       watch: async (...args) => {
-        enter();
+        checkAccess();
         return store.watch(...args);
       },
       transact: async (transaction) => {
-        enter();
+        checkAccess();
         return store.transact({ ...transaction, puts: transaction.puts.map(redirect) });
       },
     };
@@ -190,14 +190,14 @@
     program: string,
     ports: { readonly peerPort: number; readonly front?: number; readonly ready?: number },
     worker: { readonly control: number; readonly workerAddress: string } | undefined,
-    workerLine: lineProxy.LineProxy | undefined,
+    workerLink: lineProxy.LineProxy | undefined,
   ): Promise<SoakNode> => {
     const state = { isTurnedAway: false };
-    const served = owned.add(await storeServer.serveStore(storeFor(() => state.isTurnedAway)));
-    const storeLine = await openLine(served.address.port, options.isNarrow);
+    const server = owned.add(await storeServer.serveStore(storeFor(() => state.isTurnedAway)));
+    const storeLink = await openLink(server.address.port, options.isNarrow);
     const env = bootFile.writeBootFile(options.folder, {
       nodeId: name,
-      storeAddress: `127.0.0.1:${storeLine.port}`,
+      storeAddress: `127.0.0.1:${storeLink.port}`,
       ...ports,
       ...worker,
     });
@@ -210,7 +210,7 @@
         onDidFail: (reason) => failures.push(reason),
       }),
     );
-    const lines = [storeLine, ...(workerLine === undefined ? [] : [workerLine])];
+    const lines = [storeLink, ...(workerLink === undefined ? [] : [workerLink])];
     return Object.assign(state, { process, lines });
   };
 
@@ -234,74 +234,76 @@
         maxLeaseMs: MAX_LEASE_MS,
         gangMs: GANG_MS,
       },
-      board,
+      gangBoard,
     );
     owned.add(worker);
     const name = `side-${index}`;
-    const ports = takePorts();
+    const ports = allocatePorts();
     const [peerPort, control] = [ports, ports + 11];
     const server = owned.add(await workerServer.serveWorker(worker, control));
-    const workerLine = await openLine(server.server.address.port);
-    const agentLine = await openLine(peerPort);
-    agentLinePorts.set(name, agentLine.port);
-    const sides = { control, workerAddress: `127.0.0.1:${workerLine.port}` };
-    const node = await startNode(name, 'poolAgent', { peerPort }, sides, workerLine);
-    return { node: Object.assign(node, { lines: [...node.lines, agentLine] }), worker };
+    const workerLink = await openLink(server.server.address.port);
+    const agentLink = await openLink(peerPort);
+    agentLinkPorts.set(name, agentLink.port);
+    const workerPorts = { control, workerAddress: `127.0.0.1:${workerLink.port}` };
+    const node = await startNode(name, 'poolAgent', { peerPort }, workerPorts, workerLink);
+    return { node: Object.assign(node, { lines: [...node.lines, agentLink] }), worker };
   };
 
   const startEntry = async (
     index: number,
   ): Promise<{ node: SoakNode; doorPort: number; readyPort: number }> => {
-    const ports = takePorts();
+    const ports = allocatePorts();
     const [peerPort, front, ready] = [ports, ports + 10, ports + 11];
-    const door = await openLine(front);
+    const callerLink = await openLink(front);
     const listen = { peerPort, front, ready };
-    const node = await startNode(`edge-${index}`, 'poolEntry', listen, undefined, door);
-    return { node, doorPort: door.port, readyPort: ready };
+    const node = await startNode(`edge-${index}`, 'poolEntry', listen, undefined, callerLink);
+    return { node, doorPort: callerLink.port, readyPort: ready };
   };
 
-  /** @returns whether the text stands in the store for certain */
+  /** @returns whether the text is known to be in the store */
   const tryToWrite = async (text: string): Promise<boolean> => {
     const key = operatorConfiguration.CONFIGURATION_KEY;
     try {
       const current = await store.get(key);
       if (current?.value === text) return true;
-      // A copy that takes effect late must not put an older version back.
+      // A delayed write must not restore an older version.
       const conditions = [{ key, revision: current?.revision ?? 0 }];
       const put = { key, value: text };
       const result = await store.transact({ conditions, puts: [put], removes: [] });
       return result.isCommitted;
     } catch {
-      // The store is made to fail: the operator tries again until it has an answer.
+      // The injected store fault may have failed the call; the write is retried until it is confirmed.
       return false;
     }
   };
   let lastWrite = Promise.resolve();
   const configure = (apiKeys: readonly string[]): Promise<void> => {
     version += 1;
-    const grownQueues = options.isNarrow ? Math.min(version * GROWTH, MAX_GROWN) : 0;
-    const text = configurationText(version, apiKeys, grownQueues);
+    const addedQueues = options.isNarrow
+      ? Math.min(version * QUEUES_PER_VERSION, MAX_ADDED_QUEUES)
+      : 0;
+    const text = configurationText(version, apiKeys, addedQueues);
     lastWrite = lastWrite.then(async () => {
-      while (!(await tryToWrite(text))) await clock.sleep(systemClock.systemClock, WRITE_AGAIN_MS);
+      while (!(await tryToWrite(text))) await clock.sleep(systemClock.systemClock, WRITE_RETRY_MS);
     });
     return lastWrite;
   };
 
   await configure([]);
   const { sizes } = options;
-  const count = <T>(length: number, make: (index: number) => Promise<T>): Promise<T[]> =>
+  const startEach = <T>(length: number, make: (index: number) => Promise<T>): Promise<T[]> =>
     Promise.all(Array.from({ length }, (_, index) => make(index)));
-  const sites = await count(sizes.workers, startWorker);
-  const entries = await count(sizes.entries, startEntry);
-  const schedulers = await count(sizes.schedulers, (index) => {
+  const workerNodes = await startEach(sizes.workers, startWorker);
+  const entries = await startEach(sizes.entries, startEntry);
+  const schedulers = await startEach(sizes.schedulers, (index) => {
     const name = `plan-${index}`;
-    return startNode(name, 'poolScheduler', { peerPort: takePorts() }, undefined, undefined);
+    return startNode(name, 'poolScheduler', { peerPort: allocatePorts() }, undefined, undefined);
   });
-  const workers = sites.map((it) => it.worker);
+  const workers = workerNodes.map((it) => it.worker);
   return {
     entries: entries.map((it) => it.node),
     schedulers,
-    agents: sites.map((it) => it.node),
+    agents: workerNodes.map((it) => it.node),
     workers,
     store,
     doorPorts: entries.map((it) => it.doorPort),
@@ -314,5 +316,5 @@
   };
 };
 
-/** Log of a process of a site. */
+/** Path of the log of a site's process. */
 export const logPath = (folder: string, name: string): string => path.join(folder, `${name}.log`);
--- a/src/soak/supervisedProcess.ts
+++ b/src/soak/supervisedProcess.ts
@@ -1,6 +1,6 @@
 /**
- * One real program of the product as a child process, started again whenever it ends, as the platform
- * does. Signals go to its own process id and to no other.
+ * Runs one program of the product as a child process and restarts it whenever it exits, as the platform
+ * does. Signals go only to the process id of that child.
  */
 import * as childProcess from 'node:child_process';
 import * as fs from 'node:fs';
@@ -10,43 +10,43 @@
 
 import type * as disposable from '../base/common/disposable.js';
 
-/** What is run, and how. */
+/** Which program to run, and how. */
 export interface ProgramOptions {
-  /** Names the process in reports and its log. */
+  /** Name of the process in reports, and of its log file. */
   readonly name: string;
-  /** File of the program among the built ones. */
+  /** File name of the built program, without its extension. */
   readonly program: string;
   readonly env: Readonly<Record<string, string>>;
-  /** Folder of its log. */
+  /** Folder for its log file. */
   readonly folder: string;
-  /** A process that ended without having been told to. */
+  /** Called when the process exits without having been asked to. */
   readonly onDidFail: (reason: string) => void;
 }
 
-/** A program that is kept running. */
+/** A program that is restarted whenever it exits. */
 export interface SupervisedProcess extends disposable.Disposable {
   readonly name: string;
   readonly signal: (signal: NodeJS.Signals) => void;
-  /** Kills it; it stays away for this long. */
+  /** Kills the process and restarts it after this delay, at least {@link RESTART_MS}. */
   readonly kill: (awayMs: number) => void;
-  /** Asks it to end, and starts it again once it has; killed after its time of grace. */
+  /** Sends SIGTERM, and SIGKILL after the grace period; restarts the process once it has exited. */
   readonly terminate: () => void;
 }
 
-/** The platform starts a process again after about this time. */
+/** The platform restarts a process after about this delay. */
 const RESTART_MS = 300;
 
-/** Node.js and the first modules of a program are loaded within it, beside a few busy processes. */
-const LOADING_MS = 2000;
+/** Time to load Node.js and the first modules of a program while a few other processes are busy. */
+const LOAD_MS = 2000;
 
-/** Time of grace after SIGTERM, as in the settings of a soak. */
+/** Grace period between SIGTERM and SIGKILL, as in the settings of a soak. */
 const GRACE_MS = 6000;
 
 const HERE = path.dirname(url.fileURLToPath(import.meta.url));
 
 /**
- * @param options - what is run
- * @returns the process, running
+ * @param options - which program to run, and how
+ * @returns the started process
  */
 export const supervise = (options: ProgramOptions): SupervisedProcess => {
   const logFile = fs.openSync(path.join(options.folder, `${options.name}.log`), 'a');
@@ -55,7 +55,7 @@
   let isExpectedToEnd = false;
   let isDisposed = false;
   let startedAtMs = 0;
-  let onDidEnd: () => void = () => undefined;
+  let onDidExit: () => void = () => undefined;
 
   const start = (): void => {
     if (isDisposed) return;
@@ -69,26 +69,26 @@
       { env: { PATH: process.env.PATH, ...options.env }, stdio: ['ignore', logFile, logFile] },
     );
     child.once('exit', (code, signal) => {
-      onDidEnd();
+      onDidExit();
       if (isDisposed) return;
       if (!isExpectedToEnd) {
-        options.onDidFail(`${options.name} ended by itself: ${String(signal ?? code)}`);
+        options.onDidFail(`${options.name} exited by itself: ${String(signal ?? code)}`);
       }
       setTimeout(start, restartMs);
     });
   };
   start();
-  // A soak that ends by an error would leave its processes behind, at the ports of the next one.
-  const endWithSoak = (): void => {
+  // A soak that fails with an error would leave child processes that hold the ports of the next soak.
+  const killChild = (): void => {
     child.kill('SIGKILL');
   };
-  process.once('exit', endWithSoak);
+  process.once('exit', killChild);
 
   return {
     name: options.name,
     signal: (signal) => {
-      const isLoading = perfHooks.performance.now() - startedAtMs < LOADING_MS;
-      // Until Node.js itself has started no program can listen for these, and they would end it.
+      const isLoading = perfHooks.performance.now() - startedAtMs < LOAD_MS;
+      // Before Node.js has loaded the program's handlers, the default action of these signals kills it.
       if (isLoading && (signal === 'SIGHUP' || signal === 'SIGUSR2')) return;
       child.kill(signal);
     },
@@ -98,15 +98,15 @@
       child.kill('SIGKILL');
     },
     terminate: () => {
-      const ending = child;
+      const terminating = child;
       isExpectedToEnd = true;
-      ending.kill('SIGTERM');
-      setTimeout(() => ending.kill('SIGKILL'), GRACE_MS).unref();
+      terminating.kill('SIGTERM');
+      setTimeout(() => terminating.kill('SIGKILL'), GRACE_MS).unref();
     },
     dispose: () =>
       new Promise<void>((resolve) => {
         isDisposed = true;
-        process.off('exit', endWithSoak);
+        process.off('exit', killChild);
         const close = (): void => {
           fs.closeSync(logFile);
           resolve();
@@ -115,8 +115,8 @@
           close();
           return;
         }
-        onDidEnd = close;
-        // A stopped process is ended as well by this signal.
+        onDidExit = close;
+        // SIGKILL also ends a process that is stopped by SIGSTOP.
         child.kill('SIGKILL');
       }),
   };
--- a/src/soak/test/lineProxy.test.ts
+++ b/src/soak/test/lineProxy.test.ts
@@ -1,5 +1,5 @@
 /**
- * What each fault of a line does to a caller on it.
+ * The effect of each link fault on a caller.
  */
 import * as assert from 'node:assert/strict';
 import * as net from 'node:net';
@@ -7,15 +7,15 @@
 
 import * as lineProxy from '../lineProxy.js';
 
-/** An echo that records what arrives. */
-const listen = async (): Promise<{ port: number; heard: string[]; close: () => void }> => {
-  const heard: string[] = [];
+/** Starts an echo server that records what it receives. */
+const listen = async (): Promise<{ port: number; received: string[]; close: () => void }> => {
+  const received: string[] = [];
   const sockets = new Set<net.Socket>();
   const server = net.createServer((socket) => {
     sockets.add(socket);
     socket.on('error', () => undefined);
     socket.on('data', (chunk) => {
-      heard.push(chunk.toString());
+      received.push(chunk.toString());
       socket.write(chunk);
     });
   });
@@ -26,59 +26,60 @@
     sockets.forEach((it) => it.destroy());
     server.close();
   };
-  return { port: (server.address() as net.AddressInfo).port, heard, close };
+  return { port: (server.address() as net.AddressInfo).port, received, close };
 };
 
-/** Says one word and gives what comes of it, or `silence` where nothing does. */
-const say = (socket: net.Socket, word: string): Promise<string> =>
+/** Sends a text and returns the response, `closed`, or `silence` if nothing arrives. */
+const sendText = (socket: net.Socket, text: string): Promise<string> =>
   new Promise((resolve) => {
     const timer = setTimeout(() => resolve('silence'), 600);
-    const settle = (what: string): void => {
+    const finish = (what: string): void => {
       clearTimeout(timer);
       resolve(what);
     };
-    socket.once('data', (chunk) => settle(chunk.toString()));
-    socket.once('close', () => settle('closed'));
+    socket.once('data', (chunk) => finish(chunk.toString()));
+    socket.once('close', () => finish('closed'));
     socket.on('error', () => undefined);
-    socket.write(word);
+    socket.write(text);
   });
 
-const CASES: readonly [fault: lineProxy.LineFault, answer: string, heard: readonly string[]][] = [
-  ['none', 'a', ['a']],
-  ['delay', 'a', ['a']],
-  ['refuse', 'closed', []],
-  ['silence', 'silence', []],
-  ['cutRequests', 'silence', []],
-  ['cutAnswers', 'silence', ['a']],
-];
+const CASES: readonly [fault: lineProxy.LineFault, answer: string, received: readonly string[]][] =
+  [
+    ['none', 'a', ['a']],
+    ['delay', 'a', ['a']],
+    ['refuse', 'closed', []],
+    ['silence', 'silence', []],
+    ['cutRequests', 'silence', []],
+    ['cutAnswers', 'silence', ['a']],
+  ];
 
-test.describe('a line that is harmed', () => {
-  for (const [fault, answer, heard] of CASES) {
-    test.it(`${fault}: the caller sees ${answer}`, async () => {
+test.describe('a link with a fault', () => {
+  for (const [fault, answer, received] of CASES) {
+    test.it(`${fault}: the caller observes ${answer}`, async () => {
       const target = await listen();
-      const line = await lineProxy.openLine(target.port);
-      line.setFault(fault);
-      const socket = net.connect({ port: line.port, host: '127.0.0.1' });
-      assert.equal(await say(socket, 'a'), answer);
-      assert.deepEqual(target.heard, heard);
+      const link = await lineProxy.openLine(target.port);
+      link.setFault(fault);
+      const socket = net.connect({ port: link.port, host: '127.0.0.1' });
+      assert.equal(await sendText(socket, 'a'), answer);
+      assert.deepEqual(target.received, received);
       socket.destroy();
-      await line.dispose();
+      await link.dispose();
       target.close();
     });
   }
 
-  test.it('open connections stay silent for good, and new ones work', async () => {
+  test.it('open connections stay stalled, and new ones work', async () => {
     const target = await listen();
-    const line = await lineProxy.openLine(target.port);
-    const old = net.connect({ port: line.port, host: '127.0.0.1' });
-    assert.equal(await say(old, 'a'), 'a');
-    line.silenceOpen();
-    assert.equal(await say(old, 'b'), 'silence');
-    const fresh = net.connect({ port: line.port, host: '127.0.0.1' });
-    assert.equal(await say(fresh, 'c'), 'c');
+    const link = await lineProxy.openLine(target.port);
+    const old = net.connect({ port: link.port, host: '127.0.0.1' });
+    assert.equal(await sendText(old, 'a'), 'a');
+    link.silenceOpen();
+    assert.equal(await sendText(old, 'b'), 'silence');
+    const fresh = net.connect({ port: link.port, host: '127.0.0.1' });
+    assert.equal(await sendText(fresh, 'c'), 'c');
     old.destroy();
     fresh.destroy();
-    await line.dispose();
+    await link.dispose();
     target.close();
   });
 });
--- a/src/soak/test/longCalls.test.ts
+++ b/src/soak/test/longCalls.test.ts
@@ -1,5 +1,5 @@
 /**
- * Long calls of the store on a narrow line.
+ * Long store calls over a low-bandwidth link.
  */
 import * as assert from 'node:assert/strict';
 import * as test from 'node:test';
@@ -26,20 +26,20 @@
 const ATTEMPTS = 4;
 const SENDER = { processId: 'edge-1.entry', role: 'entry', configVersion: 0 } as const;
 
-interface Rig extends disposable.Disposable {
+interface Harness extends disposable.Disposable {
   readonly memory: memoryStore.MemoryStore;
-  /** By the entry's own narrow line. */
+  /** Through the entry's own low-bandwidth link. */
   readonly direct: recordStore.RecordStore;
-  /** By another entry, whose line to the store is the narrow one. */
+  /** Through another entry, whose link to the store is the low-bandwidth one. */
   readonly relayed: recordStore.RecordStore;
 }
 
-const createRig = async (): Promise<Rig> => {
+const createHarness = async (): Promise<Harness> => {
   const owned = disposable.createDisposableStore();
   const memory = memoryStore.createMemoryStore(systemClock.systemClock);
-  const served = owned.add(await storeServer.serveStore(memory));
-  const line = owned.add(await lineProxy.openLine(served.address.port, true));
-  const address = { host: '127.0.0.1', port: line.port };
+  const storeHttp = owned.add(await storeServer.serveStore(memory));
+  const link = owned.add(await lineProxy.openLine(storeHttp.address.port, true));
+  const address = { host: '127.0.0.1', port: link.port };
   const client = owned.add(
     httpClient.createHttpClient({
       clock: systemClock.systemClock,
@@ -55,13 +55,13 @@
       ...(await relayRpc.serveRelay(message, address, client.call)),
     }),
   });
-  const nothing = httpServer.toListener(() => {
+  const rejectAll = httpServer.toListener(() => {
     throw errors.fail('notFound', 'nothing');
   }, rpcServer.MAX_RPC_BYTES);
   const peer = owned.add(
     await httpServer.listen(
       { host: '127.0.0.1', port: 0, maxBodyBytes: rpcServer.MAX_RPC_BYTES, maxConnections: 64 },
-      rpcServer.createRpcListener(router, '', nothing),
+      rpcServer.createRpcListener(router, '', rejectAll),
     ),
   );
   const entry = rpcClient
@@ -88,12 +88,12 @@
   };
 };
 
-/** How attempts one after the other end. */
-const attempts = async (deed: () => Promise<unknown>): Promise<string[]> => {
+/** Retries an operation and returns the outcome of each attempt. */
+const retry = async (operation: () => Promise<unknown>): Promise<string[]> => {
   const seen: string[] = [];
-  for (let tries = 0; tries < ATTEMPTS; tries += 1) {
+  for (let attempt = 0; attempt < ATTEMPTS; attempt += 1) {
     try {
-      await deed();
+      await operation();
       return [...seen, 'done'];
     } catch (thrown) {
       seen.push(errors.normalize(thrown).message);
@@ -102,36 +102,40 @@
   return seen;
 };
 
-/** Below the default limit on a body. */
+/** Below the default limit on the size of a body. */
 const JOB_BYTES = 220_000;
 
-const BIG = 'x'.repeat(780_000);
+const LARGE_VALUE = 'x'.repeat(780_000);
 
-// Guards against calls that never succeed however often they are tried.
-test.describe('a long call on a line of 7 Mbit/s', () => {
-  test.it('is answered by way of another entry', async () => {
-    const rig = await createRig();
+// Guards against calls that fail on every retry.
+test.describe('a long call on a link of 7 Mbit/s', () => {
+  test.it('is answered through another entry', async () => {
+    const harness = await createHarness();
     try {
-      await rig.memory.transact({ conditions: [], puts: [{ key: KEY, value: BIG }], removes: [] });
-      const seen = await attempts(() => rig.relayed.list(KEY));
+      await harness.memory.transact({
+        conditions: [],
+        puts: [{ key: KEY, value: LARGE_VALUE }],
+        removes: [],
+      });
+      const seen = await retry(() => harness.relayed.list(KEY));
       assert.equal(seen.at(-1), 'done', seen.join('; '));
     } finally {
-      await rig.dispose();
+      await harness.dispose();
     }
   });
 
   test.it(
-    'is answered by way of another entry where a condition on a large record fails',
+    'is answered through another entry when a condition on a large record fails',
     async () => {
-      const rig = await createRig();
+      const harness = await createHarness();
       try {
-        await rig.memory.transact({
+        await harness.memory.transact({
           conditions: [],
-          puts: [{ key: KEY, value: BIG }],
+          puts: [{ key: KEY, value: LARGE_VALUE }],
           removes: [],
         });
-        const seen = await attempts(() =>
-          rig.relayed.transact({
+        const seen = await retry(() =>
+          harness.relayed.transact({
             conditions: [{ key: KEY, revision: 999 }],
             puts: [{ key: 'job', value: 'small' }],
             removes: [],
@@ -140,33 +144,37 @@
         );
         assert.equal(seen.at(-1), 'done', seen.join('; '));
       } finally {
-        await rig.dispose();
+        await harness.dispose();
       }
     },
   );
 
-  test.it('is answered whole beside seven others', async () => {
-    const rig = await createRig();
+  test.it('is answered completely beside seven concurrent calls', async () => {
+    const harness = await createHarness();
     try {
-      await rig.memory.transact({ conditions: [], puts: [{ key: KEY, value: BIG }], removes: [] });
-      const lists = Array.from({ length: 8 }, () => attempts(() => rig.direct.list(KEY)));
+      await harness.memory.transact({
+        conditions: [],
+        puts: [{ key: KEY, value: LARGE_VALUE }],
+        removes: [],
+      });
+      const lists = Array.from({ length: 8 }, () => retry(() => harness.direct.list(KEY)));
       const seen = await Promise.all(lists);
       assert.ok(
         seen.some((it) => it.at(-1) === 'done'),
         seen.flat().join('; '),
       );
     } finally {
-      await rig.dispose();
+      await harness.dispose();
     }
   });
 
-  test.it('stores two jobs of a size that is allowed', async () => {
-    const rig = await createRig();
+  test.it('stores two jobs of an allowed size', async () => {
+    const harness = await createHarness();
     try {
       const seen = await Promise.all(
         ['job-1', 'job-2'].map((key) =>
-          attempts(() =>
-            rig.direct.transact({
+          retry(() =>
+            harness.direct.transact({
               conditions: [],
               puts: [{ key, value: 'x'.repeat(JOB_BYTES) }],
               removes: [],
@@ -179,7 +187,7 @@
         seen.flat().join('; '),
       );
     } finally {
-      await rig.dispose();
+      await harness.dispose();
     }
   });
 });
--- a/src/soak/test/narrowLine.test.ts
+++ b/src/soak/test/narrowLine.test.ts
@@ -1,5 +1,5 @@
 /**
- * The programs of one entry VM on a line to the store that is narrow for what they read.
+ * The programs of one entry VM with a low-bandwidth link to the store, compared with what they read.
  */
 import * as assert from 'node:assert/strict';
 import * as childProcess from 'node:child_process';
@@ -34,11 +34,11 @@
 
 const FIRST = JSON.parse(bootFile.CONFIGURATION.value) as Configuration;
 
-/** A configuration with so many queues beside the first one. */
+/** Returns a configuration with this many queues added. */
 const configurationOf = (version: number, queues: number): string => {
-  const [model] = FIRST.routes;
+  const [template] = FIRST.routes;
   const added = Array.from({ length: queues }, (_, index) => ({
-    ...model,
+    ...template,
     name: `r-added-${index}`,
     prefix: `/added${index}/`,
     timeout_ms: 3000,
@@ -47,20 +47,20 @@
   return JSON.stringify({ ...FIRST, version, routes: [...FIRST.routes, ...added] });
 };
 
-interface Rig extends disposable.Disposable {
+interface Harness extends disposable.Disposable {
   readonly configure: (version: number, queues: number) => Promise<void>;
   readonly start: () => void;
   readonly status: (method: string, target: string, body?: string) => Promise<number>;
 }
 
-const createRig = async (): Promise<Rig> => {
+const createHarness = async (): Promise<Harness> => {
   const owned = disposable.createDisposableStore();
   const folder = fs.mkdtempSync(path.join(os.tmpdir(), 'auburnlift-line-'));
   owned.add({ dispose: () => fs.rmSync(folder, { recursive: true, force: true }) });
   const { firstPort } = owned.add(await portBlock.takePorts(process.pid));
   const store = memoryStore.createMemoryStore(systemClock.systemClock);
-  const served = owned.add(await storeServer.serveStore(store));
-  const line = owned.add(await lineProxy.openLine(served.address.port, true));
+  const server = owned.add(await storeServer.serveStore(store));
+  const link = owned.add(await lineProxy.openLine(server.address.port, true));
   const client = owned.add(
     httpClient.createHttpClient({
       clock: systemClock.systemClock,
@@ -87,7 +87,7 @@
       await store.transact({ conditions: [], puts: [{ key, value }], removes: [] });
     },
     start: () => {
-      const common = { peerPort: firstPort + 2, storeAddress: `127.0.0.1:${String(line.port)}` };
+      const common = { peerPort: firstPort + 2, storeAddress: `127.0.0.1:${String(link.port)}` };
       const addresses = { front: firstPort, ready: firstPort + 1 };
       run('poolEntry', { nodeId: 'edge-1', ...addresses, ...common });
       run('poolScheduler', { nodeId: 'edge-1s', ...common });
@@ -107,64 +107,64 @@
   };
 };
 
-/** Queues that a configuration adds, one configuration after the other. */
+/** Number of added queues in each successive configuration. */
 const CASES: readonly [name: string, queues: readonly number[]][] = [
   ['a configuration that fits into a short call', [400]],
   ['a configuration that takes longer than a short call', [2800]],
   ['a configuration that grows', [1400, 2800, 4200]],
 ];
 
-/** Calls about the job after each configuration, and the pause between them. */
-const LOOKS = 20;
-const LOOK_PAUSE_MS = 100;
+/** Reads of the job after each configuration, and the pause between them. */
+const READS = 20;
+const READ_PAUSE_MS = 100;
 
 const pause = (ms: number): Promise<void> =>
   new Promise((resolve) => {
     setTimeout(resolve, ms);
   });
 
-// Guards against an entry that never has its configuration, since it gives up each answer that is still coming.
-test.describe('an entry VM on a narrow line', () => {
+// Guards against an entry that never gets its configuration because it aborts each response that is still arriving.
+test.describe('an entry VM on a low-bandwidth link', () => {
   for (const [name, growth] of CASES) {
-    test.it(`tells of accepted jobs with ${name}`, async () => {
-      const rig = await createRig();
+    test.it(`reports accepted jobs with ${name}`, async () => {
+      const harness = await createHarness();
       try {
-        await rig.configure(1, 0);
-        rig.start();
+        await harness.configure(1, 0);
+        harness.start();
         await until.until(
           'the job is accepted',
-          async () => (await rig.status('POST', `/q/${JOB_ID}`, JOB)) === 200,
+          async () => (await harness.status('POST', `/q/${JOB_ID}`, JOB)) === 200,
         );
         for (const [step, queues] of growth.entries()) {
-          await rig.configure(step + 2, queues);
+          await harness.configure(step + 2, queues);
           await until.until(
             `${queues} queues are known`,
-            async () => (await rig.status('GET', `/added${queues - 1}/${JOB_ID}`)) === 200,
+            async () => (await harness.status('GET', `/added${queues - 1}/${JOB_ID}`)) === 200,
           );
           const seen: number[] = [];
-          for (let look = 0; look < LOOKS; look += 1) {
-            seen.push(await rig.status('GET', `/q/${JOB_ID}`));
-            await pause(LOOK_PAUSE_MS);
+          for (let read = 0; read < READS; read += 1) {
+            seen.push(await harness.status('GET', `/q/${JOB_ID}`));
+            await pause(READ_PAUSE_MS);
           }
-          assert.deepEqual(seen, Array<number>(LOOKS).fill(200), `with ${queues} queues`);
+          assert.deepEqual(seen, Array<number>(READS).fill(200), `with ${queues} queues`);
         }
       } finally {
-        await rig.dispose();
+        await harness.dispose();
       }
     });
   }
 
-  test.it('begins with a large configuration', async () => {
-    const rig = await createRig();
+  test.it('starts with a large configuration', async () => {
+    const harness = await createHarness();
     try {
-      await rig.configure(1, 4200);
-      rig.start();
+      await harness.configure(1, 4200);
+      harness.start();
       await until.until(
         'the job is accepted',
-        async () => (await rig.status('POST', `/q/${JOB_ID}`, JOB)) === 200,
+        async () => (await harness.status('POST', `/q/${JOB_ID}`, JOB)) === 200,
       );
     } finally {
-      await rig.dispose();
+      await harness.dispose();
     }
   });
 });
--- a/src/soak/test/promises.test.ts
+++ b/src/soak/test/promises.test.ts
@@ -1,5 +1,5 @@
 /**
- * Each promise that a soak judges by is broken once on purpose: a check that finds nothing proves nothing.
+ * Violates each invariant of a soak once on purpose, to show that its check can fail.
  */
 import * as assert from 'node:assert/strict';
 import * as test from 'node:test';
@@ -46,11 +46,11 @@
 const SUBMIT = call({ method: 'POST' });
 const FIRST = run({});
 const SECOND = run({ task: 'aa.0.1.0', startedAtMs: 300, endedAtMs: 400 });
-const SHOWN = call({ sentAtMs: 500, endedAtMs: 510, state: 'complete' });
+const COMPLETE = call({ sentAtMs: 500, endedAtMs: 510, state: 'complete' });
 
-const SOUND: evidence.Evidence = {
+const VALID: evidence.Evidence = {
   jobs: [JOB],
-  calls: [SUBMIT, SHOWN],
+  calls: [SUBMIT, COMPLETE],
   runs: [FIRST, SECOND],
   revocations: [],
   disturbances: [],
@@ -67,19 +67,19 @@
   changes: Partial<evidence.Evidence>,
   expected: RegExp | undefined,
 ][] = [
-  ['a sound soak', {}, undefined],
+  ['a valid soak', {}, undefined],
   [
-    'two runs of a task at once',
+    'concurrent runs of a task',
     { runs: [run({ endedAtMs: 250, how: 'stopped' }), run({ run: 2, startedAtMs: 249 }), SECOND] },
     /run 2 began while run 1 worked/,
   ],
   [
-    'a run after an end that was taken note of',
+    'a run after an acknowledged end',
     { runs: [FIRST, run({ run: 2, startedAtMs: 210, endedAtMs: 220 }), SECOND] },
     /run 2 began after the task was done/,
   ],
   [
-    'a run again after an end that went with its worker',
+    'a second run after an end that was never acknowledged',
     {
       runs: [
         run({ isAcknowledged: false }),
@@ -90,27 +90,27 @@
     undefined,
   ],
   [
-    'a refused job that runs',
+    'a running job whose submission was refused',
     { calls: [call({ method: 'POST', status: 503 })] },
     /every attempt to hand it in was refused/,
   ],
   [
-    'a job handed in with an open outcome that runs',
+    'a running job whose submission had an unknown outcome',
     { calls: [call({ method: 'POST', status: 503 }), call({ method: 'POST', status: 504 })] },
     undefined,
   ],
   [
-    'an accepted job that is forgotten',
-    { calls: [SUBMIT, call({ sentAtMs: 50, status: 410 }), SHOWN] },
+    'an accepted job that is later unknown',
+    { calls: [SUBMIT, call({ sentAtMs: 50, status: 410 }), COMPLETE] },
     /no such job/,
   ],
   [
-    'a job shown as complete too soon',
+    'a job reported as complete too soon',
     { calls: [SUBMIT, call({ sentAtMs: 300, endedAtMs: 310, state: 'complete' })] },
     /shown as complete before aa.0.1.0 was done/,
   ],
   [
-    'a job shown as failed without cause',
+    'a job reported as failed without enough failed runs',
     {
       calls: [SUBMIT, call({ sentAtMs: 300, endedAtMs: 310, state: 'failed' })],
       runs: [run({ how: 'failed' }), run({ run: 2, startedAtMs: 201, endedAtMs: 202 })],
@@ -118,17 +118,17 @@
     /shown as failed without 3 failed runs/,
   ],
   [
-    'an accepted job that stays open',
+    'an accepted job that never ends',
     { calls: [SUBMIT, call({ sentAtMs: 500, endedAtMs: 510, state: 'running' })] },
     /running long after the faults/,
   ],
   [
-    'work that is left over',
+    'a run that never ends',
     { runs: [FIRST, run({ task: 'aa.0.1.0', endedAtMs: undefined, how: undefined })] },
     /still works though its job has ended/,
   ],
   [
-    'a step before its turn',
+    'a step that starts before the step it depends on',
     { runs: [FIRST, run({ task: 'aa.0.1.0', startedAtMs: 150, workerIndex: 1 })] },
     /step 1 began before aa.0.0.0/,
   ],
@@ -138,45 +138,49 @@
     /brings worker 0 to 9 accelerators/,
   ],
   [
-    'a start that nobody asked for',
+    'a run with another payload than submitted',
     { runs: [FIRST, run({ ...SECOND, payload: 'other' })] },
     /something that nobody handed in/,
   ],
   [
-    'a key that is served after it was taken away',
+    'a revoked key that is served after the time bound',
     {
       revocations: [{ apiKey: 'key', atMs: 1000 }],
-      calls: [SUBMIT, SHOWN, call({ sentAtMs: 6001, state: 'complete', endedAtMs: 6002 })],
+      calls: [SUBMIT, COMPLETE, call({ sentAtMs: 6001, state: 'complete', endedAtMs: 6002 })],
     },
     /served a key that was taken away/,
   ],
   [
-    'a key that is served within its bound',
+    'a revoked key that is served within the time bound',
     {
       revocations: [{ apiKey: 'key', atMs: 1000 }],
-      calls: [SUBMIT, SHOWN, call({ sentAtMs: 5999, state: 'complete', endedAtMs: 6002 })],
+      calls: [SUBMIT, COMPLETE, call({ sentAtMs: 5999, state: 'complete', endedAtMs: 6002 })],
     },
     undefined,
   ],
-  ['a valid key that is refused', { calls: [SUBMIT, SHOWN, call({ status: 401 })] }, /valid key/],
-  ['a call cut off in a planned stop', { calls: [SUBMIT, SHOWN, CUT] }, /cut off GET aa/],
   [
-    'a call cut off by a fault',
+    'a valid key that is refused',
+    { calls: [SUBMIT, COMPLETE, call({ status: 401 })] },
+    /valid key/,
+  ],
+  ['a call cut during a planned stop', { calls: [SUBMIT, COMPLETE, CUT] }, /cut off GET aa/],
+  [
+    'a call cut by a fault',
     {
-      calls: [SUBMIT, SHOWN, CUT],
+      calls: [SUBMIT, COMPLETE, CUT],
       disturbances: [{ entry: 'edge-0', fromMs: 500, untilMs: 700 }],
     },
     undefined,
   ],
-  ['a process that ends by itself', { failures: ['edge-0 ended by itself: 1'] }, /by itself/],
+  ['a process that exits unexpectedly', { failures: ['edge-0 exited by itself: 1'] }, /by itself/],
 ];
 
-test.describe('the promises of a soak', () => {
+test.describe('the invariants of a soak', () => {
   for (const [name, changes, expected] of CASES) {
     test.it(name, () => {
-      const broken = promises.findBroken({ ...SOUND, ...changes });
-      if (expected === undefined) assert.deepEqual(broken, []);
-      else assert.match(broken.join('\n'), expected);
+      const violations = promises.findBroken({ ...VALID, ...changes });
+      if (expected === undefined) assert.deepEqual(violations, []);
+      else assert.match(violations.join('\n'), expected);
     });
   }
 });
--- a/src/soak/test/soak.test.ts
+++ b/src/soak/test/soak.test.ts
@@ -1,5 +1,5 @@
 /**
- * A short soak of the real programs, and every seed that ever failed.
+ * A short soak of the real programs.
  */
 import * as assert from 'node:assert/strict';
 import * as fs from 'node:fs';
@@ -9,14 +9,14 @@
 
 import * as soakRun from '../soakRun.js';
 
-/** Seeds with what they are kept for. */
-const SEEDS: readonly [seed: number, faultsMs: number, why: string][] = [
-  [1, 10_000, 'a short run with each change'],
+/** Seeds, each with the reason for running it. */
+const SEEDS: readonly [seed: number, faultsMs: number, reason: string][] = [
+  [1, 10_000, 'a short soak for every change'],
 ];
 
 test.describe('a soak of real processes', () => {
-  for (const [seed, faultsMs, why] of SEEDS) {
-    test.it(`seed ${seed}: ${why}`, async () => {
+  for (const [seed, faultsMs, reason] of SEEDS) {
+    test.it(`seed ${seed}: ${reason}`, async () => {
       const folder = fs.mkdtempSync(path.join(os.tmpdir(), `auburnlift-soak-${seed}-`));
       const sizes = { entries: 2, schedulers: 2, workers: 3 };
       const report = await soakRun.runSoak({ seed, faultsMs, sizes, folder });
