--- a/src/dev/demo.ts
+++ b/src/dev/demo.ts
@@ -1,6 +1,6 @@
 /**
- * The demo: requests from callers in all regions and a mix of jobs, judged by the stand-ins' own
- * records of what they executed.
+ * The demo: sends requests through all entries and a mix of jobs, and checks the results against what the
+ * stand-ins recorded as executed.
  */
 import * as ledgerHours from '../coordination/common/ledgerHours.js';
 import type * as configuration from '../state/common/configuration.js';
@@ -10,14 +10,14 @@
 import * as demoJobs from './demoJobs.js';
 import type * as devHost from './devHost.js';
 
-/** What the demo found. */
+/** Result of the demo. */
 export interface DemoResult {
   readonly rows: readonly (readonly [string, string])[];
-  /** Promises that were broken; empty in a good run. */
+  /** Violated invariants; empty if the demo passed. */
   readonly broken: readonly string[];
 }
 
-/** What the demo needs. */
+/** Options of the demo. */
 export interface DemoOptions {
   readonly host: devHost.DevHost;
   readonly document: configuration.ConfigurationDocument;
@@ -28,8 +28,8 @@
 }
 
 const REQUESTS_PER_ENTRY = 120;
-const REQUESTS_AT_ONCE = 12;
-const WAIT_LIMIT_MS = 22_000;
+const CONCURRENT_REQUESTS = 12;
+const WAIT_TIMEOUT_MS = 22_000;
 const POLL_MS = 100;
 const MS_PER_HOUR = 3_600_000;
 
@@ -38,13 +38,13 @@
   what: string,
   isDone: () => Promise<boolean>,
 ): Promise<boolean> => {
-  const untilMs = options.nowMs() + WAIT_LIMIT_MS;
+  const untilMs = options.nowMs() + WAIT_TIMEOUT_MS;
   while (options.nowMs() < untilMs) {
     const done = await isDone().catch(() => false);
     if (done) return true;
     await options.sleep(POLL_MS);
   }
-  options.print(`  gave up waiting: ${what}`);
+  options.print(`  timed out waiting for ${what}`);
   return false;
 };
 
@@ -53,13 +53,13 @@
   const results: demoClient.CallResult[] = [];
   const caller = async (entryIndex: number, lane: number): Promise<void> => {
     const { callersUrl } = options.host.entries[entryIndex]?.program ?? { callersUrl: '' };
-    for (let index = lane; index < REQUESTS_PER_ENTRY; index += REQUESTS_AT_ONCE) {
+    for (let index = lane; index < REQUESTS_PER_ENTRY; index += CONCURRENT_REQUESTS) {
       const customerId = customers[index % customers.length] ?? '';
       const requestId = `request-${entryIndex}-${index}`;
       results.push(await options.client.request(callersUrl, requestId, customerId));
     }
   };
-  const lanes = Array.from({ length: REQUESTS_AT_ONCE }, (_unused, lane) => lane);
+  const lanes = Array.from({ length: CONCURRENT_REQUESTS }, (_unused, lane) => lane);
   await Promise.all(
     options.host.entries.flatMap((_entry, index) => lanes.map((lane) => caller(index, lane))),
   );
@@ -77,8 +77,8 @@
   ...states: readonly job.JobState[]
 ): Promise<boolean> => states.includes(await stateOf(options, spec));
 
-/** Members that really ran, by job and attempt, from the workers' own records. */
-const startedMembers = (options: DemoOptions): ReadonlyMap<string, number> => {
+/** Number of members that ran in each attempt of a job, from the workers' records. */
+const countMembersByAttempt = (options: DemoOptions): ReadonlyMap<string, number> => {
   const started = new Map<string, number>();
   for (const vm of options.host.vms) {
     for (const run of vm.worker.runs()) {
@@ -89,26 +89,26 @@
   return started;
 };
 
-/** Jobs all of whose members ended by themselves in one attempt, from the workers' own records. */
-const jobsDone = (options: DemoOptions): number => {
-  const isWhole = new Map<string, boolean>();
+/** Number of jobs with an attempt in which every member completed, from the workers' records. */
+const countDoneJobs = (options: DemoOptions): number => {
+  const areAllDone = new Map<string, boolean>();
   for (const run of options.host.vms.flatMap((it) => it.worker.runs())) {
     const attempt = run.key.slice(0, run.key.lastIndexOf('/'));
-    isWhole.set(attempt, run.end === 'done' && (isWhole.get(attempt) ?? true));
+    areAllDone.set(attempt, run.end === 'done' && (areAllDone.get(attempt) ?? true));
   }
-  const done = [...isWhole].filter(([, whole]) => whole).map(([attempt]) => attempt);
+  const done = [...areAllDone].filter(([, isDone]) => isDone).map(([attempt]) => attempt);
   return new Set(done.map((it) => it.slice(0, it.lastIndexOf('/')))).size;
 };
 
-/** Accelerator time of everything that ran, from the workers' own records. */
-const hoursRun = (options: DemoOptions): number =>
+/** Accelerator-hours of all runs, from the workers' records. */
+const acceleratorHoursRun = (options: DemoOptions): number =>
   options.host.vms
     .flatMap((it) => it.worker.runs())
     .map((it) => it.accelerators.length * ((it.endedAtMs ?? options.nowMs()) - it.startedAtMs))
     .reduce((sum, it) => sum + it / MS_PER_HOUR, 0);
 
-/** A token that ran more than once anywhere would be a job that ran twice. */
-const doubleRuns = (options: DemoOptions): number => {
+/** Number of run keys that were executed more than once, on one or several workers. */
+const countDuplicateRuns = (options: DemoOptions): number => {
   const counts = new Map<string, number>();
   for (const vm of options.host.vms) {
     for (const run of vm.worker.runs()) counts.set(run.key, (counts.get(run.key) ?? 0) + 1);
@@ -130,8 +130,8 @@
 const kindOf = (result: demoClient.CallResult): string =>
   (result.body as { error?: { kind?: string } } | null)?.error?.kind ?? '';
 
-/** Hours by reason, and whether entries and capacity agree. */
-const readBooks = async (
+/** Accelerator-hours by reason, and by how much ledger entries and capacity differ. */
+const readLedger = async (
   options: DemoOptions,
 ): Promise<{ readonly hours: ReadonlyMap<string, number>; readonly imbalanceMs: number }> => {
   const hours = new Map<string, number>();
@@ -148,7 +148,7 @@
   return { hours, imbalanceMs };
 };
 
-/** A leader that is still taking its cell over refuses and says that nothing ran: ask again. */
+/** Submits a job; retries because a leader refuses jobs, with nothing run, during its takeover. */
 const submit = async (options: DemoOptions, spec: job.JobSpec): Promise<void> => {
   const { callersUrl } = options.host.entries[0]?.program ?? { callersUrl: '' };
   await waitFor(options, `${spec.jobId} to be accepted`, async () => {
@@ -178,7 +178,7 @@
     isInState(options, jobs.claim, 'running', 'done'),
   );
   print(
-    `jobs: guaranteed claim started ${Math.round(options.nowMs() - claimedAtMs)} ms after it was made`,
+    `jobs: guaranteed claim started ${Math.round(options.nowMs() - claimedAtMs)} ms after its submission`,
   );
   const ends = await Promise.all([
     waitFor(options, 'the gang to finish', () => isInState(options, jobs.gang, 'done')),
@@ -188,7 +188,7 @@
   return ends.every((it) => it);
 };
 
-const settled = (options: DemoOptions): Promise<boolean> =>
+const waitUntilReady = (options: DemoOptions): Promise<boolean> =>
   waitFor(options, 'the system to be ready', async () => {
     const { client, host } = options;
     const ready = await Promise.all(
@@ -201,11 +201,11 @@
 
 /**
  * @param options - the running system
- * @returns the table of what happened, and the promises that were broken
+ * @returns the result table and the violated invariants
  */
 export const runDemo = async (options: DemoOptions): Promise<DemoResult> => {
   const { print } = options;
-  await settled(options);
+  await waitUntilReady(options);
   print('all entries are ready and all cells are led');
   const jobs = demoJobs.createDemoJobs(options.document);
   const [results, haveJobsEnded] = await Promise.all([
@@ -219,28 +219,33 @@
   const unknown = results.filter((it) => kindOf(it) === 'outcomeUnknown');
   const refused = results.length - answered.length - unknown.length;
   const executions = executionsOf(options);
-  const twice = [...executions.values()].filter((it) => it > 1).length;
-  const wrong = answered.filter((it) => echoedId(it) !== it.requestId).length;
-  const refusedRan = results.filter(
+  const duplicates = [...executions.values()].filter((it) => it > 1).length;
+  const misdelivered = answered.filter((it) => echoedId(it) !== it.requestId).length;
+  const executedRefused = results.filter(
     (it) => it.status !== 200 && kindOf(it) !== 'outcomeUnknown' && executions.has(it.requestId),
   ).length;
-  // The last spans reach the store with the schedulers' next write.
+  // The last spans reach the store with the schedulers' next periodic write.
   await options.sleep(5500);
-  const books = await readBooks(options);
-  const gangMembers = [...startedMembers(options)].filter(([key]) => key.startsWith('gang-0/'));
-  const halfGangs = gangMembers.filter(([, count]) => count !== jobs.gang.members).length;
-  const jobsTwice = doubleRuns(options);
-  const hourRows = [...books.hours]
+  const ledger = await readLedger(options);
+  const gangMembers = [...countMembersByAttempt(options)].filter(([key]) =>
+    key.startsWith('gang-0/'),
+  );
+  const partialGangs = gangMembers.filter(([, count]) => count !== jobs.gang.members).length;
+  const duplicateRuns = countDuplicateRuns(options);
+  const hourRows = [...ledger.hours]
     .sort(([a], [b]) => a.localeCompare(b))
     .map(([reason, hours]) => [`accelerator-hours: ${reason}`, hours.toFixed(4)] as const);
   const checks: readonly (readonly [boolean, string])[] = [
-    [twice === 0, `${twice} requests ran twice`],
-    [wrong === 0, `${wrong} callers got another request's answer`],
-    [refusedRan === 0, `${refusedRan} refused requests ran`],
-    [jobsTwice === 0, `${jobsTwice} tasks ran twice`],
-    [gangMembers.length > 0 && halfGangs === 0, `${halfGangs} gangs started in part`],
-    [haveJobsEnded, 'not every job ended as it should'],
-    [books.imbalanceMs === 0, `the books are off by ${books.imbalanceMs} accelerator-ms`],
+    [duplicates === 0, `${duplicates} requests ran twice`],
+    [misdelivered === 0, `${misdelivered} callers got the response of another request`],
+    [executedRefused === 0, `${executedRefused} refused requests were executed`],
+    [duplicateRuns === 0, `${duplicateRuns} tasks ran twice`],
+    [gangMembers.length > 0 && partialGangs === 0, `${partialGangs} gangs started in part`],
+    [haveJobsEnded, 'not every job ended as expected'],
+    [
+      ledger.imbalanceMs === 0,
+      `the ledger differs from the capacity by ${ledger.imbalanceMs} accelerator-ms`,
+    ],
     [answered.length > 0, 'no request was answered'],
   ];
   return {
@@ -248,15 +253,15 @@
       ['requests answered', String(answered.length)],
       ['requests refused (did not run)', String(refused)],
       ['requests with unknown outcome', String(unknown.length)],
-      ['requests run twice', String(twice)],
-      ['jobs done', String(jobsDone(options))],
-      ['gangs started whole', String(gangMembers.length - halfGangs)],
-      ['gangs started in part', String(halfGangs)],
-      ['tasks run twice', String(jobsTwice)],
-      ['accelerator-hours run, by the workers', hoursRun(options).toFixed(4)],
+      ['requests run twice', String(duplicates)],
+      ['jobs done', String(countDoneJobs(options))],
+      ['gangs started complete', String(gangMembers.length - partialGangs)],
+      ['gangs started in part', String(partialGangs)],
+      ['tasks run twice', String(duplicateRuns)],
+      ['accelerator-hours run, by the workers', acceleratorHoursRun(options).toFixed(4)],
       ...hourRows,
-      ['books balance', books.imbalanceMs === 0 ? 'yes' : 'no'],
+      ['books balance', ledger.imbalanceMs === 0 ? 'yes' : 'no'],
     ],
-    broken: checks.filter(([isKept]) => !isKept).map(([, message]) => message),
+    broken: checks.filter(([isMet]) => !isMet).map(([, message]) => message),
   };
 };
--- a/src/dev/demoClient.ts
+++ b/src/dev/demoClient.ts
@@ -5,15 +5,15 @@
 import type * as job from '../state/common/job.js';
 import type * as ledgerEntry from '../state/common/ledgerEntry.js';
 
-/** What a caller got. */
+/** The response to a call. */
 export interface CallResult {
   readonly requestId: string;
   readonly status: number;
-  /** The body, parsed. */
+  /** The parsed body, or its text if it is not JSON. */
   readonly body: unknown;
 }
 
-/** The demo's view of the system, from outside. */
+/** The calls that the demo sends to the system. */
 export interface DemoClient {
   readonly request: (
     entryUrl: string,
--- a/src/dev/demoJobs.ts
+++ b/src/dev/demoJobs.ts
@@ -1,11 +1,11 @@
 /**
- * The jobs of the demo: borrowers that fill a cell, a gang over several workers, a claim that
- * reclaims what was lent, and a job that is cancelled.
+ * The jobs of the demo: borrowers that fill a cell, a gang over several workers, a guaranteed claim that
+ * reclaims borrowed accelerators, and a job that is cancelled.
  */
 import type * as configuration from '../state/common/configuration.js';
 import type * as job from '../state/common/job.js';
 
-/** The demo's jobs by the part they play. */
+/** The demo's jobs by their role. */
 export interface DemoJobs {
   /** Borrow spare accelerators until the cell is full. */
   readonly borrowers: readonly job.JobSpec[];
@@ -39,29 +39,29 @@
 };
 
 /**
- * @param document - the configuration in force
- * @returns the jobs for its first shape's cell
+ * @param document - the active configuration
+ * @returns the jobs; the borrowers and the claim use the cell of its first shape
  */
 export const createDemoJobs = (document: configuration.ConfigurationDocument): DemoJobs => {
   const [shape] = document.shapes;
   if (shape === undefined) throw new Error('the demo needs a shape in the configuration');
   const { cell } = shape;
-  const other = document.cells.find((it) => it.cell !== cell)?.cell ?? cell;
+  const otherCell = document.cells.find((it) => it.cell !== cell)?.cell ?? cell;
   const customerId = borrowerOf(document, cell);
-  const place = document.cells.find((it) => it.cell === cell);
-  const perWorker = place?.acceleratorsPerWorker ?? 8;
-  const total = (place?.workers ?? 1) * perWorker;
-  const half = Math.max(1, Math.floor(perWorker / 2));
-  const borrowers = Array.from({ length: Math.floor(total / half) }, (_unused, index) =>
-    specOf(`borrow-${index}`, LONG_RUN_MS, { customerId, cell, acceleratorsPerMember: half }),
+  const cellConfiguration = document.cells.find((it) => it.cell === cell);
+  const acceleratorsPerWorker = cellConfiguration?.acceleratorsPerWorker ?? 8;
+  const total = (cellConfiguration?.workers ?? 1) * acceleratorsPerWorker;
+  const halfWorker = Math.max(1, Math.floor(acceleratorsPerWorker / 2));
+  const borrowers = Array.from({ length: Math.floor(total / halfWorker) }, (_unused, index) =>
+    specOf(`borrow-${index}`, LONG_RUN_MS, { customerId, cell, acceleratorsPerMember: halfWorker }),
   );
   return {
     borrowers,
     gang: specOf('gang-0', GANG_RUN_MS, {
-      customerId: borrowerOf(document, other),
-      cell: other,
+      customerId: borrowerOf(document, otherCell),
+      cell: otherCell,
       members: 3,
-      acceleratorsPerMember: half,
+      acceleratorsPerMember: halfWorker,
       adjacency: 'zone',
     }),
     claim: specOf('claim-0', CLAIM_RUN_MS, {
@@ -69,13 +69,13 @@
       cell,
       claim: 'guaranteed',
       shapeId: shape.shapeId,
-      members: Math.max(1, Math.floor(shape.accelerators / perWorker)),
-      acceleratorsPerMember: Math.min(perWorker, shape.accelerators),
+      members: Math.max(1, Math.floor(shape.accelerators / acceleratorsPerWorker)),
+      acceleratorsPerMember: Math.min(acceleratorsPerWorker, shape.accelerators),
       adjacency: shape.adjacency,
     }),
     cancelled: specOf('cancel-0', LONG_RUN_MS, {
-      customerId: borrowerOf(document, other),
-      cell: other,
+      customerId: borrowerOf(document, otherCell),
+      cell: otherCell,
     }),
   };
 };
--- a/src/dev/deployment.ts
+++ b/src/dev/deployment.ts
@@ -1,5 +1,5 @@
 /**
- * What `auburnlift dev` hosts: the machines of a deployment, read from `deployment.jsonc`.
+ * Schema of `deployment.jsonc`: the machines of a deployment that `auburnlift dev` hosts.
  */
 import * as Schema from 'effect/Schema';
 
--- a/src/dev/devHost.ts
+++ b/src/dev/devHost.ts
@@ -22,12 +22,12 @@
 import type * as deployment from './deployment.js';
 import * as standinHost from './standinHost.js';
 
-/** What the host needs. */
+/** Options of the host. */
 export interface DevHostOptions {
   readonly deployment: deployment.Deployment;
   readonly document: configuration.ConfigurationDocument;
   readonly logLevel: 'debug' | 'info' | 'warn' | 'error';
-  /** How long a program that leaves finishes what is open; an entry takes requests for a quarter of it. */
+  /** Time for a draining program to finish open work; an entry accepts requests for a quarter of it. */
   readonly drainMs?: number;
 }
 
@@ -41,20 +41,20 @@
   readonly upstream: upstream.Upstream;
 }
 
-/** An entry with where it stands. */
+/** An entry with its region. */
 export interface DevEntry {
   readonly region: string;
   readonly program: entry.EntryProgram;
 }
 
-/** Everything that runs. */
+/** The running host with its programs and stand-ins. */
 export interface DevHost extends disposable.Disposable {
   readonly store: memoryStore.MemoryStore;
   readonly storeUrl: string;
   readonly entries: readonly DevEntry[];
   readonly schedulers: readonly processKit.Program[];
   readonly vms: readonly DevVm[];
-  /** A token with the write role. */
+  /** An operator token with the write role. */
   readonly operatorToken: string;
   readonly dispose: () => Promise<void>;
 }
@@ -108,11 +108,11 @@
   const vms: DevVm[] = [];
 
   const startEntryVm = async (region: string, zone: string, index: number): Promise<void> => {
-    const place = { region, zone };
+    const location = { region, zone };
     const program = await entry.startEntry({
       ...common,
       ...storeAccess,
-      ...place,
+      ...location,
       processId: `entry-${zone}-${index}`,
       callers: LOOPBACK,
       operators: LOOPBACK,
@@ -123,11 +123,11 @@
     entries.push({ region, program });
     owned.add(program);
     const processId = `scheduler-${zone}-${index}`;
-    const settingsOf = { ...common, ...storeAccess, ...place, processId };
-    schedulers.push(owned.add(await scheduler.startScheduler(settingsOf)));
+    const schedulerSettings = { ...common, ...storeAccess, ...location, processId };
+    schedulers.push(owned.add(await scheduler.startScheduler(schedulerSettings)));
   };
   const startVm = async (region: string, zone: string, index: number): Promise<void> => {
-    const { worker: size, upstream: service, workersPerRack } = options.deployment;
+    const { worker: workerSize, upstream: service, workersPerRack } = options.deployment;
     const workerId = `worker-${zone}-${index}`;
     const worker = owned.add(memoryWorker.createMemoryWorker(clock));
     const workerHttp = owned.add(await workerServer.serveWorker(worker));
@@ -138,7 +138,7 @@
       processId: `agent-${zone}-${index}`,
       entryUrls: entries.filter((it) => it.region === region).map((it) => it.program.peersUrl),
       worker: {
-        ...size,
+        ...workerSize,
         workerId,
         url: http.formatAddress(workerHttp.address),
         rack: `rack-${zone}-${Math.floor(index / workersPerRack)}`,
--- a/src/dev/examples.ts
+++ b/src/dev/examples.ts
@@ -22,8 +22,8 @@
 
 /**
  * @param name - one of {@link EXAMPLE_NAMES}
- * @returns the example as its files say
- * @throws AuburnliftError `invalidRequest` naming file, line and field
+ * @returns the example as read from its files
+ * @throws AuburnliftError `invalidRequest` that names the file, line and field
  */
 export const readExample = (name: string): Example => {
   const fileOf = (file: string): string => path.join(EXAMPLES, name, file);
--- a/src/dev/standinHost.ts
+++ b/src/dev/standinHost.ts
@@ -1,5 +1,5 @@
 /**
- * Hosts only the stand-ins of a deployment, at fixed ports, for programs that run as separate
+ * Hosts only the stand-ins of a deployment, on fixed ports, for programs that run as separate
  * processes.
  */
 import * as disposable from '../base/common/disposable.js';
@@ -17,13 +17,13 @@
 
 import type * as examples from './examples.js';
 
-/** Port of the store; the settings under `examples/` name it. */
+/** Port of the store, as configured in the settings under `examples/`. */
 export const STORE_PORT = 7400;
 
-/** Port of the first VM's worker; the next VM has the next one. */
+/** Port of the first VM's worker; each further VM uses the next port. */
 export const FIRST_WORKER_PORT = 7500;
 
-/** Port at which the first VM's upstream expects its agent; the next VM has the next one. */
+/** Port at which the first VM's upstream contacts its agent; each further VM uses the next port. */
 export const FIRST_AGENT_PORT = 7600;
 
 /** Running stand-ins. */
@@ -53,7 +53,7 @@
 
 /**
  * @param example - the deployment and its first configuration
- * @returns the stand-ins, listening at their fixed ports
+ * @returns the stand-ins, listening on their fixed ports
  */
 export const startStandinHost = async (example: examples.Example): Promise<StandinHost> => {
   const owned = disposable.createDisposableStore();
--- a/src/dev/test/badInput.test.ts
+++ b/src/dev/test/badInput.test.ts
@@ -1,6 +1,6 @@
 /**
- * Bad input from callers and customers: a typed answer that names the field and says that nothing
- * ran, and nothing else is disturbed.
+ * Invalid input from callers and customers gets a typed error that names the field and states that nothing
+ * ran, without affecting other work.
  */
 import * as assert from 'node:assert/strict';
 import * as test from 'node:test';
@@ -83,7 +83,7 @@
   },
   jobCase('an unknown field', { colour: 'red' }, 'invalidRequest', 'colour'),
   jobCase('a field of the wrong type', { members: '3' }, 'invalidRequest', 'members'),
-  jobCase('a number outside its limits', { members: 65 }, 'invalidRequest', 'members'),
+  jobCase('a number out of range', { members: 65 }, 'invalidRequest', 'members'),
   jobCase('an unknown customer', { customerId: 'nobody' }, 'invalidRequest', 'customerId'),
   jobCase('an unknown cell', { cell: 'nowhere' }, 'invalidRequest', 'cell'),
   jobCase(
@@ -100,7 +100,7 @@
     422,
   ),
   jobCase(
-    'a gang that no rack could hold',
+    'a gang larger than any rack',
     { members: 4, acceleratorsPerMember: 8, adjacency: 'rack' },
     'unrunnable',
     'members',
@@ -132,13 +132,13 @@
     403,
   ),
   callCase(
-    'a deadline that is no number',
+    'a deadline that is not a number',
     { 'auburnlift-customer': 'rosters', 'auburnlift-deadline-ms': 'soon' },
     'invalidRequest',
     'auburnlift-deadline-ms',
   ),
   callCase(
-    'a key with blanks',
+    'an idempotency key with spaces',
     { 'auburnlift-customer': 'rosters', 'idempotency-key': 'a b' },
     'invalidRequest',
     'idempotency-key',
@@ -151,7 +151,7 @@
   ),
 ];
 
-test.test('bad input gets a typed answer and disturbs nothing', async () => {
+test.test('invalid input gets a typed error and does not affect other work', async () => {
   const example = examples.readExample('kamarvaki');
   const host = await devHost.startDevHost({ ...example, logLevel: 'error' });
   const client = httpClient.createHttpClient({
@@ -179,7 +179,7 @@
     return (body.job as { state?: unknown } | undefined)?.state;
   };
   try {
-    await until.until('the job accepted and done', async () => (await send(submit)).status === 201);
+    await until.until('the job is accepted', async () => (await send(submit)).status === 201);
     for (const it of CASES) {
       const { status, body } = await send(it);
       const error = body.error as { kind?: string; field?: string; ran?: string } | undefined;
@@ -188,7 +188,7 @@
       assert.equal(error?.field, it.field, it.name);
       assert.equal(error?.ran, 'no', it.name);
     }
-    await until.until('the job accepted and done', async () => (await state()) === 'done');
+    await until.until('the job is done', async () => (await state()) === 'done');
     const runs = host.vms.flatMap((it) => it.worker.runs());
     assert.deepEqual(
       runs.map((it) => it.key),
--- a/src/dev/test/consoleBrowser.test.ts
+++ b/src/dev/test/consoleBrowser.test.ts
@@ -1,5 +1,5 @@
 /**
- * The console in a real browser: forms, conflicts and complaints as an operator meets them.
+ * The console in a real browser: forms, edit conflicts and validation errors.
  */
 import * as assert from 'node:assert/strict';
 import * as fs from 'node:fs';
@@ -35,7 +35,7 @@
   await page.getByRole('heading', { name: 'Overview' }).waitFor();
 };
 
-const textOf = (page: playwright.Page): Promise<string> => page.locator('main').innerText();
+const mainText = (page: playwright.Page): Promise<string> => page.locator('main').innerText();
 
 const fillCustomer = async (page: playwright.Page, id: string, quota: string): Promise<void> => {
   await page.getByLabel('Customer id').fill(id);
@@ -48,7 +48,7 @@
   await page.goto(`${url}/console/customers/new`);
   await fillCustomer(page, 'harbour', 'lots');
   await page.getByRole('button', { name: 'Save' }).click();
-  // A bad number gets its message beside the field, and nothing that was typed is lost.
+  // An invalid number shows its error beside the field, and all typed input is kept.
   assert.equal(await page.getByLabel('Quota').getAttribute('aria-invalid'), 'true');
   assert.match(await page.locator('#quotaAccelerators-error').innerText(), /integer.*"lots"/);
   assert.equal(await page.getByLabel('Quota').inputValue(), 'lots');
@@ -67,7 +67,7 @@
   await page.getByText('Version 3 is accepted.').waitFor();
 };
 
-test.test('an operator creates a customer with a shape and sees it in force', options, async () => {
+test.test('an operator adds a customer with a shape, which becomes active', options, async () => {
   const hosted = await consoleHost.startConsoleHost();
   const browser = await playwright.chromium.launch({
     executablePath: CHROMIUM,
@@ -75,7 +75,7 @@
   });
   try {
     const { operatorsUrl, host } = hosted;
-    // Scripts are off: every form works without them.
+    // JavaScript is disabled, because every form must work without it.
     const context = await browser.newContext({ javaScriptEnabled: false });
     const page = await context.newPage();
     page.setDefaultTimeout(TIMEOUT_MS);
@@ -83,10 +83,10 @@
     await createCustomerAndShape(page, operatorsUrl);
     await consoleHost.until(async () => {
       await page.goto(`${operatorsUrl}/console/status`);
-      return (await textOf(page)).includes('Version 3 is in force at all 17 processes');
+      return (await mainText(page)).includes('Version 3 is in force at all 17 processes');
     });
 
-    // Two operators open the same form. The second to save sees both changes, then adds its own.
+    // Two operators open the same form; the second to save gets a conflict that shows both changes.
     const other = await context.newPage();
     await page.goto(`${operatorsUrl}/console/customers/edit/harbour`);
     await other.goto(`${operatorsUrl}/console/customers/edit/harbour`);
@@ -98,15 +98,15 @@
     await page.getByLabel('Reason', { exact: true }).fill('they pay more');
     await page.getByRole('button', { name: 'Save' }).click();
     await page.getByRole('heading', { name: 'Conflict' }).waitFor();
-    const conflict = await textOf(page);
+    const conflict = await mainText(page);
     assert.match(conflict, /customers\[harbour\]\.quotaAccelerators\s+8\s+16/);
     assert.match(conflict, /customers\[harbour\]\.requestWeight\s+1\s+3/);
 
     await page.goto(`${operatorsUrl}/console/history`);
-    assert.match(await textOf(page), /they grow/);
-    assert.doesNotMatch(await textOf(page), /they pay more/);
+    assert.match(await mainText(page), /they grow/);
+    assert.doesNotMatch(await mainText(page), /they pay more/);
     await page.goto(`${operatorsUrl}/console/burn`);
-    assert.match(await textOf(page), /festival-start\s+festivals\s+startWithin, target 0\.99/);
+    assert.match(await mainText(page), /festival-start\s+festivals\s+startWithin, target 0\.99/);
     await page.goto(`${operatorsUrl}/console/view/nordur-a`);
     assert.equal(await page.locator('svg rect').count(), 32 + 7);
   } finally {
--- a/src/dev/test/consoleHost.ts
+++ b/src/dev/test/consoleHost.ts
@@ -2,14 +2,14 @@
  * A hosted deployment for tests of the console and of the operators' API.
  */
 import * as systemClock from '../../base/node/systemClock.js';
-import * as waiting from '../../standins/test/until.js';
+import * as polling from '../../standins/test/until.js';
 import type * as configuration from '../../state/common/configuration.js';
 import * as httpClient from '../../transport/node/httpClient.js';
 import * as demoClient from '../demoClient.js';
 import * as devHost from '../devHost.js';
 import * as examples from '../examples.js';
 
-/** The hosted deployment. */
+/** A hosted deployment with its configuration. */
 export interface ConsoleHost {
   readonly host: devHost.DevHost;
   readonly operatorsUrl: string;
@@ -18,15 +18,15 @@
 }
 
 /**
- * @param isDone - asked again and again
- * @returns once it is so
- * @throws AssertionError where it never is
+ * @param isDone - polled until it returns true
+ * @returns once the condition holds
+ * @throws AssertionError if it never holds
  */
 export const until = (isDone: () => Promise<boolean>): Promise<void> =>
-  waiting.until('what the console shows', isDone);
+  polling.until('the expected console state', isDone);
 
 /**
- * @returns the example of Kamarvaki, hosted, with every cell led
+ * @returns the hosted `kamarvaki` example, once every cell has a leader
  */
 export const startConsoleHost = async (): Promise<ConsoleHost> => {
   const example = examples.readExample('kamarvaki');
--- a/src/dev/test/examples.test.ts
+++ b/src/dev/test/examples.test.ts
@@ -1,5 +1,5 @@
 /**
- * The files under `examples/` fit their schemas, so that the README's commands work.
+ * The files under `examples/` match their schemas, so that the README's commands work.
  */
 import * as assert from 'node:assert/strict';
 import * as path from 'node:path';
@@ -26,11 +26,11 @@
   }
 });
 
-test.test('the settings of separate programs fit', () => {
-  const read = (file: string): string => path.join(SETTINGS, file);
-  const entry = settingsFile.readSettings(settings.EntrySettings, read('entry.jsonc'));
-  const scheduler = settingsFile.readSettings(settings.SchedulerSettings, read('scheduler.jsonc'));
-  const agent = settingsFile.readSettings(settings.AgentSettings, read('agent.jsonc'));
+test.test('the settings of separate programs match each other', () => {
+  const join = (file: string): string => path.join(SETTINGS, file);
+  const entry = settingsFile.readSettings(settings.EntrySettings, join('entry.jsonc'));
+  const scheduler = settingsFile.readSettings(settings.SchedulerSettings, join('scheduler.jsonc'));
+  const agent = settingsFile.readSettings(settings.AgentSettings, join('agent.jsonc'));
   assert.equal(entry.storeUrl, scheduler.storeUrl);
   assert.equal(entry.peerSecret, agent.peerSecret);
   assert.deepEqual(agent.entryUrls, [`http://127.0.0.1:${entry.peers.port}`]);
--- a/src/dev/test/operatorActions.test.ts
+++ b/src/dev/test/operatorActions.test.ts
@@ -1,5 +1,5 @@
 /**
- * What operators do to a system that runs: consent to a change that strands work, drain, quarantine.
+ * Operator actions on a running system: consent to a change that strands jobs, drain, quarantine.
  */
 import * as assert from 'node:assert/strict';
 import * as test from 'node:test';
@@ -50,7 +50,7 @@
   };
 };
 
-test.test('operators act on a system that runs', async (context) => {
+test.test('operator actions on a running system', async (context) => {
   const hosted = await consoleHost.startConsoleHost();
   const client = httpClient.createHttpClient({
     clock: systemClock.systemClock,
@@ -63,9 +63,9 @@
   const callersUrl = host.entries[0]?.program.callersUrl ?? '';
   const caller = demoClient.createDemoClient(client.call, host.operatorToken);
   try {
-    await context.test('a shape with a running guaranteed job goes only with consent', async () => {
-      // An operator deletes a shape while its customer's guaranteed job runs. Without a word the job
-      // would lose its right, and the customer learns of it when it is reclaimed in mid-plan.
+    await context.test('deletion of a shape with a guaranteed job needs consent', async () => {
+      // Guards against a deleted shape that silently takes the guarantee from a running job, so that the
+      // customer discovers it only when the job is preempted.
       const { claim } = demoJobs.createDemoJobs(document);
       const spec = { ...claim, payload: JSON.stringify({ runMs: LONG_RUN_MS }) };
       await consoleHost.until(async () => (await caller.submit(callersUrl, spec)).status === 201);
@@ -92,7 +92,7 @@
       });
     });
 
-    await context.test('a drained upstream gets no new request until it is back', async () => {
+    await context.test('a drained upstream gets no request until undrained', async () => {
       const upstreams = async (): Promise<readonly operatorGateway.UpstreamSummary[]> =>
         (
           (await send('GET', '/api/upstreams')).body as {
@@ -104,32 +104,32 @@
       const target = (await upstreams()).find((it) => it.zone === vm?.zone);
       assert.ok(target !== undefined);
       const { upstreamId } = target;
-      const served = (): number => {
+      const countExecutions = (): number => {
         const at = host.vms.find((it) => it.workerId.slice(6) === upstreamId.slice(8));
         assert.ok(at !== undefined);
         return at.upstream.executions().size;
       };
       const path = `/api/upstreams/${upstreamId}/drain`;
       assert.equal((await send('POST', path, { isDraining: true })).status, 200);
-      // The entry of the region knows before the operator has the answer.
-      const before = served();
+      // The region's entry applies the drain before the operator gets the response.
+      const before = countExecutions();
       for (let index = 0; index < REQUESTS; index += 1) {
         const result = await caller.request(callersUrl, `drain-${index}`, 'pumping');
         assert.equal(result.status, 200);
       }
-      assert.equal(served(), before);
+      assert.equal(countExecutions(), before);
       const back = await send('POST', path, { isDraining: false });
       assert.match(JSON.stringify(back.body), /"isLeaving":false/);
       const unknown = await send('POST', '/api/upstreams/none/drain', { isDraining: true });
       assert.equal(unknown.status, 404);
     });
 
-    await context.test('a worker in quarantine shows so, with the reason', async () => {
+    await context.test('a quarantined worker is shown with the reason', async () => {
       const { cell = '' } = document.cells[1] ?? {};
       const workerId = host.vms.find((it) => it.zone === cell)?.workerId ?? '';
       const path = `/api/cells/${cell}/quarantine`;
-      const wish = { workerId, isQuarantined: true, reason: 'fans are loud' };
-      const reply = await send('POST', path, wish);
+      const quarantine = { workerId, isQuarantined: true, reason: 'fans are loud' };
+      const reply = await send('POST', path, quarantine);
       assert.equal(reply.status, 200);
       assert.match(JSON.stringify(reply.body), /"quarantined","healthReason":"[^"]*fans are loud/);
     });
--- a/src/dev/test/requestsWhole.test.ts
+++ b/src/dev/test/requestsWhole.test.ts
@@ -1,5 +1,5 @@
 /**
- * Requests through real entries, agents and upstreams while the store is down and processes leave.
+ * Requests through real entries, agents and upstreams while the store is down and processes shut down.
  */
 import * as assert from 'node:assert/strict';
 import * as path from 'node:path';
@@ -21,7 +21,7 @@
 const TRIES = 300;
 const BATCH = 40;
 
-/** An entry that leaves still takes requests for five seconds, in which a busy machine sends the last one. */
+/** A draining entry accepts requests for a quarter of it (5 s): a busy machine needs that to send the last one. */
 const DRAIN_MS = 20_000;
 
 const DEPLOYMENT = {
@@ -39,10 +39,10 @@
       setTimeout(resolve, POLL_MS);
     });
   }
-  assert.fail('it never happened');
+  assert.fail('the condition never held');
 };
 
-const ranOf = (result: demoClient.CallResult): string => {
+const ranField = (result: demoClient.CallResult): string => {
   if (result.status === 200) return 'yes';
   return (result.body as { error?: { ran?: string } }).error?.ran ?? 'none';
 };
@@ -59,10 +59,10 @@
 };
 
 test.test(
-  'the store is down while an agent and an entry leave: nothing is cut, lost or doubled',
+  'no request is cut, lost or duplicated when an agent and an entry shut down during a store outage',
   async () => {
-    // The platform's store has an outage, and in the middle of it a VM and an entry are replaced.
-    // Drivers are calling all the while. Each must get its own whole plan or hear that nothing ran.
+    // Guards against lost or duplicated requests when a VM and an entry are replaced during a store outage:
+    // each caller must get its own complete response or an error that states that nothing ran.
     const document = settingsFile.readSettings(configuration.ConfigurationDocument, EXAMPLE);
     const host = await devHost.startDevHost({
       deployment: DEPLOYMENT,
@@ -81,7 +81,7 @@
       const [first, second] = host.entries.map((it) => it.program);
       assert.ok(first !== undefined && second !== undefined);
       let probes = 0;
-      const knowsAll = async (): Promise<boolean> => {
+      const areAllServing = async (): Promise<boolean> => {
         probes += 1;
         const ids = Array.from({ length: 12 }, (_, index) => `probe-${probes}-${index}`);
         const all = [first, second].flatMap((it) =>
@@ -92,31 +92,35 @@
       };
       await until(() => client.isReady(first.callersUrl));
       await until(() => client.isReady(second.callersUrl));
-      await until(knowsAll);
+      await until(areAllServing);
       host.store.faults.isDown = true;
       const sendBatch = (entryUrl: string, name: string): Promise<demoClient.CallResult>[] =>
         Array.from({ length: BATCH }, (_, index) =>
           client.request(entryUrl, `${name}-${index}`, 'festivals'),
         );
 
-      const isReached = (prefix: string): boolean =>
+      const hasExecuted = (prefix: string): boolean =>
         host.vms
           .flatMap((it) => [...it.upstream.executions().keys()])
           .some((it) => it.startsWith(prefix));
 
       const duringAgent = sendBatch(first.callersUrl, 'agent');
-      await until(() => Promise.resolve(isReached('agent-')));
+      await until(() => Promise.resolve(hasExecuted('agent-')));
       await host.vms[0]?.agent.shutdown();
       const duringEntry = sendBatch(second.callersUrl, 'entry');
-      await until(() => Promise.resolve(isReached('entry-')));
-      const leaving = second.shutdown();
-      assert.equal(await client.isReady(second.callersUrl), false, 'not ready before it refuses');
+      await until(() => Promise.resolve(hasExecuted('entry-')));
+      const shutdown = second.shutdown();
+      assert.equal(
+        await client.isReady(second.callersUrl),
+        false,
+        'it reports not ready before it refuses requests',
+      );
       const late = await client.request(second.callersUrl, 'late', 'festivals');
       const results = [...(await Promise.all([...duringAgent, ...duringEntry])), late];
-      await leaving;
+      await shutdown;
 
-      assert.ok(results.every((it) => ['yes', 'no'].includes(ranOf(it))));
-      assert.equal(late.status, 200, 'an entry that is not ready yet takes what still comes');
+      assert.ok(results.every((it) => ['yes', 'no'].includes(ranField(it))));
+      assert.equal(late.status, 200, 'a draining entry still accepts requests');
       assertOnce(host, results);
     } finally {
       await http.dispose();
--- a/src/dev/test/wholePath.test.ts
+++ b/src/dev/test/wholePath.test.ts
@@ -1,5 +1,5 @@
 /**
- * The whole path in one process: a request and a gang job through every role.
+ * End-to-end in one process: a request and a gang job through every role.
  */
 import * as assert from 'node:assert/strict';
 import * as test from 'node:test';
@@ -12,7 +12,7 @@
 import * as devHost from '../devHost.js';
 import * as examples from '../examples.js';
 
-test.test('a request is answered whole and a gang runs with all its members', async () => {
+test.test('a request is answered and a gang runs with all its members', async () => {
   const example = examples.readExample('kamarvaki');
   const host = await devHost.startDevHost({ ...example, logLevel: 'error' });
   const http = httpClient.createHttpClient({
@@ -26,14 +26,12 @@
     const [entry] = host.entries;
     assert.ok(entry !== undefined);
     const { callersUrl, operatorsUrl } = entry.program;
-    await until.until('ready, led, answered, accepted, done in turn', () =>
-      client.isReady(callersUrl),
-    );
-    await until.until('ready, led, answered, accepted, done in turn', async () =>
+    await until.until('the entry to be ready', () => client.isReady(callersUrl));
+    await until.until('every cell to have a leader', async () =>
       (await client.cells(operatorsUrl)).every((it) => it.isLed),
     );
 
-    await until.until('ready, led, answered, accepted, done in turn', async () => {
+    await until.until('the request to be answered', async () => {
       const result = await client.request(callersUrl, 'request-1', 'festivals');
       return result.status === 200;
     });
@@ -42,13 +40,13 @@
     assert.equal(executed[0]?.upstream.executions().get('request-1'), 1);
 
     const { gang } = demoJobs.createDemoJobs(example.document);
-    // A leader that is still taking over refuses, and says that nothing ran.
+    // A leader refuses jobs during its takeover and states that nothing ran.
     await until.until(
-      'ready, led, answered, accepted, done in turn',
+      'the gang to be accepted',
       async () => (await client.submit(callersUrl, gang)).status === 201,
     );
     await until.until(
-      'ready, led, answered, accepted, done in turn',
+      'the gang to be done',
       async () => (await client.show(callersUrl, gang)).state === 'done',
     );
     const runs = host.vms.flatMap((it) => it.worker.runs());
