--- a/src/soak/faults.ts
+++ b/src/soak/faults.ts
@@ -55,12 +55,12 @@
   return fault;
 };
 
-const onLink = (what: lineProxy.LineFault): Fault =>
+const onLink = (what: lineProxy.LinkFault): Fault =>
   onNode(`link ${what}`, (node, scene) => {
     const link = pick(scene, node.lines);
     link.setFault(what);
     return () => {
-      link.setFault(lineProxy.LineFault.none);
+      link.setFault(lineProxy.LinkFault.none);
       // Connections that lost bytes stay stalled; neither end is notified.
     };
   });
@@ -99,11 +99,11 @@
 
 /** Every kind of fault. */
 export const FAULTS: readonly Fault[] = [
-  onLink(lineProxy.LineFault.delay),
-  onLink(lineProxy.LineFault.refuse),
-  onLink(lineProxy.LineFault.silence),
-  onLink(lineProxy.LineFault.cutRequests),
-  onLink(lineProxy.LineFault.cutAnswers),
+  onLink(lineProxy.LinkFault.delay),
+  onLink(lineProxy.LinkFault.refuse),
+  onLink(lineProxy.LinkFault.silence),
+  onLink(lineProxy.LinkFault.cutRequests),
+  onLink(lineProxy.LinkFault.cutAnswers),
   onNode('reset', (node) => {
     node.lines.forEach((it) => it.reset());
     return NO_END;
@@ -129,9 +129,9 @@
     return () => node.process.signal('SIGUSR2');
   }),
   onNode('refused by the store', (node) => {
-    node.isTurnedAway = true;
+    node.isStoreDenied = true;
     return () => {
-      node.isTurnedAway = false;
+      node.isStoreDenied = false;
     };
   }),
   (scene) => {
--- a/src/soak/lineProxy.ts
+++ b/src/soak/lineProxy.ts
@@ -7,7 +7,7 @@
 import type * as disposable from '../base/common/disposable.js';
 
 /** What happens to the bytes of a link. */
-export const LineFault = {
+export const LinkFault = {
   none: 'none',
   /** Every chunk is forwarded after a delay, in order. */
   delay: 'delay',
@@ -21,14 +21,14 @@
   cutAnswers: 'cutAnswers',
 } as const;
 
-/** One of the values of {@link LineFault}. */
-export type LineFault = (typeof LineFault)[keyof typeof LineFault];
+/** One of the values of {@link LinkFault}. */
+export type LinkFault = (typeof LinkFault)[keyof typeof LinkFault];
 
 /** A link into which faults can be injected. */
 export interface LineProxy extends disposable.Disposable {
   readonly port: number;
   /** Applies a fault until the next call; connections that lost bytes stay stalled. */
-  readonly setFault: (fault: LineFault) => void;
+  readonly setFault: (fault: LinkFault) => void;
   /** Resets every open connection. */
   readonly reset: () => void;
   /** Stalls all open connections permanently; new ones work. */
@@ -62,7 +62,7 @@
   isStalled: boolean;
 }
 
-const IS_DROPPED: Readonly<Record<LineFault, (flow: Flow) => boolean>> = {
+const IS_DROPPED: Readonly<Record<LinkFault, (flow: Flow) => boolean>> = {
   none: () => false,
   delay: () => false,
   refuse: () => false,
@@ -92,7 +92,7 @@
   const connections = new Set<Connection>();
   const reserveForRequests = createBandwidthLimit();
   const reserveForAnswers = createBandwidthLimit();
-  let fault: LineFault = LineFault.none;
+  let fault: LinkFault = LinkFault.none;
 
   const forward = (connection: Connection, flow: Flow): void => {
     const { from, to } = flow;
@@ -102,7 +102,7 @@
       const deliver = (): void => {
         if (!connection.isStalled && !to.destroyed) action();
       };
-      if (fault === LineFault.delay) setTimeout(deliver, DELAY_MS);
+      if (fault === LinkFault.delay) setTimeout(deliver, DELAY_MS);
       else deliver();
     };
     /** Pauses the sender until the chunk has passed, since a link buffers little. */
@@ -127,7 +127,7 @@
   };
 
   const server = net.createServer({ allowHalfOpen: true }, (caller) => {
-    if (fault === LineFault.refuse) {
+    if (fault === LinkFault.refuse) {
       caller.on('error', () => undefined);
       resetSocket(caller);
       return;
--- a/src/soak/soakSite.ts
+++ b/src/soak/soakSite.ts
@@ -46,7 +46,7 @@
   readonly process: supervisedProcess.SupervisedProcess;
   readonly lines: readonly lineProxy.LineProxy[];
   /** Whether the store refuses this process while it serves the others. */
-  isTurnedAway: boolean;
+  isStoreDenied: boolean;
 }
 
 /** A running site. */
@@ -149,9 +149,9 @@
   };
 
   /** The store with the access of one process. */
-  const storeFor = (isTurnedAway: () => boolean): recordStore.RecordStore => {
+  const storeFor = (isStoreDenied: () => boolean): recordStore.RecordStore => {
     const checkAccess = (): void => {
-      if (isTurnedAway()) throw errors.fail('storeUnavailable', 'the store refuses this machine');
+      if (isStoreDenied()) throw errors.fail('storeUnavailable', 'the store refuses this machine');
     };
     return {
       get: async (key) => {
@@ -192,8 +192,8 @@
     worker: { readonly control: number; readonly workerAddress: string } | undefined,
     workerLink: lineProxy.LineProxy | undefined,
   ): Promise<SoakNode> => {
-    const state = { isTurnedAway: false };
-    const server = owned.add(await storeServer.serveStore(storeFor(() => state.isTurnedAway)));
+    const state = { isStoreDenied: false };
+    const server = owned.add(await storeServer.serveStore(storeFor(() => state.isStoreDenied)));
     const storeLink = await openLink(server.address.port, options.isNarrow);
     const env = bootFile.writeBootFile(options.folder, {
       nodeId: name,
--- a/src/soak/test/lineProxy.test.ts
+++ b/src/soak/test/lineProxy.test.ts
@@ -43,7 +43,7 @@
     socket.write(text);
   });
 
-const CASES: readonly [fault: lineProxy.LineFault, answer: string, received: readonly string[]][] =
+const CASES: readonly [fault: lineProxy.LinkFault, answer: string, received: readonly string[]][] =
   [
     ['none', 'a', ['a']],
     ['delay', 'a', ['a']],
