--- a/src/soak/faults.ts
+++ b/src/soak/faults.ts
@@ -19,7 +19,7 @@
   /** The kind of fault and its target, for the report. */
   readonly what: string;
   /** Processes whose calls it may cut; planned stops list none. */
-  readonly disturbs: readonly string[];
+  readonly affects: readonly string[];
   readonly end: () => void;
 }
 
@@ -37,9 +37,9 @@
   ...site.agents,
 ];
 
-const activeFault = (what: string, end = NO_END, disturbs: readonly string[] = []): BegunFault => ({
+const activeFault = (what: string, end = NO_END, affects: readonly string[] = []): BegunFault => ({
   what,
-  disturbs,
+  affects,
   end,
 });
 
--- a/src/soak/lineProxy.ts
+++ b/src/soak/lineProxy.ts
@@ -85,10 +85,10 @@
 
 /**
  * @param targetPort - loopback port that the link leads to
- * @param isNarrow - whether its bandwidth is limited
+ * @param isLowBandwidth - whether its bandwidth is limited
  * @returns the link, without a fault
  */
-export const openLine = async (targetPort: number, isNarrow = false): Promise<LineProxy> => {
+export const openLine = async (targetPort: number, isLowBandwidth = false): Promise<LineProxy> => {
   const connections = new Set<Connection>();
   const reserveForRequests = createBandwidthLimit();
   const reserveForAnswers = createBandwidthLimit();
@@ -116,7 +116,7 @@
     };
     from.on('data', (chunk: Buffer) =>
       forwardUnlessLost(() => {
-        if (isNarrow) forwardThrottled(chunk);
+        if (isLowBandwidth) forwardThrottled(chunk);
         else to.write(chunk);
       }),
     );
--- a/src/soak/soakRun.ts
+++ b/src/soak/soakRun.ts
@@ -76,7 +76,7 @@
     sizes: options.sizes,
     folder: options.folder,
     basePort: ports.firstPort,
-    isNarrow: random.createRandom(options.seed + 3)() > 1 - LOW_BANDWIDTH_SHARE,
+    isLowBandwidth: random.createRandom(options.seed + 3)() > 1 - LOW_BANDWIDTH_SHARE,
     gangOf: (task) => {
       const name = poolWorker.parseTaskName(task);
       const step = submittedJobs().find((it) => it.jobId === name?.jobId)?.steps[name?.step ?? 0];
@@ -119,7 +119,7 @@
     if (begin === undefined) return;
     const fault = begin(scene);
     const fromMs = time.monotonicMs();
-    const records = fault.disturbs.map((entry) => ({ entry, fromMs, untilMs: Infinity }));
+    const records = fault.affects.map((entry) => ({ entry, fromMs, untilMs: Infinity }));
     disturbances.push(...records);
     faultLog.push(`${((fromMs - startedAtMs) / 1000).toFixed(2)} s: ${fault.what}`);
     const end = (): void => {
--- a/src/soak/soakSite.ts
+++ b/src/soak/soakSite.ts
@@ -38,7 +38,7 @@
   /** Returns the size of the gang that a task belongs to. */
   readonly gangOf: (task: string) => number;
   /** Whether links to the store have low bandwidth and each configuration is larger than the previous one. */
-  readonly isNarrow: boolean;
+  readonly isLowBandwidth: boolean;
 }
 
 /** A process with the links that faults on it may disturb. */
@@ -133,8 +133,11 @@
   let version = 0;
   let nodeCount = 0;
 
-  const openLink = async (targetPort: number, isNarrow = false): Promise<lineProxy.LineProxy> =>
-    owned.add(await lineProxy.openLine(targetPort, isNarrow));
+  const openLink = async (
+    targetPort: number,
+    isLowBandwidth = false,
+  ): Promise<lineProxy.LineProxy> =>
+    owned.add(await lineProxy.openLine(targetPort, isLowBandwidth));
 
   const allocatePorts = (): number => {
     nodeCount += 1;
@@ -194,7 +197,7 @@
   ): Promise<SoakNode> => {
     const state = { isStoreDenied: false };
     const server = owned.add(await storeServer.serveStore(storeFor(() => state.isStoreDenied)));
-    const storeLink = await openLink(server.address.port, options.isNarrow);
+    const storeLink = await openLink(server.address.port, options.isLowBandwidth);
     const env = bootFile.writeBootFile(options.folder, {
       nodeId: name,
       storeAddress: `127.0.0.1:${storeLink.port}`,
@@ -279,7 +282,7 @@
   let lastWrite = Promise.resolve();
   const configure = (apiKeys: readonly string[]): Promise<void> => {
     version += 1;
-    const addedQueues = options.isNarrow
+    const addedQueues = options.isLowBandwidth
       ? Math.min(version * QUEUES_PER_VERSION, MAX_ADDED_QUEUES)
       : 0;
     const text = configurationText(version, apiKeys, addedQueues);
