--- a/src/bench/capacity/assumptions.ts
+++ b/src/bench/capacity/assumptions.ts
@@ -1,11 +1,11 @@
 /**
- * What the capacity page works from besides measurements: sizes that the users give, settings that
- * are recommended at each size, and assumptions of the project, each marked as such.
+ * Inputs of the capacity page other than measurements: deployment sizes given by the users,
+ * recommended settings for each size, and assumptions of the project. {@link SOURCES} names the origin of each.
  */
 
 import * as workerRegistry from '../../coordination/common/workerRegistry.js';
 
-/** Where a number comes from. */
+/** Origin of an input value. */
 export const Source = { given: 'given', setting: 'setting', assumed: 'assumed' } as const;
 
 /** One of the values of {@link Source}. */
@@ -24,19 +24,19 @@
   readonly queuedJobs: number;
   readonly runningJobs: number;
   readonly customers: number;
-  /** Period of an agent's report to its leader, which the leader sets by its workers and lease. */
+  /** Period of an agent's reports; the leader sets it from its number of workers and the lease duration. */
   readonly reportMs: number;
-  /** Period of an agent's look at its worker. */
+  /** Period at which an agent polls its worker. */
   readonly lookMs: number;
-  /** Term of a task lease. */
+  /** Duration of a task lease. */
   readonly taskLeaseMs: number;
-  /** Period of an agent's registration. */
+  /** Period at which an agent registers with entries. */
   readonly registerMs: number;
-  /** Entries that one agent registers with in each period. */
+  /** Number of entries that an agent registers with in each period. */
   readonly entriesPerAgent: number;
 }
 
-/** Sizes of one of today's deployments. */
+/** A deployment of the present size. */
 export const TODAY: DeploymentSize = {
   workers: 11,
   agents: 11,
@@ -56,7 +56,7 @@
   entriesPerAgent: 2,
 };
 
-/** The size that decides the design. */
+/** The target size that the design must support. */
 export const TARGET: DeploymentSize = {
   workers: 670,
   agents: 736,
@@ -76,7 +76,7 @@
   entriesPerAgent: 6,
 };
 
-/** Where the numbers of a size come from. */
+/** Origin of each value of a {@link DeploymentSize}. */
 export const SOURCES: Readonly<Record<keyof DeploymentSize, Source>> = {
   workers: 'given',
   agents: 'assumed',
@@ -96,7 +96,7 @@
   entriesPerAgent: 'setting',
 };
 
-/** What control may cost a node, as the users give it. */
+/** Limits set by the users on the cost of the control plane for each node. */
 export const BUDGET = {
   cpuShare: 0.017,
   residentMib: 256,
--- a/src/bench/capacity/byteRelay.ts
+++ b/src/bench/capacity/byteRelay.ts
@@ -1,11 +1,11 @@
 /**
- * A relay on loopback that counts the bytes of both directions, headers included.
+ * A TCP relay on loopback that counts the bytes in both directions, including headers.
  */
 import * as net from 'node:net';
 
 import type * as http from '../../base/common/http.js';
 
-/** The relay with what it counted. */
+/** A running relay and its byte count. */
 export interface ByteRelay {
   readonly url: string;
   readonly bytes: () => number;
@@ -13,7 +13,7 @@
 }
 
 /**
- * @param target - where connections go
+ * @param target - address that connections are forwarded to
  * @returns the relay, listening
  */
 export const startByteRelay = async (target: http.Address): Promise<ByteRelay> => {
--- a/src/bench/capacity/capacityModel.ts
+++ b/src/bench/capacity/capacityModel.ts
@@ -1,12 +1,12 @@
 /**
- * Works out what each role costs at a size, from measured slopes. Pure: the page is a function of
- * the committed measurements, and a test holds it to them.
+ * Computes the cost of each role at a deployment size from measured slopes. The functions are pure,
+ * so that a test can check the capacity page against the committed measurements.
  */
 import type * as assumptions from './assumptions.js';
 import type * as measurement from './measurement.js';
 import * as slopes from './slopes.js';
 
-/** What a node of a role spends for control on an ordinary day. */
+/** Control-plane cost of one node of a role under ordinary load. */
 export interface RoleCost {
   readonly messagesPerSecond: number;
   readonly cpuShare: number;
@@ -20,7 +20,7 @@
   readonly jobWritesPerSecond: number;
 }
 
-/** What follows an event that hits everything at once, in processor time of one node. */
+/** Cost for one node of events that affect all nodes or jobs concurrently. */
 export interface BurstCost {
   readonly entryReregisterCpuMs: number;
   readonly leaderTakeOverCpuMs: number;
@@ -30,10 +30,10 @@
 
 const MS_PER_SECOND = 1000;
 
-/** Of so many reports in a row one carries every task, the others what has changed. */
+/** One report in this many carries every task; the others carry only changes. */
 const REPORTS_PER_FULL = 9;
 
-/** Planning rounds a second that nothing but time triggers. */
+/** Planning rounds per second that are triggered by the timer alone. */
 const PERIODIC_ROUNDS_PER_SECOND = 0.5;
 const SECONDS_A_DAY = 86_400;
 
@@ -57,7 +57,7 @@
 /**
  * @param measured - the committed measurements
  * @param size - a deployment
- * @returns what one agent spends
+ * @returns the control-plane cost of one agent
  */
 export const agentCost = (
   measured: measurement.Measurements,
@@ -83,7 +83,7 @@
 /**
  * @param measured - the committed measurements
  * @param size - a deployment
- * @returns what a scheduler spends that leads one cell
+ * @returns the control-plane cost of a scheduler that leads one cell
  */
 export const schedulerCost = (
   measured: measurement.Measurements,
@@ -115,7 +115,7 @@
 /**
  * @param measured - the committed measurements
  * @param size - a deployment
- * @returns what an entry spends on control; callers' requests are its work and not counted here
+ * @returns the control-plane cost of an entry; serving callers' requests is not counted
  */
 export const entryCost = (
   measured: measurement.Measurements,
@@ -156,7 +156,7 @@
 /**
  * @param measured - the committed measurements
  * @param size - a deployment
- * @returns what the worst events cost the nodes that bear them
+ * @returns the cost of re-registration, leader takeover and requeueing for the affected node
  */
 export const burstCost = (
   measured: measurement.Measurements,
--- a/src/bench/capacity/fakeAgents.ts
+++ b/src/bench/capacity/fakeAgents.ts
@@ -1,6 +1,6 @@
 /**
- * Many agents in one process: each answers its leader at an address of its own, holds tasks and
- * reports, without a worker behind it.
+ * Simulates many agents in one process. Each serves the agent RPC on its own address, tracks its tasks
+ * and reports them, but has no worker.
  */
 import * as http from '../../base/common/http.js';
 import type * as agentEntryMessages from '../../protocol/common/agentEntryMessages.js';
@@ -10,24 +10,24 @@
 import * as httpServer from '../../transport/node/httpServer.js';
 import * as rpcServer from '../../transport/node/rpcServer.js';
 
-/** One agent that holds no worker. */
+/** A simulated agent without a worker. */
 export interface FakeAgent {
   readonly url: string;
   readonly registration: () => agentEntryMessages.RegisterRequest;
   readonly report: () => agentSchedulerMessages.ReportRequest;
-  /** Keeps the leader's stamp for the next report. */
-  readonly noteAnswer: (reply: agentSchedulerMessages.ReportReply) => void;
+  /** Stores the leader's `stampMs` for the next report. */
+  readonly recordReply: (reply: agentSchedulerMessages.ReportReply) => void;
   readonly dispose: () => void | Promise<void>;
 }
 
 const ACCELERATORS = 8;
 
-/** Agents that have been up for long: the leader grants them leases at once. */
+/** The leader grants leases immediately to agents with a long uptime. */
 const UPTIME_MS = 86_400_000;
 const MAX_BODY_BYTES = 2_097_152;
 
 /**
- * @param index - number of the agent
+ * @param index - index of the agent, used in its IDs
  * @param peerSecret - secret shared by the processes
  * @returns the agent, listening
  */
@@ -51,7 +51,7 @@
   });
   const keyOf = (token: task.TaskToken): string =>
     `${token.jobId}/${token.attempt}/${token.member}`;
-  const obey = (command: task.TaskCommand): void => {
+  const applyCommand = (command: task.TaskCommand): void => {
     const key = keyOf(command.token);
     if (command.type === 'stop' || command.type === 'release') held.delete(key);
     if (command.type === 'reserve') {
@@ -80,7 +80,7 @@
     },
     command: (request) => {
       commandCount += 1;
-      request.commands.forEach(obey);
+      request.commands.forEach(applyCommand);
       const results = request.commands.map(() => ({ isAccepted: true, isGone: false }));
       return Promise.resolve({ from, bootId, commandCount, results });
     },
@@ -124,7 +124,7 @@
       commandCount,
       tasks: [...held.values()],
     }),
-    noteAnswer: (reply) => {
+    recordReply: (reply) => {
       stampMs = reply.stampMs;
     },
     dispose: server.dispose,
@@ -132,7 +132,7 @@
 };
 
 /**
- * @param count - how many
+ * @param count - number of agents
  * @param peerSecret - secret shared by the processes
  * @returns the agents, listening
  */
--- a/src/bench/capacity/measureControl.ts
+++ b/src/bench/capacity/measureControl.ts
@@ -1,6 +1,6 @@
 /**
- * What agents' registrations and reports cost their two ends, against the number of agents and of
- * tasks, with the real entry and scheduler as child processes.
+ * Measures the cost of agents' registrations and reports for sender and receiver by the number of
+ * agents and tasks, with the real entry and scheduler as child processes.
  */
 import * as http from '../../base/common/http.js';
 import type * as childPrograms from '../../programs/test/childPrograms.js';
@@ -16,9 +16,9 @@
 const SIZES = [10, 40, 160] as const;
 const CALLS = 1600;
 
-/** A daemon runs for days: what counts is the cost once the code is compiled. */
+/** Calls before measuring: daemons run for days, so only the cost of compiled code matters. */
 const WARM_UP_CALLS = 4000;
-const AT_ONCE = 8;
+const CONCURRENCY = 8;
 const RELAYED_CALLS = 40;
 const BYTES_PER_MIB = 1_048_576;
 const TASKS_PER_WORKER = [0, 4, 8] as const;
@@ -32,14 +32,14 @@
 const costOf = async (
   receiver: childPrograms.ChildProgram,
   calls: number,
-  one: (index: number) => Promise<unknown>,
+  callOnce: (index: number) => Promise<unknown>,
 ): Promise<Cost> => {
   const receiverBefore = processUse.cpuMsOf(receiver.processId);
   const ownBefore = processUse.ownCpuMs();
-  const lane = async (first: number): Promise<void> => {
-    for (let index = first; index < calls; index += AT_ONCE) await one(index);
+  const callEvery = async (first: number): Promise<void> => {
+    for (let index = first; index < calls; index += CONCURRENCY) await callOnce(index);
   };
-  await Promise.all(Array.from({ length: AT_ONCE }, (_unused, first) => lane(first)));
+  await Promise.all(Array.from({ length: CONCURRENCY }, (_unused, first) => callEvery(first)));
   return {
     senderCpuMs: (processUse.ownCpuMs() - ownBefore) / calls,
     receiverCpuMs: (processUse.cpuMsOf(receiver.processId) - receiverBefore) / calls,
@@ -48,10 +48,10 @@
 
 const bytesOf = async (
   url: string,
-  one: (relayUrl: string, index: number) => Promise<unknown>,
+  callOnce: (relayUrl: string, index: number) => Promise<unknown>,
 ): Promise<number> => {
   const relay = await byteRelay.startByteRelay(http.parseAddress(url));
-  for (let index = 0; index < RELAYED_CALLS; index += 1) await one(relay.url, index);
+  for (let index = 0; index < RELAYED_CALLS; index += 1) await callOnce(relay.url, index);
   const bytes = relay.bytes() / RELAYED_CALLS;
   relay.dispose();
   return bytes;
@@ -59,7 +59,7 @@
 
 const urlOf = (program: childPrograms.ChildProgram): string => program.started.get('url') ?? '';
 
-const pick = (agents: readonly fakeAgents.FakeAgent[], index: number): fakeAgents.FakeAgent =>
+const agentAt = (agents: readonly fakeAgents.FakeAgent[], index: number): fakeAgents.FakeAgent =>
   agents[index % agents.length] as fakeAgents.FakeAgent;
 
 const measureRegistrations = async (
@@ -71,7 +71,7 @@
   const entry = await parts.startEntry(`entry-${size}`);
   const url = urlOf(entry);
   const register = (index: number): Promise<unknown> =>
-    parts.clients.entry(url).register(pick(agents, index).registration());
+    parts.clients.entry(url).register(agentAt(agents, index).registration());
   await costOf(entry, WARM_UP_CALLS, register);
   const cost = await costOf(entry, CALLS, register);
   recorder.point('registrationReceiverCpuMs by agents', size, cost.receiverCpuMs);
@@ -79,7 +79,7 @@
   const residentMib = processUse.residentBytesOf(entry.processId) / BYTES_PER_MIB;
   recorder.point('entryResidentMib by agents', size, residentMib);
   const bytes = await bytesOf(url, (relayUrl) =>
-    parts.clients.entry(relayUrl).register(pick(agents, 0).registration()),
+    parts.clients.entry(relayUrl).register(agentAt(agents, 0).registration()),
   );
   recorder.point('registrationBytes by agents', size, bytes);
   await entry.kill();
@@ -88,20 +88,20 @@
 const reportTo =
   (parts: rigs.Rig, url: string, agents: readonly fakeAgents.FakeAgent[]) =>
   async (index: number): Promise<unknown> => {
-    const agent = pick(agents, index);
+    const agent = agentAt(agents, index);
     const reply = await parts.clients.scheduler(url).report(agent.report());
-    agent.noteAnswer(reply);
+    agent.recordReply(reply);
     return reply;
   };
 
-const takeCell = async (
+const startLeader = async (
   parts: rigs.Rig,
   processId: string,
   agents: readonly fakeAgents.FakeAgent[],
 ): Promise<childPrograms.ChildProgram> => {
   const scheduler = await parts.startScheduler(processId);
   const report = reportTo(parts, urlOf(scheduler), agents);
-  await parts.until('the cell led', async () => {
+  await parts.until('the cell has a leader', async () => {
     await report(0);
     return true;
   });
@@ -115,7 +115,7 @@
   recorder: measurement.Recorder,
 ): Promise<void> => {
   const size = agents.length;
-  const scheduler = await takeCell(parts, `scheduler-${size}`, agents);
+  const scheduler = await startLeader(parts, `scheduler-${size}`, agents);
   const report = reportTo(parts, urlOf(scheduler), agents);
   await costOf(scheduler, WARM_UP_CALLS, report);
   const cost = await costOf(scheduler, CALLS, report);
@@ -142,7 +142,7 @@
 
 const storeWrites = (parts: rigs.Rig): number => parts.store.calls().cas ?? 0;
 
-/** Planning rounds of a scheduler since its start, from its own metrics. */
+/** Number of planning rounds since the scheduler started, read from its metrics. */
 const planRounds = async (parts: rigs.Rig, url: string): Promise<number> => {
   const reply = await parts.client.call({
     address: http.parseAddress(url),
@@ -156,11 +156,11 @@
   return Number(/^auburnlift_plan_ms_count\{[^}]*\} (\d+)$/m.exec(text)?.[1] ?? 0);
 };
 
-/** Reports that carry tasks, and what submissions cost, with jobs that run. */
+/** Measures reports that carry tasks, and the cost of submissions, with running jobs. */
 const measureTasks = async (recorder: measurement.Recorder): Promise<void> => {
   const parts = await rig.startRig(TASK_WORKERS);
   const agents = await fakeAgents.startFakeAgents(TASK_WORKERS, parts.peerSecret);
-  const scheduler = await takeCell(parts, 'scheduler-tasks', agents);
+  const scheduler = await startLeader(parts, 'scheduler-tasks', agents);
   const url = urlOf(scheduler);
   const report = reportTo(parts, url, agents);
   const from = { processId: 'bench', role: 'entry', configVersion: 1 } as const;
@@ -179,7 +179,7 @@
     await submitRange(submitted, wanted);
     submitted = wanted;
     const held = (): number => agents.reduce((sum, it) => sum + it.report().tasks.length, 0);
-    await parts.until('all tasks held', () => Promise.resolve(held() === wanted));
+    await parts.until('agents hold all tasks', () => Promise.resolve(held() === wanted));
     if (added > 0) {
       const cpuMs = processUse.cpuMsOf(scheduler.processId) - cpuBefore;
       recorder.point('submitToRunningCpuMs by burst', added, cpuMs / added);
@@ -200,7 +200,7 @@
 };
 
 /**
- * @param recorder - takes the measurements
+ * @param recorder - collects the measurements
  */
 export const measureControl = async (recorder: measurement.Recorder): Promise<void> => {
   for (const size of SIZES) {
--- a/src/bench/capacity/measureIdle.ts
+++ b/src/bench/capacity/measureIdle.ts
@@ -1,5 +1,5 @@
 /**
- * What each program spends when nothing happens: processor time, memory and store calls.
+ * Measures the cost of each program when idle: processor time, memory and store calls.
  */
 import * as http from '../../base/common/http.js';
 import * as systemClock from '../../base/node/systemClock.js';
@@ -14,7 +14,7 @@
 
 const IDLE_MS = 12_000;
 
-/** A program's first seconds go into loading and compiling, and say nothing of its day. */
+/** The first seconds go to loading and compiling and don't represent the idle cost. */
 const SETTLE_MS = 16_000;
 const MS_PER_SECOND = 1000;
 const BYTES_PER_MIB = 1_048_576;
@@ -32,7 +32,10 @@
     setTimeout(resolve, durationMs);
   });
 
-const watchIdle = async (parts: rigs.Rig, program: childPrograms.ChildProgram): Promise<Idle> => {
+const measureIdleUse = async (
+  parts: rigs.Rig,
+  program: childPrograms.ChildProgram,
+): Promise<Idle> => {
   await sleep(SETTLE_MS);
   const callsBefore = callsOf(parts);
   const cpuBefore = processUse.cpuMsOf(program.processId);
@@ -46,7 +49,7 @@
 
 const measureEntry = async (recorder: measurement.Recorder): Promise<void> => {
   const parts = await rig.startRig(1);
-  const idle = await watchIdle(parts, await parts.startEntry('entry-idle'));
+  const idle = await measureIdleUse(parts, await parts.startEntry('entry-idle'));
   recorder.figure('entryIdleStoreCallsPerSecond', idle.storeCallsPerSecond);
   recorder.figure('entryIdleCpuMsPerSecond', idle.cpuMsPerSecond);
   await parts.dispose();
@@ -54,7 +57,7 @@
 
 const measureScheduler = async (recorder: measurement.Recorder): Promise<void> => {
   const parts = await rig.startRig(1);
-  const idle = await watchIdle(parts, await parts.startScheduler('scheduler-idle'));
+  const idle = await measureIdleUse(parts, await parts.startScheduler('scheduler-idle'));
   recorder.figure('schedulerIdleStoreCallsPerSecond', idle.storeCallsPerSecond);
   recorder.figure('schedulerIdleCpuMsPerSecond', idle.cpuMsPerSecond);
   await parts.dispose();
@@ -68,9 +71,9 @@
   const entryUrl = entry.started.get('url') ?? '';
   const workerUrl = http.formatAddress(workerHttp.address);
   const agent = await parts.startAgent('agent-idle', entryUrl, workerUrl);
-  const idle = await watchIdle(parts, agent);
-  const looks = MS_PER_SECOND / rig.AGENT_LOOK_MS;
-  recorder.figure('agentLookCpuMs', idle.cpuMsPerSecond / looks);
+  const idle = await measureIdleUse(parts, agent);
+  const pollsPerSecond = MS_PER_SECOND / rig.AGENT_LOOK_MS;
+  recorder.figure('agentLookCpuMs', idle.cpuMsPerSecond / pollsPerSecond);
   const residentMib = processUse.residentBytesOf(agent.processId) / BYTES_PER_MIB;
   recorder.figure('agentResidentMib', residentMib);
   await parts.dispose();
@@ -79,7 +82,7 @@
 };
 
 /**
- * @param recorder - takes the measurements
+ * @param recorder - collects the measurements
  */
 export const measureIdle = async (recorder: measurement.Recorder): Promise<void> => {
   await Promise.all([measureEntry(recorder), measureScheduler(recorder), measureAgent(recorder)]);
--- a/src/bench/capacity/measureInForce.ts
+++ b/src/bench/capacity/measureInForce.ts
@@ -1,5 +1,5 @@
 /**
- * The time from an accepted configuration until every entry has it in force, against their number.
+ * Measures the time from writing a configuration until it is active at every entry, by number of entries.
  */
 import * as perfHooks from 'node:perf_hooks';
 
@@ -31,7 +31,7 @@
 };
 
 /**
- * @param recorder - takes the measurements
+ * @param recorder - collects the measurements
  */
 export const measureInForce = async (recorder: measurement.Recorder): Promise<void> => {
   for (const size of SIZES) {
@@ -39,16 +39,16 @@
     const indexes = Array.from({ length: size }, (_unused, index) => index);
     const entries = await Promise.all(indexes.map((index) => parts.startEntry(`entry-${index}`)));
     const urls = entries.map((it) => it.started.get('url') ?? '');
-    const allHave = async (version: number): Promise<boolean> => {
+    const isActiveAtAll = async (version: number): Promise<boolean> => {
       const have = await Promise.all(urls.map((it) => hasVersion(parts, it, version)));
       return have.every((it) => it);
     };
-    await parts.until('the first version everywhere', () => allHave(1));
+    await parts.until('the first version active at all entries', () => isActiveAtAll(1));
     let slowestMs = 0;
     for (let version = 1; version <= CHANGES; version += 1) {
       const startedMs = perfHooks.performance.now();
       await write(parts, version);
-      await parts.until('the change in force', () => allHave(version + 1));
+      await parts.until('the change active at all entries', () => isActiveAtAll(version + 1));
       slowestMs = Math.max(slowestMs, perfHooks.performance.now() - startedMs);
     }
     recorder.point('inForceAtEntriesMs by entries', size, slowestMs);
--- a/src/bench/capacity/measurePlanning.ts
+++ b/src/bench/capacity/measurePlanning.ts
@@ -1,6 +1,6 @@
 /**
- * What one planning round costs, against workers and queued jobs, and what decoding the
- * configuration costs, against customers.
+ * Measures the cost of a planning round by workers and queued jobs, and the cost of decoding the
+ * configuration by customers.
  */
 import * as schemaIssues from '../../base/common/schemaIssues.js';
 import * as placement from '../../coordination/common/placement.js';
@@ -84,7 +84,7 @@
 };
 
 /**
- * @param recorder - takes the measurements
+ * @param recorder - collects the measurements
  */
 export const measurePlanning = (recorder: measurement.Recorder): void => {
   for (const workers of WORKERS) {
--- a/src/bench/capacity/measureRequests.ts
+++ b/src/bench/capacity/measureRequests.ts
@@ -1,6 +1,6 @@
 /**
- * What one caller's request costs the entry and the agent, against its size, with the real programs
- * and a stand-in upstream.
+ * Measures the cost of a caller's request for the entry and the agent by request size, with the real
+ * programs and a stand-in upstream.
  */
 import * as http from '../../base/common/http.js';
 import * as systemClock from '../../base/node/systemClock.js';
@@ -16,7 +16,7 @@
 const TIMEOUT_MS = 10_000;
 
 /**
- * @param recorder - takes the measurements
+ * @param recorder - collects the measurements
  */
 export const measureRequests = async (recorder: measurement.Recorder): Promise<void> => {
   const parts = await rig.startRig(1);
--- a/src/bench/capacity/measureTakeOver.ts
+++ b/src/bench/capacity/measureTakeOver.ts
@@ -1,5 +1,5 @@
 /**
- * How long a new scheduler needs for a cell, against the cell's workers.
+ * Measures how long a new scheduler takes to lead a cell after a release, by the cell's number of workers.
  */
 import * as perfHooks from 'node:perf_hooks';
 
@@ -15,12 +15,12 @@
     setTimeout(resolve, durationMs);
   });
 
-const takeOver = async (size: number, recorder: measurement.Recorder): Promise<void> => {
+const measureSize = async (size: number, recorder: measurement.Recorder): Promise<void> => {
   const parts = await rig.startRig(size);
   const agents = await fakeAgents.startFakeAgents(size, parts.peerSecret);
   const first = await parts.startScheduler('scheduler-1');
   const firstUrl = first.started.get('url') ?? '';
-  await parts.until('the cell led', async () => {
+  await parts.until('the cell has a leader', async () => {
     await Promise.all(agents.map((it) => parts.clients.scheduler(firstUrl).report(it.report())));
     return true;
   });
@@ -30,7 +30,7 @@
   await first.terminate();
   const releasedMs = perfHooks.performance.now();
   const [agent] = agents;
-  await parts.until('the cell led again', async () => {
+  await parts.until('the cell has a new leader', async () => {
     if (agent !== undefined) await parts.clients.scheduler(secondUrl).report(agent.report());
     return true;
   });
@@ -42,8 +42,8 @@
 };
 
 /**
- * @param recorder - takes the measurements
+ * @param recorder - collects the measurements
  */
 export const measureTakeOver = async (recorder: measurement.Recorder): Promise<void> => {
-  for (const size of SIZES) await takeOver(size, recorder);
+  for (const size of SIZES) await measureSize(size, recorder);
 };
--- a/src/bench/capacity/measurement.ts
+++ b/src/bench/capacity/measurement.ts
@@ -1,14 +1,14 @@
 /**
- * The form of the committed measurements: named slopes and single figures.
+ * Format of the committed measurements: named slopes and single figures.
  */
 import type * as slopes from './slopes.js';
 
-/** Everything that one run measured. */
+/** All measurements of one run. */
 export interface Measurements {
   readonly machine: string;
-  /** Lines by name; the name says value, unit and what it grows with. */
+  /** Fitted lines by name; the name gives the value, its unit and the variable it depends on. */
   readonly slopes: Readonly<Record<string, slopes.Slope>>;
-  /** Single figures by name; the name carries the unit. */
+  /** Single figures by name; the name includes the unit. */
   readonly figures: Readonly<Record<string, number>>;
 }
 
@@ -21,8 +21,8 @@
 }
 
 /**
- * @param print - prints a line for each measurement
- * @returns a recorder without measurements
+ * @param print - called with a line for each measurement
+ * @returns an empty recorder
  */
 export const createRecorder = (print: (line: string) => void): Recorder => {
   const points = new Map<string, slopes.Point[]>();
--- a/src/bench/capacity/processUse.ts
+++ b/src/bench/capacity/processUse.ts
@@ -1,20 +1,20 @@
 /**
- * Processor time and memory of a process, read from the kernel.
+ * Reads processor time and memory of a process from the kernel.
  */
 import * as fs from 'node:fs';
 
-/** Clock ticks a second of the kernel's accounting on Linux. */
+/** Clock ticks per second in Linux process accounting. */
 const TICKS_PER_SECOND = 100;
 const MS_PER_SECOND = 1000;
 const BYTES_PER_KIB = 1024;
 
-/** Fields of a process's stat line, counted after the name in parentheses. */
+/** Field indexes in `/proc/PID/stat`, counted after the process name in parentheses. */
 const USER_TICKS_FIELD = 11;
 const SYSTEM_TICKS_FIELD = 12;
 
 /**
  * @param processId - a child process
- * @returns processor time since its start, in milliseconds, in steps of ten
+ * @returns processor time since its start in milliseconds, with a resolution of ten
  */
 export const cpuMsOf = (processId: number): number => {
   const stat = fs.readFileSync(`/proc/${processId}/stat`, 'utf8');
@@ -25,7 +25,7 @@
 
 /**
  * @param processId - a child process
- * @returns its resident memory
+ * @returns its resident memory in bytes
  */
 export const residentBytesOf = (processId: number): number => {
   const status = fs.readFileSync(`/proc/${processId}/status`, 'utf8');
--- a/src/bench/capacity/renderPage.ts
+++ b/src/bench/capacity/renderPage.ts
@@ -1,14 +1,14 @@
 /**
- * The derived tables of `docs/CAPACITY.md`, rendered from the committed measurements.
+ * Renders the derived tables of `docs/CAPACITY.md` from the committed measurements.
  */
 import * as assumptions from './assumptions.js';
 import * as capacityModel from './capacityModel.js';
 import type * as measurement from './measurement.js';
 
-/** Lines between which the derived tables stand on the page. */
+/** Line before the derived tables on the page. */
 export const BEGIN_MARK = '<!-- derived from docs/capacity/measurements.json: begin -->';
 
-/** See {@link BEGIN_MARK}. */
+/** Line after the derived tables on the page. */
 export const END_MARK = '<!-- derived from docs/capacity/measurements.json: end -->';
 
 const PERCENT = 100;
@@ -131,7 +131,7 @@
 
 /**
  * @param measured - the committed measurements
- * @returns the page's derived part, marks included
+ * @returns the derived section of the page, including the marker lines
  */
 export const renderDerived = (measured: measurement.Measurements): string =>
   [
@@ -153,11 +153,11 @@
 /**
  * @param page - the page's text
  * @param derived - see {@link renderDerived}
- * @returns the page with its derived part replaced
+ * @returns the page with its derived section replaced
  */
 export const replaceDerived = (page: string, derived: string): string => {
   const begin = page.indexOf(BEGIN_MARK);
   const end = page.indexOf(END_MARK);
-  if (begin < 0 || end < begin) throw new Error('the page has no marks for its derived part');
+  if (begin < 0 || end < begin) throw new Error('the page lacks its marker lines');
   return page.slice(0, begin) + derived + page.slice(end + END_MARK.length);
 };
--- a/src/bench/capacity/rig.ts
+++ b/src/bench/capacity/rig.ts
@@ -1,5 +1,5 @@
 /**
- * The real programs as child processes, with a stand-in store and a client that plays many agents.
+ * Starts the real programs as child processes, with a stand-in store and RPC clients for simulated agents.
  */
 import * as disposable from '../../base/common/disposable.js';
 import * as http from '../../base/common/http.js';
@@ -22,13 +22,13 @@
   memoryBytes: 1_073_741_824,
 } as const;
 
-/** Period of looks at the worker: short, so that a few seconds hold many. */
+/** Period at which agents poll their worker: short, so that a few seconds contain many polls. */
 export const AGENT_LOOK_MS = 200;
 
 const POLL_MS = 20;
-const TRIES = 1500;
+const MAX_POLLS = 1500;
 
-/** What the measurements use. */
+/** Test rig of the measurements. */
 export interface Rig {
   readonly store: memoryStore.MemoryStore;
   readonly client: httpClient.HttpClient;
@@ -36,7 +36,7 @@
   readonly peerSecret: string;
   readonly startEntry: (processId: string) => Promise<childPrograms.ChildProgram>;
   readonly startScheduler: (processId: string) => Promise<childPrograms.ChildProgram>;
-  /** With a worker where its address is given. */
+  /** Starts an agent, with a worker if `workerUrl` is given. */
   readonly startAgent: (
     processId: string,
     entryUrl: string,
@@ -47,18 +47,18 @@
 }
 
 const until = async (what: string, isDone: () => Promise<boolean>): Promise<void> => {
-  for (let attempt = 0; attempt < TRIES; attempt += 1) {
+  for (let attempt = 0; attempt < MAX_POLLS; attempt += 1) {
     if (await isDone().catch(() => false)) return;
     await new Promise((resolve) => {
       setTimeout(resolve, POLL_MS);
     });
   }
-  throw new Error(`never happened: ${what}`);
+  throw new Error(`condition not met in time: ${what}`);
 };
 
 /**
- * @param workers - workers that the first configuration expects in its one cell
- * @returns the rig with a store that holds the first configuration
+ * @param workers - number of workers in the only cell of the first configuration
+ * @returns the rig, with the first configuration written to its store
  */
 export const startRig = async (workers: number): Promise<Rig> => {
   const owned = disposable.createDisposableStore();
--- a/src/bench/capacity/runCapacity.ts
+++ b/src/bench/capacity/runCapacity.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run bench -- capacity [--write]`: measures slopes with the real programs and stand-ins; with
- * `--write` the measurements and the page's derived tables are written.
+ * `npm run bench -- capacity [--write]`: measures slopes with the real programs and stand-ins.
+ * `--write` writes the measurements and the derived tables of the capacity page.
  */
 import * as fs from 'node:fs';
 import * as os from 'node:os';
@@ -19,10 +19,10 @@
 
 const ROOT = path.join(path.dirname(url.fileURLToPath(import.meta.url)), '../../..');
 
-/** Where the measurements are committed. */
+/** Path of the committed measurements. */
 export const MEASUREMENTS_FILE = path.join(ROOT, 'docs/capacity/measurements.json');
 
-/** The page with the derived tables. */
+/** Path of the page with the derived tables. */
 export const PAGE_FILE = path.join(ROOT, 'docs/CAPACITY.md');
 
 const toMeasurements = (recorder: measurement.Recorder): measurement.Measurements => {
@@ -36,7 +36,7 @@
 };
 
 /**
- * @param args - `--write` or nothing
+ * @param args - `--write` or empty
  * @param print - prints a line
  */
 export const runCapacity = async (
--- a/src/bench/capacity/slopes.ts
+++ b/src/bench/capacity/slopes.ts
@@ -1,19 +1,19 @@
 /**
- * Straight lines through measured points.
+ * Fits straight lines to measured points.
  */
 
 /** One measured point. */
 export interface Point {
-  /** What was varied: peers, jobs, bytes. */
+  /** Value of the independent variable, such as peers, jobs or bytes. */
   readonly size: number;
   readonly value: number;
 }
 
-/** A line fitted to points, with how far the points lie from it. */
+/** A line fitted to points, with the deviation of the points from it. */
 export interface Slope {
   readonly perUnit: number;
   readonly intercept: number;
-  /** Largest distance of a point from the line, as a part of the largest value. */
+  /** Largest deviation of a point from the line as a fraction of the largest value. */
   readonly spreadShare: number;
   readonly points: readonly Point[];
 }
@@ -22,9 +22,9 @@
   values.reduce((sum, it) => sum + it, 0) / values.length;
 
 /**
- * Least squares.
+ * Fits a line by least squares.
  *
- * @param points - at least two sizes
+ * @param points - points with at least two different sizes
  * @returns the line
  */
 export const fitSlope = (points: readonly Point[]): Slope => {
@@ -41,8 +41,8 @@
 
 /**
  * @param slope - a fitted line
- * @param size - where to read it
- * @returns the value there, never below 0
+ * @param size - value of the independent variable
+ * @returns the value of the line at that size, at least 0
  */
 export const valueAt = (slope: Slope, size: number): number =>
   Math.max(0, slope.intercept + slope.perUnit * size);
--- a/src/bench/capacity/test/capacityPage.test.ts
+++ b/src/bench/capacity/test/capacityPage.test.ts
@@ -1,5 +1,5 @@
 /**
- * The capacity page says what the committed measurements give, and the arithmetic is right.
+ * Guards against a capacity page that differs from the measurements, and against arithmetic errors.
  */
 import * as assert from 'node:assert/strict';
 import * as fs from 'node:fs';
@@ -16,14 +16,14 @@
 const ROOT = path.join(path.dirname(url.fileURLToPath(import.meta.url)), '../../../..');
 const readText = (file: string): string => fs.readFileSync(path.join(ROOT, file), 'utf8');
 
-test.test('the page and the committed measurements have not drifted apart', () => {
+test.test('the page matches the committed measurements', () => {
   const measured = JSON.parse(
     readText('docs/capacity/measurements.json'),
   ) as measurement.Measurements;
   const page = readText('docs/CAPACITY.md');
   const derived = renderPage.replaceDerived(page, renderPage.renderDerived(measured));
   const lines = page.split('\n');
-  // Compared by line, so that a difference is shown and not the whole page.
+  // Compares line by line, so that a failure shows only the lines that differ.
   const drifted = derived.split('\n').filter((line, index) => line !== lines[index]);
   assert.deepEqual(drifted, []);
   assert.equal(derived.length, page.length);
@@ -62,7 +62,7 @@
   },
 ] as const;
 
-test.test('lines are fitted by least squares, with their spread', () => {
+test.test('fits lines by least squares and computes their spread', () => {
   for (const { points, perUnit, intercept, spread } of FITS) {
     const slope = slopes.fitSlope(points.map(([size, value]) => ({ size, value })));
     assert.ok(Math.abs(slope.perUnit - perUnit) < 1e-9);
@@ -78,7 +78,7 @@
   points: [{ size: 1, value }],
 });
 
-test.test('the cost of an agent is its messages times their slopes', () => {
+test.test('computes the cost of an agent from its messages and their slopes', () => {
   const measured: measurement.Measurements = {
     machine: 'a test',
     slopes: {
@@ -97,7 +97,7 @@
     entriesPerAgent: 3,
   };
   const cost = capacityModel.agentCost(measured, size);
-  // Two reports of 2 ms, three registrations of 1 ms and two looks of 0.5 ms in a second.
+  // Per second: two reports of 2 ms, three registrations of 1 ms and two polls of 0.5 ms.
   assert.ok(Math.abs(cost.cpuShare - 0.008) < 1e-12);
   assert.equal(cost.messagesPerSecond, 5);
   assert.equal(cost.bytesPerSecond, 2 * 1000 + 3 * 500);
--- a/src/bench/saturation/baselines.ts
+++ b/src/bench/saturation/baselines.ts
@@ -1,5 +1,5 @@
 /**
- * What the planning round is measured against: two plain ways of placing the same units.
+ * Baselines for the planning round: two simple planners that place the same units.
  */
 import * as gangPlacement from '../../coordination/common/pool/gangPlacement.js';
 import type * as planTypes from '../../coordination/common/pool/planTypes.js';
@@ -8,12 +8,12 @@
 const placeInOrder = (
   workers: readonly planTypes.PlanWorker[],
   units: readonly planTypes.PlanUnit[],
-  goesOnAfter: boolean,
+  skipsUnfit: boolean,
 ): planTypes.RoundPlan => {
   const starts: planTypes.Placement[] = [];
   const waits: planTypes.Wait[] = [];
   for (const unit of units) {
-    const isBlocked = !goesOnAfter && waits.length > 0;
+    const isBlocked = !skipsUnfit && waits.length > 0;
     const suitable = workers.filter((it) => gangPlacement.isSuitable(it, unit));
     const placement = isBlocked ? undefined : gangPlacement.placeNow([suitable], unit);
     if (placement === undefined) {
@@ -28,13 +28,13 @@
 
 const arrivalOf = (unit: planTypes.PlanUnit): number => unit.unit.entry.job.acceptedAtMs;
 
-/** In the order of arrival; nobody overtakes. */
+/** Places units in arrival order; the first unit that doesn't fit blocks all later ones. */
 export const firstFitFifo: poolReplay.Planner = ({ workers, units }) => {
   const ordered = [...units].sort((a, b) => arrivalOf(a) - arrivalOf(b));
   return placeInOrder(workers, ordered, false);
 };
 
-/** By priority, then by arrival; whatever fits goes. */
+/** Places units by priority, then arrival; units that don't fit are skipped. */
 export const priorityBestFit: poolReplay.Planner = ({ workers, units }) => {
   const ordered = [...units].sort((a, b) => a.priority - b.priority || arrivalOf(a) - arrivalOf(b));
   return placeInOrder(workers, ordered, true);
--- a/src/bench/saturation/mixes.ts
+++ b/src/bench/saturation/mixes.ts
@@ -1,39 +1,39 @@
 /**
- * The loads of both users at their worst: kinds of jobs with the sizes and rates of their deployments.
+ * The users' loads at their worst: kinds of jobs with the sizes and rates of their deployments.
  */
 
 /** A kind of job. */
 export interface JobKind {
   readonly name: string;
-  /** 0 comes first. */
+  /** 0 is the highest priority. */
   readonly priority: number;
-  /** What a job of mean work is worth to its caller in time, and what it is worth late. */
+  /** Value to the caller of a job of mean work that ends in time; `lateWorth` if it ends late. */
   readonly worth: number;
   readonly lateWorth: number;
   readonly stretch: number;
   readonly objectiveMs: number;
   readonly attempts: number;
   readonly jobsPerSecond: number;
-  /** Chance of a second step that waits for the first. */
+  /** Probability of a second step that depends on the first. */
   readonly secondStepShare: number;
   readonly tasks: { readonly mean: number; readonly spread: number; readonly max: number };
   readonly workMs: { readonly mean: number; readonly spread: number; readonly max: number };
   readonly cpuMillicores: number;
   readonly memoryMb: number;
-  /** Drawn evenly. */
+  /** Accelerators per task, drawn with uniform probability. */
   readonly accelerators: readonly number[];
-  /** Share of steps of several tasks that are gangs, and of gangs that need one rack. */
+  /** Share of multi-task steps that are gangs; `sameRackShare` of the gangs need a single rack. */
   readonly gangShare: number;
   readonly sameRackShare: number;
-  /** Wider steps, or tasks of more accelerators, are no gangs; absent where any may be one. */
+  /** Steps with more tasks, or more accelerators per task, aren't gangs; absent if there is no limit. */
   readonly gangLimit?: { readonly tasks: number; readonly accelerators: number };
   readonly checkpointShare: number;
-  /** Share of the steps whose data lies on one rack; absent where none does. */
+  /** Share of the steps whose data is local to one rack; absent if none. */
   readonly dataShare?: number;
-  /** Chance that a sound task fails once. */
+  /** Probability that a unit of a job that isn't poison fails at the end of its work. */
   readonly failShare: number;
   readonly cancelShare: number;
-  /** Declared work is off by up to this factor, either way. */
+  /** Estimated work is wrong by up to this factor in either direction. */
   readonly estimateFactor: number;
 }
 
@@ -49,11 +49,11 @@
     readonly accelerators: number;
   };
   readonly customers: number;
-  /** Share of the accelerators that is guaranteed to customers together. */
+  /** Share of the accelerators that is guaranteed to all customers together. */
   readonly guaranteedShare: number;
-  /** Longest work that is saved at a time. */
+  /** Longest work between two checkpoints. */
   readonly checkpointMs: number;
-  /** How much longer a task takes away from its data or its rack. */
+  /** Slowdown of a task that is remote from its data or its rack. */
   readonly farFactor: number;
   readonly stopMs: number;
 }
@@ -295,33 +295,33 @@
 /** The users' loads. */
 export const MIXES: readonly Mix[] = [kamarvaki, vanuaPaws, fjordhavn];
 
-/** Trouble that comes with a load. */
+/** A scenario of overload or faults that is applied to a load. */
 export interface Strain {
   readonly name: string;
-  /** Rate against that of an ordinary day. */
+  /** Arrival rate as a multiple of the ordinary rate. */
   readonly load: number;
-  /** Urgent work comes at this multiple for six seconds. */
+  /** Urgent jobs arrive at this multiple of their rate for six seconds. */
   readonly urgentBurst: number;
-  /** Share of the jobs of the second kind that can never be done. */
+  /** Share of the jobs of priority 2 that always fail. */
   readonly poisonShare: number;
-  /** Share of the workers that turn slow for seven seconds, and how slow. */
+  /** Share of the workers that are slow for seven seconds; `slowFactor` is their slowdown. */
   readonly slowShare: number;
   readonly slowFactor: number;
-  /** Share of the workers that fail all they start for six seconds. */
+  /** Share of the workers that fail all their tasks for six seconds. */
   readonly failingShare: number;
-  /** Times at which nothing is decided: nobody leads, or the store is away. */
+  /** Intervals without planning: there is no leader, or the store is unavailable. */
   readonly gaps: readonly DecisionGap[];
 }
 
-/** A time at which nothing is decided. */
+/** An interval without planning. */
 export interface DecisionGap {
   readonly fromMs: number;
   readonly untilMs: number;
-  /** Another leader follows, which knows of runs only what is stored. */
+  /** A new leader follows, which knows only the stored state of runs. */
   readonly isTakeOver: boolean;
 }
 
-const CALM: Strain = {
+const ORDINARY: Strain = {
   name: 'ordinary',
   load: 1,
   urgentBurst: 1,
@@ -332,33 +332,35 @@
   gaps: [],
 };
 
-/** One that was killed, whose term had to lapse, and a planned one. */
+/** A killed leader, whose lease has to expire first, and a planned leader change. */
 const LEADER_CHANGES: readonly DecisionGap[] = [
   { fromMs: 11_000, untilMs: 12_500, isTakeOver: true },
   { fromMs: 24_000, untilMs: 24_400, isTakeOver: true },
 ];
 
-const STORE_AWAY: readonly DecisionGap[] = [{ fromMs: 10_000, untilMs: 14_500, isTakeOver: false }];
+const STORE_OUTAGE: readonly DecisionGap[] = [
+  { fromMs: 10_000, untilMs: 14_500, isTakeOver: false },
+];
 
-/** A worker that stands still does next to nothing. */
-const STANDING_STILL = 1000;
+/** Slowdown of a stalled worker, which makes almost no progress. */
+const STALLED_FACTOR = 1000;
 
-/** The loads that are replayed. */
+/** The scenarios that are replayed. */
 export const STRAINS: readonly Strain[] = [
-  CALM,
-  { ...CALM, name: 'urgent burst', load: 1, urgentBurst: 2.4 },
-  { ...CALM, name: '1.5 times', load: 1.5, urgentBurst: 2.2 },
-  { ...CALM, name: '2.5 times', load: 2.5 },
-  { ...CALM, name: 'poison', load: 1.2, poisonShare: 0.1 },
-  { ...CALM, name: 'slow workers', load: 1, urgentBurst: 2, slowShare: 0.17 },
-  { ...CALM, name: 'failing workers', load: 1, urgentBurst: 2, failingShare: 0.09 },
+  ORDINARY,
+  { ...ORDINARY, name: 'urgent burst', load: 1, urgentBurst: 2.4 },
+  { ...ORDINARY, name: '1.5 times', load: 1.5, urgentBurst: 2.2 },
+  { ...ORDINARY, name: '2.5 times', load: 2.5 },
+  { ...ORDINARY, name: 'poison', load: 1.2, poisonShare: 0.1 },
+  { ...ORDINARY, name: 'slow workers', load: 1, urgentBurst: 2, slowShare: 0.17 },
+  { ...ORDINARY, name: 'failing workers', load: 1, urgentBurst: 2, failingShare: 0.09 },
   {
-    ...CALM,
+    ...ORDINARY,
     name: 'workers standing still',
     urgentBurst: 2,
     slowShare: 0.1,
-    slowFactor: STANDING_STILL,
+    slowFactor: STALLED_FACTOR,
   },
-  { ...CALM, name: 'leader changes', urgentBurst: 2, gaps: LEADER_CHANGES },
-  { ...CALM, name: 'store away', urgentBurst: 2, gaps: STORE_AWAY },
+  { ...ORDINARY, name: 'leader changes', urgentBurst: 2, gaps: LEADER_CHANGES },
+  { ...ORDINARY, name: 'store away', urgentBurst: 2, gaps: STORE_OUTAGE },
 ];
--- a/src/bench/saturation/outcomes.ts
+++ b/src/bench/saturation/outcomes.ts
@@ -1,6 +1,6 @@
 /**
- * What callers had of a load: shares of what their jobs were worth, in whole and by kind, size and
- * customer.
+ * Value that callers gained from a load, as shares of the worth of their jobs: in total and by kind,
+ * size and customer.
  */
 import * as jobChain from '../../coordination/common/pool/jobChain.js';
 import * as jobOutcome from '../../coordination/common/pool/jobOutcome.js';
@@ -11,21 +11,21 @@
 /** Shares of the worth of jobs, 0 to 1. */
 export interface Outcome {
   readonly served: number;
-  /** Served, less what was spent on work that was thrown away. */
+  /** `served` minus the cost of wasted work. */
   readonly net: number;
   readonly byKind: ReadonlyMap<string, number>;
-  /** The largest tenth of the jobs of each kind. */
+  /** Share served of the largest tenth of the jobs of each kind. */
   readonly largest: number;
   readonly worstCustomer: number;
-  /** Mean of the two worst spans of two seconds in each replay. */
+  /** Mean over the replays of the two worst arrival intervals of two seconds. */
   readonly worstSpans: number;
   readonly wastedShare: number;
 }
 
-/** A core-second thrown away, in the worth of jobs. */
+/** Cost of a wasted core-second, in the unit of job worth. */
 const WASTE_PER_CORE_SECOND = 0.0025;
 
-/** A job is worth 0.3 and 0.7 times its work against the mean of its kind, at most four times the kind's. */
+/** A job's worth is its kind's times 0.3 + 0.7 * work / mean work of the kind, at most four times the kind's. */
 const BASE_SHARE = 0.3;
 const MAX_MULTIPLE = 4;
 
@@ -101,8 +101,8 @@
 
 /**
  * @param mix - the user's load
- * @param results - replays of it
- * @returns what callers had of all of them
+ * @param results - replays of the load
+ * @returns the outcome over all replays
  */
 export const outcomeOf = (mix: mixes.Mix, results: readonly poolReplay.ReplayResult[]): Outcome => {
   const each = results.map((it) => creditsOf(mix, it));
--- a/src/bench/saturation/poolReplay.ts
+++ b/src/bench/saturation/poolReplay.ts
@@ -1,6 +1,6 @@
 /**
- * Replays a load on a pool in virtual time. The product's own queue, job book, table of workers and
- * planning round decide; only workers, their clocks and the callers are made up.
+ * Replays a load on a pool in virtual time. The queue, job state, worker table and planning round are
+ * the product's own; only the workers, their clocks and the callers are simulated.
  */
 import * as random from '../../base/common/random.js';
 import * as runtimeEstimates from '../../coordination/common/pool/runtimeEstimates.js';
@@ -18,68 +18,68 @@
 import type * as mixes from './mixes.js';
 import type * as workload from './workload.js';
 
-/** Decides a planning round. */
+/** Plans one round. */
 export type Planner = (input: planRound.RoundInput) => planTypes.RoundPlan;
 
-/** What became of one job. */
+/** Final state of one job. */
 export interface ReplayedJob {
   readonly arrival: workload.Arrival;
   readonly state: string;
-  /** From its arrival to its end; infinite where it had none. */
+  /** Time from arrival to end; infinite if the job didn't end. */
   readonly durationMs: number;
 }
 
-/** What became of a load. */
+/** Result of replaying a load. */
 export interface ReplayResult {
   readonly jobs: readonly ReplayedJob[];
-  /** Core-milliseconds of work that was stopped and not saved, an accelerator counted as eight cores. */
+  /** Core-milliseconds of work lost by failures and stops; an accelerator counts as eight cores. */
   readonly wastedCoreMs: number;
   readonly usedCoreMs: number;
 }
 
-/** From a decision to the start on the worker, over the store and the agent. */
+/** Delay from a decision to the start on the worker, through the store and the agent. */
 const START_MS = 60;
 
-/** Progress is heard of this often. */
-const LOOK_MS = 900;
+/** Period of progress reports. */
+const REPORT_MS = 900;
 
-/** Replays end here at the latest. */
+/** End of a replay. */
 const END_MS = 200_000;
 
-/** Trouble of workers. */
+/** Intervals in which the affected workers are slow or fail their tasks. */
 const SLOW = { fromMs: 10_000, untilMs: 17_000 } as const;
 const FAILING = { fromMs: 10_000, untilMs: 16_000 } as const;
 
 const FAILS_AFTER_MS = 900;
 
-interface Live {
+interface ReplayedRun {
   readonly worker: workerTable.WorkerEntry;
   readonly run: workerTable.ActiveRun;
   readonly group: Group;
   readonly startedAtMs: number;
 }
 
-/** Runs that began together. */
+/** The runs of a unit, which start together. */
 interface Group {
-  readonly members: Live[];
-  /** Work near the data that is left at the start. */
+  readonly members: ReplayedRun[];
+  /** Work left at the start, with local data. */
   readonly workMs: number;
-  /** Work that was saved before it. */
+  /** Work saved by previous runs. */
   readonly savedMs: number;
   doneMs: number;
-  /** Longer work by distance and slow workers. */
+  /** Slowdown by remote placement. */
   factor: number;
-  movedAtMs: number;
+  advancedAtMs: number;
   isEnded: boolean;
 }
 
 /**
  * @param mix - the user's load
- * @param strain - what comes with it
- * @param arrivals - its jobs
- * @param planner - decides each round
- * @param seed - decides which runs fail and which workers have trouble
- * @returns what became of the jobs
+ * @param strain - the scenario applied to it
+ * @param arrivals - the jobs of the load
+ * @param planner - plans each round
+ * @param seed - determines which runs fail and which workers are slow or failing
+ * @returns final states of the jobs, wasted and used work
  */
 export const replay = (
   mix: mixes.Mix,
@@ -123,10 +123,10 @@
     };
     return worker;
   });
-  const troubled = (share: number): ReadonlySet<workerTable.WorkerEntry> =>
+  const drawWorkers = (share: number): ReadonlySet<workerTable.WorkerEntry> =>
     new Set(workers.filter(() => next() < share));
-  const slow = troubled(strain.slowShare);
-  const failing = troubled(strain.failingShare);
+  const slow = drawWorkers(strain.slowShare);
+  const failing = drawWorkers(strain.failingShare);
   const workerAt = (agentId: string): workerTable.WorkerEntry =>
     workers[Number(agentId.slice('agent-'.length))] as workerTable.WorkerEntry;
 
@@ -141,16 +141,16 @@
     events.at(events.nowMs() + 1, plan);
   };
 
-  /** Brings a group's progress to now, at the pace of its slowest member. */
+  /** Advances a group's progress to the present time at the pace of its slowest member. */
   const advance = (group: Group): void => {
     const nowMs = events.nowMs();
     const slowest = group.members.some(({ worker }) => isSlowNow(worker)) ? strain.slowFactor : 1;
-    group.doneMs += Math.max(0, nowMs - group.movedAtMs) / (group.factor * slowest);
-    group.movedAtMs = Math.max(nowMs, group.movedAtMs);
+    group.doneMs += Math.max(0, nowMs - group.advancedAtMs) / (group.factor * slowest);
+    group.advancedAtMs = Math.max(nowMs, group.advancedAtMs);
   };
 
-  /** What the leader hears of it. */
-  const tell = (group: Group): void => {
+  /** Updates the leader's state with the group's progress. */
+  const reportProgress = (group: Group): void => {
     advance(group);
     const nowMs = events.nowMs();
     const share = Math.min(1, (group.savedMs + group.doneMs) / (group.savedMs + group.workMs));
@@ -163,10 +163,14 @@
     }
   };
 
-  const settle = (live: Live, how: 'done' | 'failed' | 'stopped', isLost: boolean): void => {
-    const { run, worker, group } = live;
+  const endRun = (
+    replayedRun: ReplayedRun,
+    how: 'done' | 'failed' | 'stopped',
+    isLost: boolean,
+  ): void => {
+    const { run, worker, group } = replayedRun;
     worker.runs.delete(workerTable.runKey(run.name, run.run));
-    const heldMs = events.nowMs() - live.startedAtMs;
+    const heldMs = events.nowMs() - replayedRun.startedAtMs;
     usedCoreMs += heldMs * planRound.weightInCores(run.step.resources);
     if (isLost) {
       const lostMs = workerTable.workLostByStopMs(run.step, heldMs);
@@ -195,12 +199,12 @@
     advance(group);
     group.isEnded = true;
     groups.delete(group);
-    group.members.forEach((live, index) => {
-      // One member fails, the others are broken by it.
-      settle(live, how === 'failed' && index > 0 ? 'stopped' : how, isLost);
+    group.members.forEach((replayedRun, index) => {
+      // Only the first member fails; the others are stopped as a consequence.
+      endRun(replayedRun, how === 'failed' && index > 0 ? 'stopped' : how, isLost);
     });
     const [first] = group.members;
-    if (first !== undefined) stopUnwanted(first.run.entry);
+    if (first !== undefined) stopEndedJob(first.run.entry);
     schedule();
   };
 
@@ -210,7 +214,7 @@
     events.at(events.nowMs() + START_MS + mix.stopMs, () => endGroup(group, 'stopped', true));
   };
 
-  const stopUnwanted = (entry: jobState.JobEntry): void => {
+  const stopEndedJob = (entry: jobState.JobEntry): void => {
     if (!jobState.isEnded(entry)) return;
     for (const group of groups) {
       if (group.members[0]?.run.entry === entry) stopGroup(group);
@@ -232,30 +236,30 @@
       endGroup(group, 'failed', true);
       return;
     }
-    const stepMs = Math.min(LOOK_MS, Math.max(1, leftMs * group.factor));
+    const stepMs = Math.min(REPORT_MS, Math.max(1, leftMs * group.factor));
     events.at(events.nowMs() + stepMs, () => watchGroup(group));
   };
 
-  const begin = (placement: planTypes.Placement): void => {
+  const startUnit = (placement: planTypes.Placement): void => {
     const { unit } = placement.unit;
     const { entry, tasks, step } = unit;
     const arrival = arrivalOf.get(entry.job.jobId);
     const racks = placement.workers.map((it) => it.rack);
     const [firstTask] = tasks;
-    const whole = arrival?.workMs[unit.stepIndex]?.[firstTask?.index ?? 0] ?? 0;
+    const totalWorkMs = arrival?.workMs[unit.stepIndex]?.[firstTask?.index ?? 0] ?? 0;
     const names = tasks.map((task) => workerTable.keysOf(entry, task).name);
     const saved = Math.max(0, ...names.map((name) => savedMs.get(name) ?? 0));
     const nowMs = events.nowMs();
     const distanceFactor = gangPlacement.countRemoteTasks(step, racks) > 0 ? mix.farFactor : 1;
-    const beginning = { wallMs: nowMs, distanceFactor };
-    jobState.assign(entry, gangPlacement.assignmentsOf(placement), beginning);
+    const startTime = { wallMs: nowMs, distanceFactor };
+    jobState.assign(entry, gangPlacement.assignmentsOf(placement), startTime);
     const group: Group = {
       members: [],
-      workMs: Math.max(1, whole - saved),
+      workMs: Math.max(1, totalWorkMs - saved),
       savedMs: saved,
       doneMs: 0,
       factor: distanceFactor,
-      movedAtMs: nowMs + START_MS,
+      advancedAtMs: nowMs + START_MS,
       isEnded: false,
     };
     for (const task of tasks) {
@@ -277,22 +281,22 @@
     }
   };
 
-  const evict = (groupKey: string): void => {
-    const victim = entries.get(groupKey.split('.')[0] ?? '');
-    if (victim !== undefined) victim.preemptions += 1;
+  const preempt = (groupKey: string): void => {
+    const preempted = entries.get(groupKey.split('.')[0] ?? '');
+    if (preempted !== undefined) preempted.preemptions += 1;
     stopByKey(groupKey);
   };
 
-  const move = ({ unit, groupKey }: planTypes.PlanUnit): void => {
+  const relocate = ({ unit, groupKey }: planTypes.PlanUnit): void => {
     jobState.recordRelocation(unit.tasks);
     stopByKey(groupKey);
   };
 
-  const isGap = (nowMs: number): boolean =>
+  const isInGap = (nowMs: number): boolean =>
     strain.gaps.some((it) => nowMs >= it.fromMs && nowMs < it.untilMs);
 
-  /** A new leader knows of a run when it was given, and hears of its progress. */
-  const takeOver = (): void => {
+  /** A new leader restores start times from the store and receives progress with later reports. */
+  const restoreRuns = (): void => {
     const nowMs = events.nowMs();
     for (const { run } of [...groups].flatMap((it) => it.members)) {
       run.startedAtMs = nowMs;
@@ -303,15 +307,15 @@
   const plan = (): void => {
     isDue = false;
     const nowMs = events.nowMs();
-    if (isGap(nowMs)) return;
+    if (isInGap(nowMs)) return;
     const units = queue.units(
       entries.values(),
       nowMs,
       nowMs,
       workerTable.createSlotCounter(workers),
     );
-    const heldUp = stragglers.findStragglers(workers, estimates, nowMs);
-    if (units.length === 0 && heldUp.length === 0) return;
+    const stragglerRuns = stragglers.findStragglers(workers, estimates, nowMs);
+    if (units.length === 0 && stragglerRuns.length === 0) return;
     const planWorkers = workers
       .map((it) => workerTable.toPlanWorker(it, nowMs))
       .filter((it) => it !== undefined);
@@ -319,13 +323,13 @@
       nowMs,
       workers: planWorkers,
       units,
-      stragglerUnits: queue.stragglerUnits(heldUp, nowMs, nowMs),
+      stragglerUnits: queue.stragglerUnits(stragglerRuns, nowMs, nowMs),
       guarantees,
       remoteFactor: mix.farFactor,
     });
-    round.starts.forEach(begin);
-    for (const groupKey of round.preemptions.keys()) evict(groupKey);
-    round.relocations.forEach(move);
+    round.starts.forEach(startUnit);
+    for (const groupKey of round.preemptions.keys()) preempt(groupKey);
+    round.relocations.forEach(relocate);
   };
 
   for (const arrival of arrivals) {
@@ -337,21 +341,21 @@
       events.at(arrival.cancelAtMs, () => {
         const entry = entries.get(arrival.job.jobId);
         if (entry === undefined || !jobTransitions.cancel(entry, events.nowMs())) return;
-        stopUnwanted(entry);
+        stopEndedJob(entry);
         schedule();
       });
     }
   }
   for (const { untilMs, isTakeOver } of strain.gaps) {
     events.at(untilMs, () => {
-      if (isTakeOver) takeOver();
+      if (isTakeOver) restoreRuns();
       schedule();
     });
   }
   const tick = (): void => {
-    for (const group of groups) tell(group);
+    for (const group of groups) reportProgress(group);
     schedule();
-    if (events.nowMs() < END_MS) events.at(events.nowMs() + LOOK_MS, tick);
+    if (events.nowMs() < END_MS) events.at(events.nowMs() + REPORT_MS, tick);
   };
   tick();
   events.runUntil(END_MS);
--- a/src/bench/saturation/test/saturation.test.ts
+++ b/src/bench/saturation/test/saturation.test.ts
@@ -1,6 +1,6 @@
 /**
- * Loads at their worst, replayed on the planning round: what callers get of them, beside plain ways of
- * placing the same jobs.
+ * Guards against a planning round that serves callers little better than simple planners do when a
+ * pool is overloaded or faulty. Replays the users' loads at their worst.
  */
 import * as assert from 'node:assert/strict';
 import * as test from 'node:test';
@@ -14,7 +14,7 @@
 
 const SEEDS = [1, 2, 3, 4];
 
-const replayAll = (
+const outcomeOfSeeds = (
   mix: mixes.Mix,
   strain: mixes.Strain,
   planner: poolReplay.Planner,
@@ -26,7 +26,7 @@
     ),
   );
 
-/** Shares of worth that ours has to serve beyond the better of the plain ways. */
+/** Share of worth by which the planning round must exceed the better of the simple planners. */
 const CASES: readonly [strain: string, aheadBy: number][] = [
   ['urgent burst', 0.05],
   ['1.5 times', 0.05],
@@ -36,26 +36,26 @@
   ['store away', 0.05],
 ];
 
-test.describe('callers at a pool that is full', () => {
+test.describe('callers of an overloaded pool', () => {
   for (const mix of mixes.MIXES) {
     for (const [name, aheadBy] of CASES) {
       const strain = mixes.STRAINS.find((it) => it.name === name);
-      test.it(`${mix.name}, ${name}: are served better than by plain placement`, () => {
+      test.it(`${mix.name}, ${name}: serves callers better than simple planners`, () => {
         assert.ok(strain);
-        const ours = replayAll(mix, strain, planRound.planRound);
+        const ours = outcomeOfSeeds(mix, strain, planRound.planRound);
         const plain = Math.max(
-          replayAll(mix, strain, baselines.priorityBestFit).served,
-          replayAll(mix, strain, baselines.firstFitFifo).served,
+          outcomeOfSeeds(mix, strain, baselines.priorityBestFit).served,
+          outcomeOfSeeds(mix, strain, baselines.firstFitFifo).served,
         );
         assert.ok(ours.served >= plain + aheadBy, `ours ${ours.served}, plain ${plain}`);
-        assert.ok(ours.worstCustomer > 0.3, `the worst served customer has ${ours.worstCustomer}`);
+        assert.ok(ours.worstCustomer > 0.3, `the worst served customer got ${ours.worstCustomer}`);
       });
     }
   }
 
-  // A wide gang comes to a pool that small tasks keep full. Each gap is taken by the next small task, and
-  // its caller never sees it start.
-  test.it('a wide gang starts while small tasks go on coming', () => {
+  // Guards against starvation of a wide gang in a pool that small tasks keep full: if each free slot goes
+  // to the next small task, the gang never starts.
+  test.it('a wide gang starts while small tasks keep arriving', () => {
     const [mix] = mixes.MIXES;
     const [kind] = mix?.kinds ?? [];
     const strain = mixes.STRAINS.find((it) => it.name === '1.5 times');
--- a/src/bench/saturation/workload.ts
+++ b/src/bench/saturation/workload.ts
@@ -1,5 +1,5 @@
 /**
- * Jobs of one replay, drawn from a mix and a strain by a seed.
+ * Draws the jobs of one replay from a mix and a strain with a seed.
  */
 import type * as random from '../../base/common/random.js';
 import * as randoms from '../../base/common/random.js';
@@ -7,38 +7,38 @@
 import type * as poolJob from '../../state/common/pool/poolJob.js';
 import type * as mixes from './mixes.js';
 
-/** A job with what only the replay knows of it. */
+/** A job with properties that are known only to the replay, not to the scheduler. */
 export interface Arrival {
   readonly atMs: number;
   readonly kind: mixes.JobKind;
   readonly job: poolJob.PoolJob;
-  /** Work of each task by step and index, near its data. */
+  /** Work of each task by step and index, with local data. */
   readonly workMs: readonly (readonly number[])[];
-  /** All its runs fail. */
+  /** Whether all runs of the job fail. */
   readonly isPoison: boolean;
-  /** When its caller takes it back; infinite mostly. */
+  /** Time at which the caller cancels the job; infinite if it doesn't. */
   readonly cancelAtMs: number;
-  /** Its work in core-milliseconds, an accelerator counted as eight cores. */
+  /** Work in core-milliseconds; an accelerator counts as eight cores. */
   readonly coreMs: number;
 }
 
-/** Jobs arrive for this long. */
+/** Duration of the arrivals. */
 export const ARRIVALS_MS = 46_000;
 
-/** A burst of urgent work. */
+/** Interval of the burst of urgent jobs. */
 const BURST = { fromMs: 8000, untilMs: 14_000 } as const;
 
-/** A normal variate by the sum of uniform ones: near enough for sizes. */
-const normal = (next: random.Random): number => {
+/** Draws an approximately drawNormal value as a sum of uniform ones, which is accurate enough for sizes. */
+const drawNormal = (next: random.Random): number => {
   let sum = 0;
   for (let draw = 0; draw < 12; draw += 1) sum += next();
   return sum - 6;
 };
 
 const drawSize = (next: random.Random, { mean, spread, max }: mixes.JobKind['workMs']): number =>
-  Math.min(max, mean * Math.exp(spread * normal(next) - (spread * spread) / 2));
+  Math.min(max, mean * Math.exp(spread * drawNormal(next) - (spread * spread) / 2));
 
-/** The rack where a step's data lies, where it lies on one. */
+/** Draws the rack that holds a step's data, if its data is on a single rack. */
 const drawDataRack = (
   next: random.Random,
   kind: mixes.JobKind,
@@ -66,10 +66,10 @@
   for (let index = 0; index < stepCount; index += 1) {
     const count = Math.max(1, Math.round(drawSize(next, kind.tasks)));
     const stepMs = drawSize(next, kind.workMs);
-    const isWhole = isGang && count > 1 && count <= (gangLimit?.tasks ?? count);
+    const isGangStep = isGang && count > 1 && count <= (gangLimit?.tasks ?? count);
     const eachMs = Array.from({ length: count }, () => stepMs * (0.85 + 0.3 * next()));
     const longestMs = Math.max(...eachMs);
-    workMs.push(isWhole ? eachMs.map(() => longestMs) : eachMs);
+    workMs.push(isGangStep ? eachMs.map(() => longestMs) : eachMs);
     steps.push({
       count,
       resources: {
@@ -80,8 +80,8 @@
       estimatedMs: Math.round(stepMs * kind.estimateFactor ** (2 * next() - 1)),
       after: index === 0 ? [] : [index - 1],
       isCheckpointing,
-      isGang: isWhole,
-      isSameRack: isWhole && isSameRack,
+      isGang: isGangStep,
+      isSameRack: isGangStep && isSameRack,
       ...drawDataRack(next, kind, mix),
       maxPerWorker: 0,
       isSpeculative: false,
@@ -107,9 +107,9 @@
 
 /**
  * @param mix - the user's load
- * @param strain - what comes with it
- * @param seed - decides all of it
- * @returns the jobs in the order of their arrival
+ * @param strain - the scenario applied to it
+ * @param seed - determines all random choices
+ * @returns the jobs in order of arrival
  */
 export const drawWorkload = (mix: mixes.Mix, strain: mixes.Strain, seed: number): Arrival[] => {
   const next = randoms.createRandom(seed);
