--- a/src/bench/benches.ts
+++ b/src/bench/benches.ts
@@ -1,5 +1,5 @@
 /**
- * The project's measurements by name.
+ * Registry of the project's benches by name.
  */
 import * as runCapacity from './capacity/runCapacity.js';
 import * as jobsBench from './jobsBench.js';
@@ -9,10 +9,10 @@
 import * as rpcBench from './rpcBench.js';
 import * as saturationBench from './saturationBench.js';
 
-/** Runs a measurement with its arguments and prints its lines. */
+/** Runs a bench with its command-line arguments and prints the results line by line. */
 export type Bench = (args: readonly string[], print: (line: string) => void) => Promise<void>;
 
-/** All measurements. */
+/** All benches by their command-line name. */
 export const BENCHES: Readonly<Record<string, Bench>> = {
   capacity: runCapacity.runCapacity,
   jobs: jobsBench.runJobsBench,
--- a/src/bench/configurationBench.ts
+++ b/src/bench/configurationBench.ts
@@ -1,6 +1,6 @@
 /**
- * How long a change of the configuration takes to be in force at every process of the dev host, and
- * what the parts of its way cost, so that the time at the target size can be worked out.
+ * Measures how long a configuration change takes to become active at every process of the dev host, and
+ * the cost of each stage, from which the time at the target size can be derived.
  */
 import * as path from 'node:path';
 import * as url from 'node:url';
@@ -36,7 +36,7 @@
 
 const nowMs = systemClock.systemClock.monotonicMs;
 
-/** The example's document with as many customers and shapes as the target has teams. */
+/** The example's document, extended to as many customers and shapes as the target size has teams. */
 const atTargetSize = (
   document: configuration.ConfigurationDocument,
 ): configuration.ConfigurationDocument => {
@@ -101,8 +101,8 @@
 };
 
 /**
- * @param _args - none
- * @param print - prints a line
+ * @param _args - unused
+ * @param print - called with each line of the results
  */
 export const runConfigurationBench = async (
   _args: readonly string[],
@@ -140,19 +140,19 @@
   };
   const readStatus = () => send<operatorGateway.ConfigurationStatus>('GET', '/api/config/status');
   const expected = host.entries.length + host.schedulers.length + host.vms.length;
-  const isEverywhere = async (version: number): Promise<boolean> => {
+  const isActiveAtAll = async (version: number): Promise<boolean> => {
     const status = await readStatus();
     const reached = status.processes.filter((it) => (it.version ?? 0) >= version);
     return reached.length === expected;
   };
-  const reach = async (version: number, limitMs: number): Promise<void> => {
+  const awaitActive = async (version: number, limitMs: number): Promise<void> => {
     const untilMs = nowMs() + limitMs;
-    while (!(await isEverywhere(version).catch(() => false))) {
-      if (nowMs() > untilMs) throw new Error(`version ${version} is not everywhere`);
+    while (!(await isActiveAtAll(version).catch(() => false))) {
+      if (nowMs() > untilMs) throw new Error(`version ${version} isn't active everywhere`);
       await sleep(POLL_MS);
     }
   };
-  await reach(1, START_MS);
+  await awaitActive(1, START_MS);
   const writes = hdr.build({ highestTrackableValue: HIGHEST_MS });
   const times = hdr.build({ highestTrackableValue: HIGHEST_MS });
   for (let baseVersion = 1; baseVersion <= CHANGES; baseVersion += 1) {
@@ -165,7 +165,7 @@
       document: { ...document, placement: { ...placement, reclaimGraceMs: 1000 + baseVersion } },
     });
     writes.recordValue(Math.round(nowMs() - startMs));
-    await reach(baseVersion + 1, TIMEOUT_MS);
+    await awaitActive(baseVersion + 1, TIMEOUT_MS);
     times.recordValue(Math.round(nowMs() - startMs));
   }
   const line = (it: hdr.Histogram): string =>
@@ -175,5 +175,5 @@
   print(`in force at all processes after: ${line(times)}; the bar is ${BAR_MS} ms`);
   await client.dispose();
   await host.dispose();
-  if (times.maxValue > BAR_MS) throw new Error('the bar was missed');
+  if (times.maxValue > BAR_MS) throw new Error('the limit was exceeded');
 };
--- a/src/bench/eventQueue.ts
+++ b/src/bench/eventQueue.ts
@@ -1,12 +1,12 @@
 /**
- * Virtual time for measurements of pure decisions: events in the order of their time.
+ * Event queue in virtual time, for simulations without real timers.
  */
 
-/** Events to come. */
+/** Scheduled events, run in order of time, then of insertion. */
 export interface EventQueue {
   readonly nowMs: () => number;
   readonly at: (timeMs: number, run: () => void) => void;
-  /** Runs everything that falls due before the moment. */
+  /** Runs all events scheduled before the given time. */
   readonly runUntil: (timeMs: number) => void;
 }
 
--- a/src/bench/jobsBaselines.ts
+++ b/src/bench/jobsBaselines.ts
@@ -1,7 +1,7 @@
 /**
- * The planners that the project's own is measured against. Both keep the limits of the spare rules
- * and use the same verdict on bad workers, so that only the placement differs; neither reclaims,
- * learns run times or knows guarantees.
+ * Baseline planners for the jobs bench. Both apply the limits of the spare rules and the project's
+ * failure attribution, so that only the placement differs; neither reclaims, estimates run times or
+ * considers guarantees.
  */
 import * as failureAttribution from '../coordination/common/failureAttribution.js';
 import * as cellCapacity from '../coordination/common/cellCapacity.js';
@@ -21,17 +21,17 @@
   record: job.JobRecord,
 ) => cellCapacity.GangPlan | undefined;
 
-const openFor =
+const freeCapacityFor =
   (round: planningRound.PlanningRound, record: job.JobRecord) =>
   (worker: number): number => {
     if (planningRound.excludedWorkers(round, record).has(worker)) return 0;
     return cellCapacity.availableOn(round.capacity, worker);
   };
 
-/** The first workers in their order that hold the gang. */
+/** Finds the first workers in order that have capacity for the gang. */
 const firstFit: Find = (round, record) => {
   const { spec } = record;
-  const open = openFor(round, record);
+  const open = freeCapacityFor(round, record);
   for (const group of cellCapacity.groupsFor(round.capacity, spec)) {
     const plan: cellCapacity.WorkerShare[] = [];
     let left = spec.members;
@@ -45,13 +45,13 @@
   return undefined;
 };
 
-/** The tightest workers, without regard to guarantees. */
+/** Finds the workers that the gang fits most tightly, ignoring guarantees. */
 const bestFit: Find = (round, record) => {
-  const open = openFor(round, record);
+  const open = freeCapacityFor(round, record);
   const endMs = round.view.nowMs + record.spec.declaredRunMs;
-  const beneath = (worker: number): number =>
+  const backfillable = (worker: number): number =>
     endMs <= (round.backfillUntilMs[worker] ?? 0) ? open(worker) : 0;
-  return gangFit.findGangPlan(round.capacity, record.spec, { open: beneath, setAside: [] });
+  return gangFit.findGangPlan(round.capacity, record.spec, { open: backfillable, setAside: [] });
 };
 
 const mayBorrow = (
@@ -67,8 +67,8 @@
 const planWith =
   (find: Find, hasBackfill: boolean): Planner =>
   (view) => {
-    const verdict = failureAttribution.attributeFailures(view);
-    const bad = new Set(verdict.quarantines.map((it) => it.workerId));
+    const attributed = failureAttribution.attributeFailures(view);
+    const bad = new Set(attributed.quarantines.map((it) => it.workerId));
     const workers = view.workers.map((it) =>
       bad.has(it.workerId) ? { ...it, health: 'quarantined' as const } : it,
     );
@@ -99,14 +99,14 @@
       }
     }
     const { placements, stops, waits } = round;
-    return { ...verdict, placements, stops, waits };
+    return { ...attributed, placements, stops, waits };
   };
 
-/** First come, first served, on the first workers that fit; the head of the queue holds up the rest. */
+/** FIFO on the first workers that fit; a queue head that doesn't fit blocks all later jobs. */
 export const firstFitFifo: Planner = planWith(firstFit, false);
 
 /**
- * First come, first served, on the tightest workers; the first job that doesn't fit gets a reservation,
- * and later ones run beneath it if their declared time ends before.
+ * FIFO on the most tightly fitting workers; the first job that doesn't fit gets a reservation, and later
+ * jobs backfill if their declared run time ends before it.
  */
 export const bestFitBackfill: Planner = planWith(bestFit, true);
--- a/src/bench/jobsBench.ts
+++ b/src/bench/jobsBench.ts
@@ -1,5 +1,5 @@
 /**
- * `npm run bench -- jobs`: how well and how fast jobs are placed, side by side with two baselines.
+ * `npm run bench -- jobs`: compares quality and speed of job placement with two baselines.
  */
 import * as path from 'node:path';
 import * as url from 'node:url';
@@ -33,31 +33,31 @@
 
 const clockMs = (): number => systemClock.systemClock.monotonicMs();
 
-type Keep = (arrival: jobsWorkloads.Arrival) => boolean;
+type ArrivalFilter = (arrival: jobsWorkloads.Arrival) => boolean;
 
-/** Runs a workload in all cells of a deployment. */
+/** Simulates a workload in all cells of a deployment. */
 const measure = (
   document: configuration.ConfigurationDocument,
   name: string,
   planner: jobsBaselines.Planner,
-  keep: Keep,
+  isIncluded: ArrivalFilter,
 ): jobsFigures.Figures => {
   const figures = jobsFigures.createFigures(document);
   document.cells.forEach(({ cell }, index) => {
-    const whole = jobsWorkloads.createWorkload(name, document, cell, SEED + index);
-    const workload = { ...whole, arrivals: whole.arrivals.filter(keep) };
+    const fullWorkload = jobsWorkloads.createWorkload(name, document, cell, SEED + index);
+    const workload = { ...fullWorkload, arrivals: fullWorkload.arrivals.filter(isIncluded) };
     jobsDriver.drive({ document, cell, workload, planner, figures, clockMs });
   });
   return figures;
 };
 
-/** Large jobs and claims alone: what a large job would wait if nobody else were in the queue. */
-const isLargeOrClaim: Keep = ({ spec }) => spec.kind === 'large' || spec.kind === 'claim';
+/** Keeps only large jobs and claims, to measure how long large jobs wait without smaller jobs. */
+const isLargeOrClaim: ArrivalFilter = ({ spec }) => spec.kind === 'large' || spec.kind === 'claim';
 
 /**
- * @param args - names of workloads; all without any
- * @param print - prints a line
- * @returns when all is printed
+ * @param args - names of workloads; all if empty
+ * @param print - called with each line of the results
+ * @returns a promise that resolves when all results are printed
  */
 export const runJobsBench = (
   args: readonly string[],
--- a/src/bench/jobsCost.ts
+++ b/src/bench/jobsCost.ts
@@ -1,5 +1,5 @@
 /**
- * What a planning round costs, against the number of workers and the length of the queue.
+ * Measures the cost of a planning round by number of workers and queue length.
  */
 import * as hdr from 'hdr-histogram-js';
 
@@ -119,8 +119,8 @@
   };
 };
 
-/** A full cell: rounds have filled it, and a part of what runs ends in each of them. */
-const settle = (
+/** Applies a plan to the jobs: starts placements, removes stopped jobs and ends a random share of the rest. */
+const applyPlan = (
   view: planTypes.PlanView,
   plan: planTypes.Plan,
   next: random.Random,
@@ -167,13 +167,13 @@
   }));
   const histogram = hdr.build({ numberOfSignificantValueDigits: 3 });
   let jobs: job.JobRecord[] = [];
-  let made = 0;
+  let createdJobs = 0;
   let placed = 0;
   for (let round = 0; round < ROUNDS + WARM_UP; round += 1) {
     const waiting = jobs.filter((it) => it.state === 'queued').length;
     for (let at = waiting; at < queued; at += 1) {
-      made += 1;
-      jobs.push(recordOf(next, made));
+      createdJobs += 1;
+      jobs.push(recordOf(next, createdJobs));
     }
     const nowMs = NOW_MS + round * 1000;
     const sorted = [...jobs].sort((a, b) => a.submittedAtMs - b.submittedAtMs);
@@ -192,7 +192,7 @@
       histogram.recordValue(Math.max(1, Math.round(tookMs * MICROSECONDS_PER_MS)));
       placed += plan.placements.length;
     }
-    jobs = settle(view, plan, next, 0.05);
+    jobs = applyPlan(view, plan, next, 0.05);
   }
   return {
     p50Ms: histogram.getValueAtPercentile(50) / MICROSECONDS_PER_MS,
@@ -203,9 +203,9 @@
 };
 
 /**
- * @param clockMs - real time
- * @param print - prints a line
- * @returns the bars on the cost of a round
+ * @param clockMs - real time in milliseconds
+ * @param print - called with each line of the results
+ * @returns the cost limits of a round with the measured values
  */
 export const measureCost = (
   clockMs: () => number,
--- a/src/bench/jobsDriver.ts
+++ b/src/bench/jobsDriver.ts
@@ -1,6 +1,6 @@
 /**
- * Feeds a workload to a planner in virtual time. No network, store or agents: a placement runs at
- * once, a stop takes its grace, and what is measured is the planner's decisions alone.
+ * Drives a planner with a workload in virtual time, without network, store or agents, so that only the
+ * planner's decisions are measured. Placements start immediately; stops take the grace period.
  */
 import * as runEstimates from '../coordination/common/runEstimates.js';
 import type * as planTypes from '../coordination/common/planTypes.js';
@@ -11,26 +11,26 @@
 import * as jobsFigures from './jobsFigures.js';
 import type * as jobsWorkloads from './jobsWorkloads.js';
 
-/** One run. */
+/** Inputs of one simulation. */
 export interface DriverOptions {
   readonly document: configuration.ConfigurationDocument;
   readonly cell: string;
   readonly workload: jobsWorkloads.Workload;
   readonly planner: jobsBaselines.Planner;
   readonly figures: jobsFigures.Figures;
-  /** Real time for the cost of a decision, milliseconds. */
+  /** Real time in milliseconds, to measure the duration of planning. */
   readonly clockMs: () => number;
 }
 
-/** Rounds without any other cause, so that waits that come due are seen. */
+/** Period of planning rounds without other events, so that expired waits are noticed. */
 const TICK_MS = 120_000;
-/** A black-hole worker fails a task after this. */
+/** Time after which a task fails on a black-hole worker. */
 const BLACK_HOLE_MS = 2000;
-/** A job that checkpoints loses at most this much when its worker is lost. */
+/** Most work that a checkpointing job loses when its worker is lost. */
 const CHECKPOINT_PERIOD_MS = 600_000;
-/** Reading a checkpoint back before the work goes on. */
+/** Time to restore a checkpoint before work continues. */
 const RESTART_MS = 30_000;
-/** Nothing is awaited beyond this. */
+/** The simulation ends at this time at the latest. */
 const END_MS = 72 * 3_600_000;
 
 type DriverEvent =
@@ -48,8 +48,8 @@
   readonly event: DriverEvent;
 }
 
-/** A queue of events by time, then by the order in which they were scheduled. */
-const createAgenda = () => {
+/** Creates a queue of events ordered by time, then by insertion. */
+const createEventHeap = () => {
   const heap: Timed[] = [];
   let order = 0;
   const isBefore = (a: Timed | undefined, b: Timed | undefined): boolean =>
@@ -98,33 +98,33 @@
   }));
 };
 
-const unplaced = (record: job.JobRecord): job.JobRecord => {
+const withoutPlacement = (record: job.JobRecord): job.JobRecord => {
   const { startedAtMs: _started, ruleId: _rule, stopCause: _cause, ...rest } = record;
   return { ...rest, state: job.JobState.queued, placement: [] };
 };
 
 /**
  * @param options - planner, workload and figures
- * @returns nothing; the figures hold what was measured
+ * @returns nothing; the results are recorded in the figures
  */
 export const drive = (options: DriverOptions): void => {
   const { workload, document, figures } = options;
   const policy = document.placement;
-  const agenda = createAgenda();
+  const eventHeap = createEventHeap();
   const workers = workersOf(options);
   const records = new Map<string, job.JobRecord>();
-  const truths = new Map<string, jobsWorkloads.Arrival>();
-  const endedFailed: job.JobRecord[] = [];
+  const arrivalsById = new Map<string, jobsWorkloads.Arrival>();
+  const endedWithFailures: job.JobRecord[] = [];
   const downUntil = new Map<number, number>();
   let estimates = runEstimates.NO_ESTIMATES;
   let nowMs = 0;
-  let open = workload.arrivals.length;
-  workload.arrivals.forEach((arrival) => agenda.push(arrival.atMs, { type: 'arrive', arrival }));
+  let openJobs = workload.arrivals.length;
+  workload.arrivals.forEach((arrival) => eventHeap.push(arrival.atMs, { type: 'arrive', arrival }));
   workload.losses.forEach(({ workerIndex, downAtMs, upAtMs }) => {
-    agenda.push(downAtMs, { type: 'down', workerIndex });
-    agenda.push(upAtMs, { type: 'up', workerIndex });
+    eventHeap.push(downAtMs, { type: 'down', workerIndex });
+    eventHeap.push(upAtMs, { type: 'up', workerIndex });
   });
-  agenda.push(0, { type: 'tick' });
+  eventHeap.push(0, { type: 'tick' });
 
   const blackHoleId = workers[workload.blackHole ?? -1]?.workerId;
   const accelerators = (record: job.JobRecord): number => job.acceleratorsOf(record);
@@ -132,9 +132,9 @@
     Math.max(0, nowMs - (record.startedAtMs ?? nowMs) - (record.checkpointMs > 0 ? RESTART_MS : 0));
   const finish = (record: job.JobRecord, state: job.JobState): void => {
     records.delete(record.spec.jobId);
-    open -= 1;
+    openJobs -= 1;
     const ended = { ...record, state, endedAtMs: nowMs, placement: [] };
-    if (record.failures.length > 0) endedFailed.push(ended);
+    if (record.failures.length > 0) endedWithFailures.push(ended);
     estimates = runEstimates.addFinishedRun(estimates, ended);
     figures.ended(ended, nowMs);
   };
@@ -142,12 +142,12 @@
     const ranMs = Math.max(0, nowMs - (record.startedAtMs ?? nowMs));
     const gainedMs = keptMs - record.checkpointMs;
     figures.lost(Math.max(0, ranMs - gainedMs) * accelerators(record));
-    records.set(record.spec.jobId, { ...unplaced(record), checkpointMs: keptMs });
+    records.set(record.spec.jobId, { ...withoutPlacement(record), checkpointMs: keptMs });
   };
   const start = (planned: planTypes.PlannedPlacement): void => {
     const record = records.get(planned.jobId);
-    const truth = truths.get(planned.jobId);
-    if (record?.state !== job.JobState.queued || truth === undefined) {
+    const jobArrival = arrivalsById.get(planned.jobId);
+    if (record?.state !== job.JobState.queued || jobArrival === undefined) {
       figures.faults.push(`placed ${planned.jobId}, which is not queued`);
       return;
     }
@@ -162,12 +162,12 @@
     });
     figures.started(record, nowMs);
     const restartMs = record.checkpointMs > 0 ? RESTART_MS : 0;
-    const leftMs = restartMs + truth.trueRunMs - record.checkpointMs;
-    const isDoomed = planned.placement.some((it) => it.workerId === blackHoleId);
-    const failMs = isDoomed ? BLACK_HOLE_MS : truth.failsAfterMs;
+    const leftMs = restartMs + jobArrival.trueRunMs - record.checkpointMs;
+    const isOnBlackHole = planned.placement.some((it) => it.workerId === blackHoleId);
+    const failMs = isOnBlackHole ? BLACK_HOLE_MS : jobArrival.failsAfterMs;
     const { jobId } = planned;
-    if (failMs === undefined) agenda.push(nowMs + leftMs, { type: 'end', jobId, attempt });
-    else agenda.push(nowMs + failMs, { type: 'fail', jobId, attempt });
+    if (failMs === undefined) eventHeap.push(nowMs + leftMs, { type: 'end', jobId, attempt });
+    else eventHeap.push(nowMs + failMs, { type: 'fail', jobId, attempt });
   };
   const stop = (planned: planTypes.PlannedStop): void => {
     const record = records.get(planned.jobId);
@@ -176,12 +176,12 @@
     records.set(jobId, { ...record, state: job.JobState.stopping, stopCause: planned.cause });
     figures.stopped();
     const graceMs = record.spec.isCheckpointable ? policy.reclaimGraceMs : 0;
-    agenda.push(nowMs + graceMs, { type: 'stopped', jobId, attempt });
+    eventHeap.push(nowMs + graceMs, { type: 'stopped', jobId, attempt });
   };
   const fail = (record: job.JobRecord): void => {
-    const doomed = record.placement.find((it) => it.workerId === blackHoleId);
-    // A bad worker fails its own member; a bad job fails all of its members at once.
-    const at = doomed === undefined ? record.placement : [doomed];
+    const blackHoleMember = record.placement.find((it) => it.workerId === blackHoleId);
+    // A faulty worker fails only its own member; a faulty job fails all members concurrently.
+    const at = blackHoleMember === undefined ? record.placement : [blackHoleMember];
     const now = at.map(({ workerId }) => ({ atMs: nowMs, workerId, reason: 'exit 1' }));
     const failures = [...record.failures, ...now];
     const failed = { ...record, failures };
@@ -189,7 +189,7 @@
       finish(failed, job.JobState.unrunnable);
     } else requeue(failed, record.checkpointMs);
   };
-  const lose = (workerIndex: number): void => {
+  const loseWorker = (workerIndex: number): void => {
     const workerId = workers[workerIndex]?.workerId;
     for (const record of [...records.values()]) {
       if (!record.placement.some((it) => it.workerId === workerId)) continue;
@@ -201,7 +201,7 @@
   const handle = (event: DriverEvent): void => {
     if (event.type === 'arrive') {
       const { spec } = event.arrival;
-      truths.set(spec.jobId, event.arrival);
+      arrivalsById.set(spec.jobId, event.arrival);
       records.set(spec.jobId, {
         spec,
         state: job.JobState.queued,
@@ -223,9 +223,9 @@
       downUntil.set(event.workerIndex, until);
       const health = until > nowMs ? 'unreachable' : 'ready';
       workers[event.workerIndex] = { ...worker, health };
-      if (isDown) lose(event.workerIndex);
+      if (isDown) loseWorker(event.workerIndex);
     } else if (event.type === 'tick') {
-      if (open > 0) agenda.push(nowMs + TICK_MS, { type: 'tick' });
+      if (openJobs > 0) eventHeap.push(nowMs + TICK_MS, { type: 'tick' });
     } else {
       const record = records.get(event.jobId);
       if (record === undefined || record.attempt !== event.attempt) return;
@@ -255,7 +255,7 @@
       document,
       workers,
       jobs: [...records.values()].sort((a, b) => a.submittedAtMs - b.submittedAtMs),
-      endedFailedJobs: endedFailed,
+      endedFailedJobs: endedWithFailures,
       estimates,
     };
     figures.beforePlan(view);
@@ -269,13 +269,13 @@
     plan.placements.forEach(start);
     figures.afterPlan(nowMs, workers, [...records.values()]);
   };
-  while (open > 0) {
-    const first = agenda.peek();
+  while (openJobs > 0) {
+    const first = eventHeap.peek();
     if (first === undefined || first.atMs > END_MS) break;
     figures.advance(nowMs, first.atMs);
     nowMs = first.atMs;
-    while (agenda.peek()?.atMs === nowMs) {
-      const timed = agenda.pop();
+    while (eventHeap.peek()?.atMs === nowMs) {
+      const timed = eventHeap.pop();
       if (timed !== undefined) handle(timed.event);
     }
     planNow();
--- a/src/bench/jobsFigures.ts
+++ b/src/bench/jobsFigures.ts
@@ -1,5 +1,5 @@
 /**
- * What a run of the job measurement counts: completion by size class, waits, fragmentation,
+ * Collects the figures of the jobs bench: completion by size class, waits, fragmentation,
  * utilisation, lost work, cost of decisions and violations of guarantees.
  */
 import * as hdr from 'hdr-histogram-js';
@@ -9,7 +9,7 @@
 import type * as configuration from '../state/common/configuration.js';
 import * as job from '../state/common/job.js';
 
-/** Time within which a claim must start, its grace included. */
+/** Time within which a claim must start, including the grace period. */
 export const CLAIM_START_MS = 3400;
 
 const MICROSECONDS_PER_MS = 1000;
@@ -20,13 +20,13 @@
 /** One of {@link SIZE_CLASSES}. */
 export type SizeClass = (typeof SIZE_CLASSES)[number];
 
-/** Counts of one planner on one workload, over all its cells. */
+/** Figures of one planner on one workload over all cells. */
 export interface Figures {
   readonly completion: ReadonlyMap<SizeClass, hdr.Histogram>;
   readonly planMicroseconds: hdr.Histogram;
-  /** Wait of each large job until its first start. */
+  /** Time that each large job waits until its first start. */
   readonly largeWaitMs: Map<string, number>;
-  /** Placements that no planner may make. */
+  /** Invalid placements by the planner. */
   readonly faults: string[];
   readonly counts: FigureCounts;
   readonly ended: (record: job.JobRecord, nowMs: number) => void;
@@ -46,7 +46,7 @@
   readonly advance: (fromMs: number, toMs: number) => void;
 }
 
-/** Plain sums. */
+/** Counters and sums. */
 export interface FigureCounts {
   unfinished: number;
   unrunnable: number;
@@ -54,7 +54,7 @@
   lostAcceleratorMs: number;
   claims: number;
   violations: number;
-  /** Claims that came late while too few workers were ready for all shapes, and so were announced. */
+  /** Late claims that waited while a worker wasn't ready, which is announced; not violations. */
   excused: number;
   quarantines: number;
   heldAcceleratorMs: number;
@@ -82,11 +82,11 @@
   readonly capacity: number;
   readonly held: number;
   readonly free: number;
-  /** Free accelerators that can't serve the largest shape. */
+  /** Free accelerators that can't be used for the largest shape because of fragmentation. */
   readonly broken: number;
 }
 
-/** Free accelerators that whole instances of the shape would fit on. */
+/** Number of free accelerators that complete instances of the shape could use. */
 const servable = (
   freeByRack: ReadonlyMap<string, readonly number[]>,
   accelerators: number,
@@ -137,7 +137,7 @@
 
 const classOf = (record: job.JobRecord): SizeClass => record.spec.kind as SizeClass;
 
-/** Accelerators that two jobs would hold at once. */
+/** Reports accelerators that would be allocated to two jobs concurrently. */
 const doubleBooked = (view: planTypes.PlanView, plan: planTypes.Plan): string[] => {
   const held = new Set<string>();
   const faults: string[] = [];
@@ -171,10 +171,10 @@
   let cell = '';
   const perWorker = (): number =>
     document.cells.find((it) => it.cell === cell)?.acceleratorsPerWorker ?? 8;
-  /** A cell without shapes counts for nothing here. */
+  /** Accelerators of the largest shape of a cell; 0 excludes cells without shapes from fragmentation. */
   const largestShape = (): number =>
     Math.max(0, ...document.shapes.filter((it) => it.cell === cell).map((it) => it.accelerators));
-  const noteEligible = (view: planTypes.PlanView): void => {
+  const recordEligible = (view: planTypes.PlanView): void => {
     const claims = guaranteeCheck.countClaims(view.jobs);
     for (const record of view.jobs) {
       const { jobId, claim, shapeId } = record.spec;
@@ -230,7 +230,7 @@
     },
     beforePlan: (view) => {
       cell = view.cell;
-      noteEligible(view);
+      recordEligible(view);
     },
     checkPlan: (view, plan) => {
       faults.push(...doubleBooked(view, plan));
--- a/src/bench/jobsReport.ts
+++ b/src/bench/jobsReport.ts
@@ -1,25 +1,25 @@
 /**
- * Tables and bars of the job measurement.
+ * Result tables and acceptance limits of the jobs bench.
  */
 import * as jobsFigures from './jobsFigures.js';
 
-/** The project's planner. */
+/** Name of the project's planner. */
 export const OURS = 'auburnlift';
-/** See `jobsBaselines.firstFitFifo`. */
+/** Name of `jobsBaselines.firstFitFifo`. */
 export const FIFO = 'first-fit FIFO';
-/** See `jobsBaselines.bestFitBackfill`. */
+/** Name of `jobsBaselines.bestFitBackfill`. */
 export const BACKFILL = 'best-fit backfill';
 
-/** Mean completion must be this much better than the better baseline on the mixed workload. */
+/** Required gain in mean completion over the better baseline on the mixed workload. */
 const MIXED_GAIN = 0.15;
-/** Fragmentation must be this much lower than first-fit FIFO's. */
+/** Required reduction of fragmentation compared with first-fit FIFO. */
 const FRAGMENTATION_GAIN = 0.3;
-/** A large job may wait this many times as long as with nobody else in the queue. */
+/** Limit on a large job's wait as a multiple of its wait with only large jobs and claims queued. */
 const LARGE_WAIT_RATIO = 3;
 const MS_PER_HOUR = 3_600_000;
 const MS_PER_MINUTE = 60_000;
 
-/** One bar with what was measured against it. */
+/** An acceptance limit with the measured value. */
 export interface Bar {
   readonly name: string;
   readonly measured: string;
@@ -27,7 +27,7 @@
 }
 
 /**
- * @param figures - of one run
+ * @param figures - figures of one run
  * @returns time-weighted share of free accelerators that can't serve the largest shape
  */
 export const fragmentationOf = (figures: jobsFigures.Figures): number =>
@@ -76,7 +76,7 @@
 /**
  * @param title - deployment and workload
  * @param results - figures by planner
- * @param print - prints a line
+ * @param print - called with each line of the table
  */
 export const printTable = (
   title: string,
@@ -92,8 +92,8 @@
 };
 
 /**
- * The two runs serve large jobs in different orders, so waits are compared by rank: the longest with
- * the longest, and so on.
+ * Largest ratio of waits between the two runs. They serve large jobs in different orders, so waits are
+ * compared by rank: the longest with the longest, and so on.
  */
 const ratioOf = (
   ours: jobsFigures.Figures,
@@ -114,7 +114,7 @@
  * @param results - figures by planner
  * @param alone - figures of the project's planner with large jobs and claims only
  * @param floorMs - shortest wait that counts for the ratio: the wait before a reservation
- * @returns the bars of the workload
+ * @returns the acceptance limits of the workload with the measured values
  */
 export const judge = (
   title: string,
@@ -158,8 +158,8 @@
 };
 
 /**
- * @param bars - all bars
- * @param print - prints a line
+ * @param bars - all acceptance limits
+ * @param print - called with each line of the results
  */
 export const printBars = (bars: readonly Bar[], print: (line: string) => void): void => {
   for (const bar of bars) print(`${bar.isMet ? 'met   ' : 'MISSED'} ${bar.name}: ${bar.measured}`);
--- a/src/bench/jobsWorkloads.ts
+++ b/src/bench/jobsWorkloads.ts
@@ -1,40 +1,40 @@
 /**
- * Seeded workloads for the measurement of job placement: what arrives when, how long it really runs,
- * and what fails.
+ * Seeded workloads of the jobs bench: arrivals, actual run times, and failures of jobs and
+ * workers.
  */
 import * as random from '../base/common/random.js';
 import type * as configuration from '../state/common/configuration.js';
 import type * as job from '../state/common/job.js';
 
-/** One job with the truth about it. */
+/** A job with its actual run time and failure, which the planner doesn't know. */
 export interface Arrival {
   readonly atMs: number;
   readonly spec: job.JobSpec;
   readonly trueRunMs: number;
-  /** It fails wherever it runs, after this time. */
+  /** Time after which the job fails on any worker; undefined if it doesn't. */
   readonly failsAfterMs: number | undefined;
 }
 
-/** A worker that is lost for a while. */
+/** Temporary loss of a worker. */
 export interface Loss {
   readonly workerIndex: number;
   readonly downAtMs: number;
   readonly upAtMs: number;
 }
 
-/** What a cell goes through. */
+/** Arrivals and faults in a cell. */
 export interface Workload {
   readonly name: string;
   readonly arrivals: readonly Arrival[];
   readonly losses: readonly Loss[];
-  /** Index of the worker on which everything fails at once. */
+  /** Index of the worker on which every task fails shortly after its start. */
   readonly blackHole: number | undefined;
 }
 
 const MINUTE_MS = 60_000;
 const HOUR_MS = 3_600_000;
 const SPAN_MS = 24 * HOUR_MS;
-/** Declared run times are off by up to this factor either way. */
+/** Declared run times are wrong by up to this factor in either direction. */
 const DECLARED_ERROR = 10;
 
 interface SizeClass {
@@ -73,13 +73,13 @@
   },
 } as const satisfies Record<string, SizeClass>;
 
-/** Names of the size classes, the smallest first. */
+/** Names of the size classes. */
 export type SizeClassName = keyof typeof CLASSES;
 
 const pick = <T>(next: random.Random, items: readonly T[]): T | undefined =>
   items[random.integerBelow(next, items.length)];
 
-/** Most runs lie near the mean of their kind; one in ten takes three times as long. */
+/** Draws an actual run time: most are near the mean of their kind, one in ten takes three times as long. */
 const trueRunMs = (next: random.Random, meanMs: number): number =>
   Math.round(meanMs * (0.5 + next()) * (next() < 0.1 ? 3 : 1));
 
@@ -93,7 +93,7 @@
   count: number;
 }
 
-/** The customers' shares of the arrivals are skewed: the first sends half, the next half the rest. */
+/** Draws a customer with skewed shares: the first sends half of the jobs, the next half of the rest. */
 const customerFor = (maker: Maker, accelerators: number): string => {
   const able = maker.document.rules
     .filter((it) => it.cells.length === 0 || it.cells.includes(maker.cell))
@@ -213,9 +213,9 @@
 /**
  * @param name - one of {@link WORKLOAD_NAMES}
  * @param document - configuration of the deployment
- * @param cell - the cell that the jobs go to
+ * @param cell - the cell that the jobs are submitted to
  * @param seed - the same seed gives the same workload
- * @returns the workload, its arrivals in order
+ * @returns the workload, with arrivals in order of time
  */
 export const createWorkload = (
   name: string,
--- a/src/bench/planningBench.ts
+++ b/src/bench/planningBench.ts
@@ -1,5 +1,5 @@
 /**
- * `npm run bench -- planning`: processor time of one planning round of a pool, by its size.
+ * `npm run bench -- planning`: measures the processor time of a pool's planning round by pool size.
  */
 import * as systemClock from '../base/node/systemClock.js';
 import * as runtimeEstimates from '../coordination/common/pool/runtimeEstimates.js';
@@ -15,7 +15,7 @@
   readonly waiting: number;
 }
 
-/** Today's two users, a leader of an availability zone, and the size that decides the design. */
+/** The two present deployments, a leader of an availability zone, and the target size of the design. */
 const SIZES: readonly Size[] = [
   { workers: 11, runsPerWorker: 8, waiting: 20 },
   { workers: 112, runsPerWorker: 14, waiting: 60 },
@@ -130,9 +130,9 @@
 };
 
 /**
- * @param _args - none
- * @param print - prints a line
- * @returns when all is printed
+ * @param _args - unused
+ * @param print - called with each line of the results
+ * @returns a promise that resolves when all results are printed
  */
 export const runPlanningBench = (
   _args: readonly string[],
--- a/src/bench/requestLoopback.ts
+++ b/src/bench/requestLoopback.ts
@@ -1,6 +1,6 @@
 /**
- * What entry and agent add to a direct call, on loopback and in one process: latency, requests per
- * second of one core for callers, entry, agent and upstream together, and memory per open request.
+ * Measures the overhead of entry and agent over a direct call, on loopback in one process: latency,
+ * requests per second of one core (callers, entry, agent and upstream) and memory per open request.
  */
 import * as hdr from 'hdr-histogram-js';
 
@@ -22,7 +22,7 @@
 const SECRET = 'bench-secret-of-no-value';
 const CALLS = 4000;
 const WARM_UP = 1000;
-const AT_ONCE = 8;
+const CONCURRENCY = 8;
 const SLOTS = 64;
 const OPEN_REQUESTS = 2000;
 const MAX_BODY_BYTES = 1_048_576;
@@ -41,14 +41,14 @@
   defaultDeadlineMs: 30_000,
 };
 
-const never = (): never => {
-  throw new Error('not part of this measurement');
+const unexpectedCall = (): never => {
+  throw new Error('unexpected call in this measurement');
 };
 
-interface Bed {
+interface TestSetup {
   readonly directUrl: http.Address;
   readonly entryUrl: http.Address;
-  /** Requests that come after it are held until it is let go. */
+  /** Blocks later requests at the upstream until the returned function is called. */
   readonly hold: () => () => void;
   readonly dispose: () => Promise<void>;
 }
@@ -61,7 +61,7 @@
     maxReplyBytes: MAX_BODY_BYTES,
   });
 
-const startBed = async (client: httpClient.HttpClient): Promise<Bed> => {
+const startSetup = async (client: httpClient.HttpClient): Promise<TestSetup> => {
   const time = systemClock.systemClock;
   let gate: Promise<void> = Promise.resolve();
   const upstream = await httpServer.listen(
@@ -99,7 +99,7 @@
       sender: () => sender('agent'),
       host,
       noteVersion: () => {},
-      otherwise: never,
+      otherwise: unexpectedCall,
     }),
   );
   const directory = agentDirectory.createAgentDirectory();
@@ -151,7 +151,7 @@
       callerApi.createCallerApi({
         health: { notReadyReason: () => undefined, metrics: entryMetrics },
         router,
-        jobs: { submit: never, show: never, cancel: never },
+        jobs: { submit: unexpectedCall, show: unexpectedCall, cancel: unexpectedCall },
         defaultDeadlineMs: () => POLICY.defaultDeadlineMs,
         isKnownCustomer: () => true,
         newId,
@@ -206,11 +206,11 @@
   histogram.getValueAtPercentile(percentile) / MICROSECONDS_PER_MS;
 
 /**
- * @param print - prints a line
+ * @param print - called with each line of the results
  */
 export const measureLoopback = async (print: (line: string) => void): Promise<void> => {
   const client = createClient(systemClock.systemClock);
-  const bed = await startBed(client);
+  const bed = await startSetup(client);
   const body = Buffer.alloc(1024, 'x');
   const send = (address: http.Address, path: string) => async (): Promise<void> => {
     const headers = { 'auburnlift-customer': 'festivals', 'content-type': 'text/plain' };
@@ -220,12 +220,12 @@
   };
   const direct = send(bed.directUrl, '/');
   const through = send(bed.entryUrl, '/call/');
-  await measure(WARM_UP, AT_ONCE, direct);
-  await measure(WARM_UP, AT_ONCE, through);
+  await measure(WARM_UP, CONCURRENCY, direct);
+  await measure(WARM_UP, CONCURRENCY, through);
   const alone = await measure(CALLS / 4, 1, direct);
   const passedAlone = await measure(CALLS / 4, 1, through);
-  const directly = await measure(CALLS, AT_ONCE, direct);
-  const passed = await measure(CALLS, AT_ONCE, through);
+  const directly = await measure(CALLS, CONCURRENCY, direct);
+  const passed = await measure(CALLS, CONCURRENCY, through);
   const describe = (name: string, it: Measured): void => {
     const [p50, p99] = [50, 99].map((one) => quantileMs(it, one).toFixed(2));
     const cpu = it.cpuMsPerCall.toFixed(3);
@@ -233,8 +233,8 @@
   };
   describe('direct, one at a time', alone);
   describe('through entry and agent, one at a time', passedAlone);
-  describe(`direct, ${AT_ONCE} at once`, directly);
-  describe(`through entry and agent, ${AT_ONCE} at once`, passed);
+  describe(`direct, ${CONCURRENCY} at once`, directly);
+  describe(`through entry and agent, ${CONCURRENCY} at once`, passed);
   const [p50, p99] = [50, 99].map((it) =>
     (quantileMs(passedAlone, it) - quantileMs(alone, it)).toFixed(2),
   );
--- a/src/bench/requestSimulation.ts
+++ b/src/bench/requestSimulation.ts
@@ -1,6 +1,6 @@
 /**
- * The decisions on requests in virtual time: entries that route, agents that admit, upstreams that
- * take their time. Everything random comes from a seed.
+ * Simulates request handling in virtual time: routing at entries, admission at agents and service at
+ * upstreams. All random choices come from a seed.
  */
 import * as random from '../base/common/random.js';
 import * as admission from '../coordination/common/admission.js';
@@ -9,7 +9,7 @@
 import * as routing from '../coordination/common/routing.js';
 import * as eventQueue from './eventQueue.js';
 
-/** How an entry chooses, the thing that is compared. */
+/** Routing strategies of an entry that are compared. */
 export const Strategy = {
   weighed: 'weighed',
   roundRobin: 'roundRobin',
@@ -20,29 +20,29 @@
 /** One of the values of {@link Strategy}. */
 export type Strategy = (typeof Strategy)[keyof typeof Strategy];
 
-/** What is simulated. */
+/** Parameters of a simulation. */
 export interface Scenario {
   readonly strategy: Strategy;
-  /** Without it every request waits for its turn, however late. */
+  /** Whether agents apply admission control; without it every request is queued, however late. */
   readonly hasAdmission: boolean;
   readonly order: admission.QueueOrder;
-  /** Offered work as a multiple of what all upstreams can do. */
+  /** Offered work as a multiple of the total capacity of the upstreams. */
   readonly load: number;
-  /** Upstreams of each region. */
+  /** Number of upstreams in each region. */
   readonly upstreams: readonly number[];
-  /** Part of the work that arrives in each region; the upstreams' parts where absent. */
+  /** Share of the work that arrives in each region; by default its share of the upstreams. */
   readonly demand?: readonly number[];
-  /** Slowness of the first upstream of the first region. */
+  /** Slowdown of the first upstream of the first region. */
   readonly slowFactor: number;
   readonly deadlineMs: number;
   readonly durationMs: number;
   readonly seed: number;
 }
 
-/** What callers saw. */
+/** Results of a simulation as seen by callers. */
 export interface Outcome {
   readonly offered: number;
-  /** Answers within the deadline, per second of the time after the warm-up. */
+  /** Answers within the deadline per second, after the warm-up. */
   readonly goodput: number;
   readonly capacity: number;
   readonly refused: number;
@@ -50,7 +50,7 @@
   readonly sent: number;
   readonly crossRegion: number;
   readonly latenciesMs: readonly number[];
-  /** Most of the sent messages that one answered customer had, by customer. */
+  /** Number of requests answered within the deadline, by customer. */
   readonly answeredBy: ReadonlyMap<string, number>;
 }
 
@@ -60,13 +60,13 @@
 const LONG_MS = 120;
 const LONG_SHARE = 0.2;
 
-/** Mean of the mix of short and long requests. */
+/** Mean service time of the mix of short and long requests. */
 export const MEAN_SERVICE_MS = SHORT_MS * (1 - LONG_SHARE) + LONG_MS * LONG_SHARE;
 
-const NEAR_MS = 1;
-const FAR_MS = 20;
+const LOCAL_DELAY_MS = 1;
+const REMOTE_DELAY_MS = 20;
 const WARM_UP_MS = 2000;
-const LEARN_MS = 2000;
+const REGISTER_MS = 2000;
 const CUSTOMERS = ['a', 'b', 'c', 'd'] as const;
 const POLICY = { crossRegionPriceMs: 250, crossRegionMaxShare: 0.05, retryBudgetShare: 0.1 };
 const INITIAL_CREDIT = 10;
@@ -86,7 +86,7 @@
   readonly slowFactor: number;
   load: admission.AdmissionState;
   readonly waiting: Map<string, { request: Request; entry: Entry }>;
-  /** Used without admission: all that came, of which as many run as there are slots. */
+  /** All requests received, when there is no admission control; as many run as there are slots. */
   readonly backlog: { request: Request; entry: Entry }[];
   served: number;
   finished: number;
@@ -123,8 +123,8 @@
 });
 
 /**
- * @param scenario - what is simulated
- * @returns what callers saw
+ * @param scenario - parameters of the simulation
+ * @returns results as seen by callers
  */
 export const simulate = (scenario: Scenario): Outcome => {
   const events = eventQueue.createEventQueue();
@@ -165,8 +165,8 @@
   const latenciesMs: number[] = [];
   const answeredBy = new Map<string, number>();
   const isCounted = (request: Request): boolean => request.bornMs >= WARM_UP_MS;
-  const distanceMs = (entry: Entry, agent: Agent): number =>
-    entry.region === agent.region ? NEAR_MS : FAR_MS;
+  const delayMs = (entry: Entry, agent: Agent): number =>
+    entry.region === agent.region ? LOCAL_DELAY_MS : REMOTE_DELAY_MS;
 
   const finish = (request: Request, entry: Entry): void => {
     entry.retries.earn(POLICY.retryBudgetShare);
@@ -182,7 +182,7 @@
   };
   const reply = (agent: Agent, entry: Entry, then: () => void): void => {
     const { running, queue, serviceMs } = agent.load;
-    const note = {
+    const agentLoad = {
       running: running.length + agent.served - agent.finished,
       queued: queue.length + agent.backlog.length - agent.served,
       serviceMs,
@@ -190,9 +190,9 @@
       bootId: 'boot',
       clockMs: 0,
     };
-    events.at(events.nowMs() + distanceMs(entry, agent), () => {
+    events.at(events.nowMs() + delayMs(entry, agent), () => {
       entry.directory.addOutstanding(agent.url, -1);
-      entry.directory.recordAnswer(agent.url, note, events.nowMs());
+      entry.directory.recordAnswer(agent.url, agentLoad, events.nowMs());
       then();
     });
   };
@@ -202,8 +202,8 @@
       const step = admission.release(agent.load, limits, request.id, events.nowMs(), heldMs);
       agent.load = step.next;
       reply(agent, entry, () => finish(request, entry));
-      step.started.forEach((it) => wake(agent, it.requestId, true));
-      step.expired.forEach((it) => wake(agent, it.requestId, false));
+      step.started.forEach((it) => dequeue(agent, it.requestId, true));
+      step.expired.forEach((it) => dequeue(agent, it.requestId, false));
     });
   };
   const refuse = (agent: Agent, request: Request, entry: Entry): void =>
@@ -212,7 +212,7 @@
       if (entry.retries.take()) route(request, entry);
       else if (isCounted(request)) totals.refused += 1;
     });
-  const wake = (agent: Agent, requestId: string, isStarted: boolean): void => {
+  const dequeue = (agent: Agent, requestId: string, isStarted: boolean): void => {
     const held = agent.waiting.get(requestId);
     agent.waiting.delete(requestId);
     if (held === undefined) return;
@@ -243,7 +243,7 @@
     if (decision.type === 'refuse') refuse(agent, request, entry);
     if (decision.type !== 'queue') return;
     agent.waiting.set(request.id, { request, entry });
-    if (decision.displaced !== undefined) wake(agent, decision.displaced.requestId, false);
+    if (decision.displaced !== undefined) dequeue(agent, decision.displaced.requestId, false);
   };
   const chooseWeighed = (request: Request, entry: Entry): string | undefined =>
     routing.choose(
@@ -257,7 +257,7 @@
       },
       next,
     )?.agentUrl;
-  const chooseSimply = (request: Request, entry: Entry): string | undefined => {
+  const chooseBaseline = (request: Request, entry: Entry): string | undefined => {
     const home = entry.directory
       .candidates(events.nowMs())
       .filter((it) => it.region === regionName(entry.region))
@@ -273,7 +273,7 @@
   };
   const route = (request: Request, entry: Entry): void => {
     const isWeighed = scenario.strategy === Strategy.weighed;
-    const url = isWeighed ? chooseWeighed(request, entry) : chooseSimply(request, entry);
+    const url = isWeighed ? chooseWeighed(request, entry) : chooseBaseline(request, entry);
     const agent = url === undefined ? undefined : byUrl.get(url);
     if (agent === undefined) {
       if (isCounted(request)) totals.refused += 1;
@@ -285,13 +285,13 @@
       totals.sent += 1;
       if (agent.region !== entry.region) totals.crossRegion += 1;
     }
-    events.at(events.nowMs() + distanceMs(entry, agent), () => arrive(agent, request, entry));
+    events.at(events.nowMs() + delayMs(entry, agent), () => arrive(agent, request, entry));
   };
   const demand = scenario.demand ?? scenario.upstreams.map((it) => it / agents.length);
   const scheduleArrivals = (entry: Entry): void => {
     const perMs = ((demand[entry.region] ?? 0) * capacity * scenario.load) / 1000;
     const gapMs = (): number => -Math.log(1 - next()) / perMs;
-    const one = (): void => {
+    const arriveNext = (): void => {
       const isLong = next() < LONG_SHARE;
       const request: Request = {
         id: String(totals.offered) + String(events.nowMs()),
@@ -304,19 +304,19 @@
       if (isCounted(request)) totals.offered += 1;
       entry.crossings.earn(POLICY.crossRegionMaxShare);
       route(request, entry);
-      events.at(events.nowMs() + gapMs(), one);
+      events.at(events.nowMs() + gapMs(), arriveNext);
     };
-    events.at(gapMs(), one);
+    events.at(gapMs(), arriveNext);
   };
-  const learn = (): void => {
+  const registerRemote = (): void => {
     for (const entry of entries) {
       agents
         .filter((it) => it.region !== entry.region)
         .forEach((it) => entry.directory.register(registrationOf(it), events.nowMs()));
     }
-    events.at(events.nowMs() + LEARN_MS, learn);
+    events.at(events.nowMs() + REGISTER_MS, registerRemote);
   };
-  learn();
+  registerRemote();
   entries.forEach(scheduleArrivals);
   events.runUntil(WARM_UP_MS + scenario.durationMs);
   return {
--- a/src/bench/requestsBench.ts
+++ b/src/bench/requestsBench.ts
@@ -1,6 +1,6 @@
 /**
- * Routing, admission and retries under load, in virtual time, against simpler ways; and with
- * `loopback`, what entry and agent add to a direct call.
+ * Compares routing, admission and retries under load with simpler strategies in virtual time; with
+ * `loopback`, measures the overhead of entry and agent over a direct call.
  */
 import * as admission from '../coordination/common/admission.js';
 import * as requestLoopback from './requestLoopback.js';
@@ -89,7 +89,7 @@
 
 /**
  * @param args - `loopback` for the measurement with sockets
- * @param print - prints a line
+ * @param print - called with each line of the results
  */
 export const runRequestsBench = async (args: readonly string[], print: Print): Promise<void> => {
   if (args.includes('loopback')) {
--- a/src/bench/rpcBench.ts
+++ b/src/bench/rpcBench.ts
@@ -1,6 +1,6 @@
 /**
- * What a message between processes costs: a tRPC call against a plain HTTP exchange, in one process
- * on loopback, so that both sides share one core's time.
+ * Compares the cost of a tRPC call with a plain HTTP exchange. Client and server run in one process on
+ * loopback, so that both share one core's time.
  */
 import * as http from '../base/common/http.js';
 import * as systemClock from '../base/node/systemClock.js';
@@ -49,8 +49,8 @@
 };
 
 /**
- * @param _args - none
- * @param print - prints a line
+ * @param _args - unused
+ * @param print - called with each line of the results
  */
 export const runRpcBench = async (
   _args: readonly string[],
--- a/src/bench/saturationBench.ts
+++ b/src/bench/saturationBench.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run bench -- saturation [SEEDS]`: what callers get when load is at its worst, beside two plain ways
- * of placing.
+ * `npm run bench -- saturation [SEEDS [MIX]]`: compares the value that callers gain at the worst loads
+ * with two simple planners.
  */
 import * as planRound from '../coordination/common/pool/planRound.js';
 
@@ -10,7 +10,7 @@
 import * as poolReplay from './saturation/poolReplay.js';
 import * as workload from './saturation/workload.js';
 
-/** Enough that a whole percent tells two ways apart; a few seconds in all. */
+/** Enough seeds to make a difference of one percent significant; the bench takes a few seconds. */
 const DEFAULT_SEEDS = 12;
 
 const PLANNERS: Readonly<Record<string, poolReplay.Planner>> = {
@@ -45,17 +45,17 @@
   ].join(' ');
 
 /**
- * @param args - how many seeds
- * @param print - prints a line
- * @returns when all is printed
+ * @param args - number of seeds, then the name of a mix; both optional
+ * @param print - called with each line of the results
+ * @returns a promise that resolves when all results are printed
  */
 export const runSaturationBench = (
   args: readonly string[],
   print: (line: string) => void,
 ): Promise<void> => {
   const seeds = Number(args[0] ?? DEFAULT_SEEDS);
-  const only = args[1];
-  for (const mix of mixes.MIXES.filter((it) => only === undefined || it.name === only)) {
+  const mixName = args[1];
+  for (const mix of mixes.MIXES.filter((it) => mixName === undefined || it.name === mixName)) {
     for (const strain of mixes.STRAINS) {
       print(`\n${mix.name}, ${strain.name} (shares of worth in per cent, ${seeds} seeds)`);
       print(HEADER);
