--- a/tools/guards.js
+++ b/tools/guards.js
@@ -60,7 +60,7 @@
   [
     'an entry forwards a relayed response while it arrives',
     'programs/relayRpc.js',
-    'if (!isBegun)\n                begin(status);',
+    'if (!hasBegun)\n                begin(status);',
     '',
   ],
   [
