--- a/src/bench/capacity/measureInForce.ts
+++ b/src/bench/capacity/measureActivation.ts
@@ -33,7 +33,7 @@
 /**
  * @param recorder - collects the measurements
  */
-export const measureInForce = async (recorder: measurement.Recorder): Promise<void> => {
+export const measureActivation = async (recorder: measurement.Recorder): Promise<void> => {
   for (const size of SIZES) {
     const parts = await rig.startRig(1);
     const indexes = Array.from({ length: size }, (_unused, index) => index);
--- a/src/bench/capacity/measureIdle.ts
+++ b/src/bench/capacity/measureIdle.ts
@@ -72,7 +72,7 @@
   const workerUrl = http.formatAddress(workerHttp.address);
   const agent = await parts.startAgent('agent-idle', entryUrl, workerUrl);
   const idle = await measureIdleUse(parts, agent);
-  const pollsPerSecond = MS_PER_SECOND / rig.AGENT_LOOK_MS;
+  const pollsPerSecond = MS_PER_SECOND / rig.WORKER_POLL_MS;
   recorder.figure('agentLookCpuMs', idle.cpuMsPerSecond / pollsPerSecond);
   const residentMib = processUse.residentBytesOf(agent.processId) / BYTES_PER_MIB;
   recorder.figure('agentResidentMib', residentMib);
--- a/src/bench/capacity/measureTakeOver.ts
+++ b/src/bench/capacity/measureTakeover.ts
@@ -44,6 +44,6 @@
 /**
  * @param recorder - collects the measurements
  */
-export const measureTakeOver = async (recorder: measurement.Recorder): Promise<void> => {
+export const measureTakeover = async (recorder: measurement.Recorder): Promise<void> => {
   for (const size of SIZES) await measureSize(size, recorder);
 };
--- a/src/bench/capacity/rig.ts
+++ b/src/bench/capacity/rig.ts
@@ -23,7 +23,7 @@
 } as const;
 
 /** Period at which agents poll their worker: short, so that a few seconds contain many polls. */
-export const AGENT_LOOK_MS = 200;
+export const WORKER_POLL_MS = 200;
 
 const POLL_MS = 20;
 const MAX_POLLS = 1500;
@@ -127,7 +127,7 @@
         ...common,
         processId,
         entryUrls: [entryUrl],
-        reportMs: AGENT_LOOK_MS,
+        reportMs: WORKER_POLL_MS,
         ...(workerUrl === undefined ? {} : { worker: { ...WORKER, url: workerUrl } }),
         maxQueued: 32,
         maxBodyBytes: 1_048_576,
--- a/src/bench/capacity/runCapacity.ts
+++ b/src/bench/capacity/runCapacity.ts
@@ -9,10 +9,10 @@
 
 import * as measureControl from './measureControl.js';
 import * as measureIdle from './measureIdle.js';
-import * as measureInForce from './measureInForce.js';
+import * as measureActivation from './measureActivation.js';
 import * as measurePlanning from './measurePlanning.js';
 import * as measureRequests from './measureRequests.js';
-import * as measureTakeOver from './measureTakeOver.js';
+import * as measureTakeover from './measureTakeover.js';
 import * as measurement from './measurement.js';
 import * as renderPage from './renderPage.js';
 import * as slopes from './slopes.js';
@@ -47,9 +47,9 @@
   measurePlanning.measurePlanning(recorder);
   await measureControl.measureControl(recorder);
   await measureRequests.measureRequests(recorder);
-  await measureTakeOver.measureTakeOver(recorder);
+  await measureTakeover.measureTakeover(recorder);
   await measureIdle.measureIdle(recorder);
-  await measureInForce.measureInForce(recorder);
+  await measureActivation.measureActivation(recorder);
   const measured = toMeasurements(recorder);
   for (const [name, slope] of Object.entries(measured.slopes)) {
     const { perUnit, intercept, spreadShare } = slope;
--- a/src/bench/jobsBench.ts
+++ b/src/bench/jobsBench.ts
@@ -46,7 +46,7 @@
   document.cells.forEach(({ cell }, index) => {
     const fullWorkload = jobsWorkloads.createWorkload(name, document, cell, SEED + index);
     const workload = { ...fullWorkload, arrivals: fullWorkload.arrivals.filter(isIncluded) };
-    jobsDriver.drive({ document, cell, workload, planner, figures, clockMs });
+    jobsDriver.simulateJobs({ document, cell, workload, planner, figures, clockMs });
   });
   return figures;
 };
@@ -64,7 +64,7 @@
   print: (line: string) => void,
 ): Promise<void> => {
   const names = args.length > 0 ? args : jobsWorkloads.WORKLOAD_NAMES;
-  const bars: jobsReport.Bar[] = [];
+  const bars: jobsReport.AcceptanceLimit[] = [];
   for (const deployment of DEPLOYMENTS) {
     const document = readDocument(deployment);
     for (const name of names) {
@@ -77,10 +77,10 @@
       const alone = measure(document, name, placement.planRound, isLargeOrClaim);
       jobsReport.printTable(`${deployment} / ${name}`, results, print);
       const floorMs = document.placement.largeJobWaitMs;
-      bars.push(...jobsReport.judge(`${deployment} / ${name}`, results, alone, floorMs));
+      bars.push(...jobsReport.checkLimits(`${deployment} / ${name}`, results, alone, floorMs));
     }
   }
   bars.push(...jobsCost.measureCost(clockMs, print));
-  jobsReport.printBars(bars, print);
+  jobsReport.printLimits(bars, print);
   return Promise.resolve();
 };
--- a/src/bench/jobsCost.ts
+++ b/src/bench/jobsCost.ts
@@ -210,8 +210,8 @@
 export const measureCost = (
   clockMs: () => number,
   print: (line: string) => void,
-): jobsReport.Bar[] => {
-  const bars: jobsReport.Bar[] = [];
+): jobsReport.AcceptanceLimit[] => {
+  const bars: jobsReport.AcceptanceLimit[] = [];
   const means = new Map<string, number>();
   print('cost of a planning round on a full cell');
   for (const size of SIZES) {
--- a/src/bench/jobsDriver.ts
+++ b/src/bench/jobsDriver.ts
@@ -107,7 +107,7 @@
  * @param options - planner, workload and figures
  * @returns nothing; the results are recorded in the figures
  */
-export const drive = (options: DriverOptions): void => {
+export const simulateJobs = (options: DriverOptions): void => {
   const { workload, document, figures } = options;
   const policy = document.placement;
   const eventHeap = createEventHeap();
--- a/src/bench/jobsFigures.ts
+++ b/src/bench/jobsFigures.ts
@@ -60,7 +60,7 @@
   heldAcceleratorMs: number;
   capacityAcceleratorMs: number;
   freeAcceleratorMs: number;
-  brokenAcceleratorMs: number;
+  fragmentedAcceleratorMs: number;
 }
 
 const noCounts = (): FigureCounts => ({
@@ -75,7 +75,7 @@
   heldAcceleratorMs: 0,
   capacityAcceleratorMs: 0,
   freeAcceleratorMs: 0,
-  brokenAcceleratorMs: 0,
+  fragmentedAcceleratorMs: 0,
 });
 
 interface CellUse {
@@ -245,7 +245,7 @@
       counts.capacityAcceleratorMs += use.capacity * spanMs;
       counts.heldAcceleratorMs += use.held * spanMs;
       counts.freeAcceleratorMs += use.free * spanMs;
-      counts.brokenAcceleratorMs += use.broken * spanMs;
+      counts.fragmentedAcceleratorMs += use.broken * spanMs;
     },
   };
 };
--- a/src/bench/jobsReport.ts
+++ b/src/bench/jobsReport.ts
@@ -20,7 +20,7 @@
 const MS_PER_MINUTE = 60_000;
 
 /** An acceptance limit with the measured value. */
-export interface Bar {
+export interface AcceptanceLimit {
   readonly name: string;
   readonly measured: string;
   readonly isMet: boolean;
@@ -31,7 +31,7 @@
  * @returns time-weighted share of free accelerators that can't serve the largest shape
  */
 export const fragmentationOf = (figures: jobsFigures.Figures): number =>
-  figures.counts.brokenAcceleratorMs / Math.max(1, figures.counts.freeAcceleratorMs);
+  figures.counts.fragmentedAcceleratorMs / Math.max(1, figures.counts.freeAcceleratorMs);
 
 const meanMinutes = (figures: jobsFigures.Figures, size: jobsFigures.SizeClass): number =>
   (figures.completion.get(size)?.mean ?? 0) / 60;
@@ -116,12 +116,12 @@
  * @param floorMs - shortest wait that counts for the ratio: the wait before a reservation
  * @returns the acceptance limits of the workload with the measured values
  */
-export const judge = (
+export const checkLimits = (
   title: string,
   results: ReadonlyMap<string, jobsFigures.Figures>,
   alone: jobsFigures.Figures,
   floorMs: number,
-): Bar[] => {
+): AcceptanceLimit[] => {
   const ours = results.get(OURS);
   const fifo = results.get(FIFO);
   const backfill = results.get(BACKFILL);
@@ -161,7 +161,10 @@
  * @param bars - all acceptance limits
  * @param print - called with each line of the results
  */
-export const printBars = (bars: readonly Bar[], print: (line: string) => void): void => {
+export const printLimits = (
+  bars: readonly AcceptanceLimit[],
+  print: (line: string) => void,
+): void => {
   for (const bar of bars) print(`${bar.isMet ? 'met   ' : 'MISSED'} ${bar.name}: ${bar.measured}`);
   const missed = bars.filter((it) => !it.isMet).length;
   print(`${bars.length - missed} of ${bars.length} bars met`);
--- a/src/bench/jobsWorkloads.ts
+++ b/src/bench/jobsWorkloads.ts
@@ -16,7 +16,7 @@
 }
 
 /** Temporary loss of a worker. */
-export interface Loss {
+export interface WorkerLoss {
   readonly workerIndex: number;
   readonly downAtMs: number;
   readonly upAtMs: number;
@@ -26,7 +26,7 @@
 export interface Workload {
   readonly name: string;
   readonly arrivals: readonly Arrival[];
-  readonly losses: readonly Loss[];
+  readonly losses: readonly WorkerLoss[];
   /** Index of the worker on which every task fails shortly after its start. */
   readonly blackHole: number | undefined;
 }
--- a/src/bench/requestLoopback.ts
+++ b/src/bench/requestLoopback.ts
@@ -98,8 +98,8 @@
       maxBodyBytes: MAX_BODY_BYTES,
       sender: () => sender('agent'),
       host,
-      noteVersion: () => {},
-      otherwise: unexpectedCall,
+      recordVersion: () => {},
+      fallback: unexpectedCall,
     }),
   );
   const directory = agentDirectory.createAgentDirectory();
--- a/src/bench/saturation/mixes.ts
+++ b/src/bench/saturation/mixes.ts
@@ -54,7 +54,7 @@
   /** Longest work between two checkpoints. */
   readonly checkpointMs: number;
   /** Slowdown of a task that is remote from its data or its rack. */
-  readonly farFactor: number;
+  readonly remoteFactor: number;
   readonly stopMs: number;
 }
 
@@ -68,7 +68,7 @@
   customers: 4,
   guaranteedShare: 0.62,
   checkpointMs: 2000,
-  farFactor: 3,
+  remoteFactor: 3,
   stopMs: 300,
   kinds: [
     {
--- a/src/bench/saturation/poolReplay.ts
+++ b/src/bench/saturation/poolReplay.ts
@@ -250,7 +250,7 @@
     const names = tasks.map((task) => workerTable.keysOf(entry, task).name);
     const saved = Math.max(0, ...names.map((name) => savedMs.get(name) ?? 0));
     const nowMs = events.nowMs();
-    const distanceFactor = gangPlacement.countRemoteTasks(step, racks) > 0 ? mix.farFactor : 1;
+    const distanceFactor = gangPlacement.countRemoteTasks(step, racks) > 0 ? mix.remoteFactor : 1;
     const startTime = { wallMs: nowMs, distanceFactor };
     jobState.assign(entry, gangPlacement.assignmentsOf(placement), startTime);
     const group: Group = {
@@ -325,7 +325,7 @@
       units,
       stragglerUnits: queue.stragglerUnits(stragglerRuns, nowMs, nowMs),
       guarantees,
-      remoteFactor: mix.farFactor,
+      remoteFactor: mix.remoteFactor,
     });
     round.starts.forEach(startUnit);
     for (const groupKey of round.preemptions.keys()) preempt(groupKey);
--- a/src/bin/auburnliftSoak.ts
+++ b/src/bin/auburnliftSoak.ts
@@ -24,7 +24,7 @@
 /** Remaining runs, the next one first. */
 const plan: { readonly seed: number; readonly seconds: number }[] =
   process.argv[2] === 'kept'
-    ? [...keptSeeds.KEPT_SEEDS]
+    ? [...keptSeeds.REGRESSION_SEEDS]
     : Array.from({ length: seeds }, (_, index) => ({ seed: firstSeed + index, seconds }));
 const total = plan.length;
 let failed = 0;
--- a/src/cli/commandShell.ts
+++ b/src/cli/commandShell.ts
@@ -110,10 +110,10 @@
  */
 const formatError = (thrown: unknown, isJson: boolean, given: readonly string[]): string => {
   const error = errors.normalize(thrown);
-  const message = quote.quoteWithin(error.message, given);
+  const message = quote.truncateWithin(error.message, given);
   if (!isJson) return `error: ${error.kind}: ${message}`;
   const { field, ...body } = errors.toBody(error);
-  const quoted = field === undefined ? {} : { field: quote.quoteWithin(field, given) };
+  const quoted = field === undefined ? {} : { field: quote.truncateWithin(field, given) };
   return JSON.stringify({ error: { ...body, message, ...quoted } });
 };
 
--- a/src/cli/configCommands.ts
+++ b/src/cli/configCommands.ts
@@ -38,7 +38,7 @@
 
 const parseDocument = async (input: Input): Promise<configuration.ConfigurationDocument> => {
   const file = commandDefinition.fileArg(input, 0);
-  const name = inputStream.nameOf(file);
+  const name = inputStream.displayName(file);
   const problems: jsonc.ParseError[] = [];
   const text = await input.readText(file);
   const parsed = jsonc.parse(text, problems, { allowTrailingComma: true }) as unknown;
--- a/src/cli/documentEdits.ts
+++ b/src/cli/documentEdits.ts
@@ -8,14 +8,14 @@
 import * as inputDocument from './inputDocument.js';
 
 /** Lists of the document that can be edited item by item, with the id field of their items. */
-export const LIST_KEYS = {
+export const LIST_ID_FIELDS = {
   customers: 'customerId',
   shapes: 'shapeId',
   rules: 'ruleId',
 } as const;
 
-/** One of the lists of {@link LIST_KEYS}. */
-export type ListName = keyof typeof LIST_KEYS;
+/** One of the lists of {@link LIST_ID_FIELDS}. */
+export type ListName = keyof typeof LIST_ID_FIELDS;
 
 type Item = Readonly<Record<string, unknown>>;
 
@@ -32,7 +32,7 @@
 const validated = (document: unknown): configuration.ConfigurationDocument =>
   inputDocument.decodeOrFail(configuration.ConfigurationDocument, document, 'configuration');
 
-const idOf = (list: ListName, item: Item): string => String(item[LIST_KEYS[list]]);
+const idOf = (list: ListName, item: Item): string => String(item[LIST_ID_FIELDS[list]]);
 
 const missing = (list: ListName, id: string): errors.AuburnliftError =>
   errors.fail('notFound', `no ${id} in ${list}; nothing was written`, { field: list });
@@ -81,7 +81,7 @@
       field: list,
     });
   }
-  return validated({ ...document, [list]: [...items, { [LIST_KEYS[list]]: id, ...fields }] });
+  return validated({ ...document, [list]: [...items, { [LIST_ID_FIELDS[list]]: id, ...fields }] });
 };
 
 /**
@@ -123,7 +123,7 @@
 };
 
 const LIST_ITEM_KEYS: Readonly<Record<string, string>> = {
-  ...LIST_KEYS,
+  ...LIST_ID_FIELDS,
   cells: 'cell',
   objectives: 'objectiveId',
 };
--- a/src/cli/inputDocument.ts
+++ b/src/cli/inputDocument.ts
@@ -26,8 +26,8 @@
   const decoded = schemaIssues.decode(schema, input);
   if (decoded.isValid) return decoded.value;
   const issues = decoded.issues.slice(0, MAX_ISSUES).map(({ field, message }) => ({
-    field: quote.quote(field),
-    message: quote.quote(message),
+    field: quote.truncateInput(field),
+    message: quote.truncateInput(message),
   }));
   const more = decoded.issues.length - issues.length;
   const texts = issues.map((it) => `${it.field}: ${it.message}`);
--- a/src/cli/inputStream.ts
+++ b/src/cli/inputStream.ts
@@ -20,8 +20,8 @@
  * @param file - path, or `-`
  * @returns its name in messages
  */
-export const nameOf = (file: string): string =>
-  file === STANDARD_INPUT ? 'standard input' : quote.quote(file);
+export const displayName = (file: string): string =>
+  file === STANDARD_INPUT ? 'standard input' : quote.truncateInput(file);
 
 /** The error's text before its comma; the rest repeats the path, which the message already has. */
 const reasonOf = (thrown: unknown): string => errors.normalize(thrown).message.split(',')[0] ?? '';
@@ -36,7 +36,7 @@
     for await (const chunk of stream) onChunk(chunk as Buffer);
   } catch (thrown) {
     if (errors.isKnown(thrown)) throw thrown;
-    throw errors.fail('notFound', `${nameOf(file)}: ${reasonOf(thrown)}`, { field: 'file' });
+    throw errors.fail('notFound', `${displayName(file)}: ${reasonOf(thrown)}`, { field: 'file' });
   }
 };
 
@@ -101,7 +101,7 @@
     sizeBytes += chunk.length;
     if (sizeBytes > MAX_DOCUMENT_BYTES) {
       const limit = `a document has ${MAX_DOCUMENT_BYTES} bytes at most`;
-      throw errors.fail('tooLarge', `${nameOf(file)}: ${limit}`, { field: 'file' });
+      throw errors.fail('tooLarge', `${displayName(file)}: ${limit}`, { field: 'file' });
     }
     chunks.push(chunk);
   });
--- a/src/cli/logCommands.ts
+++ b/src/cli/logCommands.ts
@@ -18,12 +18,12 @@
   input: commandDefinition.CommandInput,
   file: string,
   query: logCollector.LogQuery,
-): Promise<logCollector.Collected> => {
+): Promise<logCollector.CollectedLogs> => {
   const collector = logCollector.createLogCollector(query);
-  await input.eachLine(file, logLines.MAX_LINE_CHARACTERS, collector.take);
+  await input.eachLine(file, logLines.MAX_LINE_CHARACTERS, collector.add);
   const collected = collector.collected();
   if (collected !== undefined) return collected;
-  const message = `${inputStream.nameOf(file)}: no line of a process's log`;
+  const message = `${inputStream.displayName(file)}: no line of a process's log`;
   throw errors.fail('invalidRequest', message, { field: 'file' });
 };
 
--- a/src/cli/logs/leaderTerms.ts
+++ b/src/cli/logs/leaderTerms.ts
@@ -144,7 +144,7 @@
 
 /** Collects the events of a log in any order and derives the leader terms. */
 export interface TermCollector {
-  readonly take: (event: logLines.LogEvent) => void;
+  readonly add: (event: logLines.LogEvent) => void;
   readonly terms: () => Terms;
 }
 
@@ -155,7 +155,7 @@
   const termEvents: TermEvent[] = [];
   const times = new Map<string, LineTimes>();
   return {
-    take: ({ atMs, event, role, node }) => {
+    add: ({ atMs, event, role, node }) => {
       if (role !== 'scheduler') return;
       if (TERM_EVENTS.has(event)) {
         termEvents.push({
--- a/src/cli/logs/logCollector.ts
+++ b/src/cli/logs/logCollector.ts
@@ -19,7 +19,7 @@
 export type Skipped = Readonly<Record<logLines.SkipReason, number>>;
 
 /** The content of the collected logs. */
-export interface Collected {
+export interface CollectedLogs {
   readonly logContext: jobHistory.LogContext;
   /** The jobs of the stored events, in no particular order. */
   readonly jobs: () => Iterable<eventSpool.JobEvents>;
@@ -29,9 +29,9 @@
 
 /** Accepts log lines of any number of processes in any order. */
 export interface LogCollector {
-  readonly take: (line: string, isComplete?: boolean) => void;
+  readonly add: (line: string, isComplete?: boolean) => void;
   /** The content, or undefined without a log line of an auburnlift process. */
-  readonly collected: () => Collected | undefined;
+  readonly collected: () => CollectedLogs | undefined;
 }
 
 /** Limits for one job, all of whose events are in memory together. */
@@ -61,12 +61,12 @@
   let lastAtMs = -Infinity;
   const takeEvent = (event: logLines.LogEvent): void => {
     lastAtMs = Math.max(lastAtMs, event.atMs);
-    termCollector.take(event);
+    termCollector.add(event);
     const jobId = jobHistory.jobIdOf(event);
     if (jobId !== undefined && needs(event, jobId)) spool.add(jobId, event);
   };
   return {
-    take: (line, isComplete) => {
+    add: (line, isComplete) => {
       if (line.trim() === '') return;
       const parsed = logLines.parseLine(line, isComplete);
       if (typeof parsed === 'string') skipped[parsed] += 1;
--- a/src/cli/logs/test/logCollector.test.ts
+++ b/src/cli/logs/test/logCollector.test.ts
@@ -17,15 +17,15 @@
   lines: readonly string[],
   query: logCollector.LogQuery = { needs: () => true },
   limits?: logCollector.JobLimits,
-): logCollector.Collected => {
+): logCollector.CollectedLogs => {
   const collector = logCollector.createLogCollector(query, limits);
-  lines.forEach((it) => collector.take(it));
+  lines.forEach((it) => collector.add(it));
   const collected = collector.collected();
   assert.ok(collected !== undefined);
   return collected;
 };
 
-const eventsOf = (collected: logCollector.Collected): Record<string, logLines.LogEvent[]> =>
+const eventsOf = (collected: logCollector.CollectedLogs): Record<string, logLines.LogEvent[]> =>
   Object.fromEntries([...collected.jobs()].map(({ jobId, events }) => [jobId, [...events]]));
 
 test.describe('logCollector', () => {
@@ -42,7 +42,7 @@
 
   test.it('detects a log without an auburnlift line', () => {
     const collector = logCollector.createLogCollector({ needs: () => true });
-    collector.take('foreign');
+    collector.add('foreign');
     assert.equal(collector.collected(), undefined);
   });
 
--- a/src/cli/logs/test/timeSplit.test.ts
+++ b/src/cli/logs/test/timeSplit.test.ts
@@ -37,7 +37,7 @@
     needs: jobHistory.isHistoryEvent,
     fields: jobHistory.HISTORY_FIELDS,
   });
-  lines.map(format).forEach((it) => collector.take(it));
+  lines.map(format).forEach((it) => collector.add(it));
   const collected = collector.collected();
   assert.ok(collected !== undefined);
   const jobs = [...collected.jobs()].map(({ jobId, events }) => {
--- a/src/cli/program.ts
+++ b/src/cli/program.ts
@@ -25,7 +25,7 @@
 const quoteMessage = (thrown: unknown): Error => {
   const error = thrown instanceof Error ? thrown : new Error(String(thrown));
   const [message = '', ...rest] = error.message.split(HELP_HINT);
-  error.message = quote.quote(message) + (rest.length === 0 ? '' : HELP_HINT);
+  error.message = quote.truncateInput(message) + (rest.length === 0 ? '' : HELP_HINT);
   return error;
 };
 
--- a/src/cli/quote.ts
+++ b/src/cli/quote.ts
@@ -12,7 +12,7 @@
  * @param text - a part of the input
  * @returns at most its first 200 characters, with an ellipsis if it was longer
  */
-export const quote = (text: string): string =>
+export const truncateInput = (text: string): string =>
   text.length <= MAX_QUOTED_CHARACTERS ? text : `${text.slice(0, MAX_QUOTED_CHARACTERS)}…`;
 
 /**
@@ -20,8 +20,8 @@
  * @param given - arguments and flag values that it may repeat
  * @returns the message with these and any other long word truncated
  */
-export const quoteWithin = (message: string, given: readonly string[]): string =>
+export const truncateWithin = (message: string, given: readonly string[]): string =>
   given
     .filter((it) => it.length > MAX_QUOTED_CHARACTERS)
-    .reduce((text, it) => text.replaceAll(it, () => quote(it)), message)
-    .replace(LONG_WORD, quote);
+    .reduce((text, it) => text.replaceAll(it, () => truncateInput(it)), message)
+    .replace(LONG_WORD, truncateInput);
--- a/src/cli/test/memory.test.ts
+++ b/src/cli/test/memory.test.ts
@@ -6,7 +6,7 @@
 import * as test from 'node:test';
 import * as url from 'node:url';
 
-import * as programRun from './programRun.js';
+import * as shellRun from './shellRun.js';
 
 const FOLDER = path.dirname(url.fileURLToPath(import.meta.url));
 
@@ -61,7 +61,7 @@
   for (const { name, line, out } of CASES) {
     test.it(`${name}: the input is not held in memory`, async () => {
       const GENERATE = `${process.execPath} ${path.join(FOLDER, 'logGenerator.js')}`;
-      const run = await programRun.runShell(line, { GENERATE });
+      const run = await shellRun.runShell(line, { GENERATE });
       assert.equal(run.error, '');
       out.forEach((it) => assert.match(run.out, it));
       assert.equal(run.status, 0);
--- a/src/cli/test/pipes.test.ts
+++ b/src/cli/test/pipes.test.ts
@@ -10,7 +10,7 @@
 import * as test from 'node:test';
 
 import * as cliFixtures from './cliFixtures.js';
-import * as programRun from './programRun.js';
+import * as shellRun from './shellRun.js';
 
 const FOLDER = fs.mkdtempSync(path.join(os.tmpdir(), 'auburnlift-pipes-'));
 const LOG = path.join(FOLDER, 'all.log');
@@ -270,7 +270,7 @@
 ];
 
 const check = async ({ line: text, status = 0, out = [], error = /^$/ }: Case): Promise<void> => {
-  const run = await programRun.runShell(text, { ...VARIABLES, ACCESS: access });
+  const run = await shellRun.runShell(text, { ...VARIABLES, ACCESS: access });
   assert.match(run.error, error);
   out.forEach((it) => assert.match(run.out, it));
   assert.equal(run.status, status);
--- a/src/cli/test/quoting.test.ts
+++ b/src/cli/test/quoting.test.ts
@@ -7,7 +7,7 @@
 import * as test from 'node:test';
 
 import * as cliFixtures from './cliFixtures.js';
-import * as programRun from './programRun.js';
+import * as shellRun from './shellRun.js';
 
 const MAX_QUOTED = 200;
 
@@ -146,7 +146,7 @@
 test.describe('errors quote at most 200 characters', { concurrency: 4 }, () => {
   for (const { name, line, status, says } of CASES) {
     test.it(name, async () => {
-      const run = await programRun.runShell(line, {
+      const run = await shellRun.runShell(line, {
         LONG,
         TEXT,
         GENERATED,
--- a/src/dev/devHost.ts
+++ b/src/dev/devHost.ts
@@ -8,7 +8,7 @@
 import * as systemClock from '../base/node/systemClock.js';
 import * as agent from '../programs/agent.js';
 import * as entry from '../programs/entry.js';
-import type * as processKit from '../programs/processKit.js';
+import type * as processContext from '../programs/processContext.js';
 import * as scheduler from '../programs/scheduler.js';
 import * as memoryStore from '../standins/memoryStore.js';
 import * as memoryWorker from '../standins/memoryWorker.js';
@@ -36,7 +36,7 @@
   readonly zone: string;
   readonly region: string;
   readonly workerId: string;
-  readonly agent: processKit.Program;
+  readonly agent: processContext.Program;
   readonly worker: memoryWorker.MemoryWorker;
   readonly upstream: upstream.Upstream;
 }
@@ -52,7 +52,7 @@
   readonly store: memoryStore.MemoryStore;
   readonly storeUrl: string;
   readonly entries: readonly DevEntry[];
-  readonly schedulers: readonly processKit.Program[];
+  readonly schedulers: readonly processContext.Program[];
   readonly vms: readonly DevVm[];
   /** An operator token with the write role. */
   readonly operatorToken: string;
@@ -104,7 +104,7 @@
   const common = { peerSecret, logLevel, drainMs, peers: LOOPBACK };
   const storeAccess = { storeUrl, storeTimeoutMs: STORE_TIMEOUT_MS, leaseMs: LEASE_MS };
   const entries: DevEntry[] = [];
-  const schedulers: processKit.Program[] = [];
+  const schedulers: processContext.Program[] = [];
   const vms: DevVm[] = [];
 
   const startEntryVm = async (region: string, zone: string, index: number): Promise<void> => {
--- a/src/programs/agent.ts
+++ b/src/programs/agent.ts
@@ -21,7 +21,7 @@
 import * as rpcServer from '../transport/node/rpcServer.js';
 
 import * as agentLinks from './agentLinks.js';
-import * as processKit from './processKit.js';
+import * as processContext from './processContext.js';
 
 /** Path at which an upstream announces itself; accepted from the same VM only. */
 const ANNOUNCE_PATH = '/announce';
@@ -44,7 +44,7 @@
 };
 
 const startTasks = (
-  ctx: processKit.ProcessKit,
+  ctx: processContext.ProcessContext,
   settings: settingsSchema.AgentSettings,
   links: agentLinks.AgentLinks,
 ): agentRuntime.AgentRuntime | undefined => {
@@ -66,7 +66,7 @@
 };
 
 const createService = (
-  ctx: processKit.ProcessKit,
+  ctx: processContext.ProcessContext,
   bootId: string,
   links: agentLinks.AgentLinks,
   workerInfo: () => worker.WorkerInfo | undefined,
@@ -81,7 +81,7 @@
   return {
     fence: (request) => {
       const held = requireRuntime().fence(request.epoch);
-      links.noteLeader({ url: request.leaderUrl, epoch: request.epoch });
+      links.recordLeader({ url: request.leaderUrl, epoch: request.epoch });
       const info = workerInfo();
       return Promise.resolve({
         from: ctx.sender(),
@@ -94,7 +94,7 @@
       });
     },
     command: async (request) => {
-      links.noteVersion(request.from.configVersion);
+      links.recordVersion(request.from.configVersion);
       if (request.bootId !== bootId) {
         throw errors.fail('staleEpoch', 'the command is for an earlier boot of this agent');
       }
@@ -106,7 +106,7 @@
       return Promise.resolve({ from: ctx.sender(), ...(record === undefined ? {} : { record }) });
     },
     drain: async (request) => {
-      links.noteVersion(request.from.configVersion);
+      links.recordVersion(request.from.configVersion);
       drainUpstream(request.isDraining);
       // The region's entries are informed before the operator receives the reply.
       await links.registerNow();
@@ -116,7 +116,10 @@
   };
 };
 
-const shareOf = (ctx: processKit.ProcessKit, customerId: string): admission.CustomerShare => {
+const shareOf = (
+  ctx: processContext.ProcessContext,
+  customerId: string,
+): admission.CustomerShare => {
   const customers = ctx.configuration.current()?.document.customers ?? [];
   const customer = customers.find((it) => it.customerId === customerId);
   if (customer === undefined) return admission.DEFAULT_SHARE;
@@ -129,8 +132,8 @@
  */
 export const startAgent = async (
   settings: settingsSchema.AgentSettings,
-): Promise<processKit.Program> => {
-  const ctx = processKit.createProcessKit('agent', settings);
+): Promise<processContext.Program> => {
+  const ctx = processContext.createProcessContext('agent', settings);
   const bootId = ctx.newId();
   let isLeaving = false;
   let isDrained = false;
@@ -198,8 +201,8 @@
       maxBodyBytes: settings.maxBodyBytes,
       sender: ctx.sender,
       host,
-      noteVersion: links.noteVersion,
-      otherwise: httpServer.toListener(local, settings.maxBodyBytes),
+      recordVersion: links.recordVersion,
+      fallback: httpServer.toListener(local, settings.maxBodyBytes),
     }),
   );
   const server = await httpServer.listen(
--- a/src/programs/entryDirectory.ts
+++ b/src/programs/agentDiscovery.ts
@@ -12,11 +12,11 @@
 import type * as agentEntryMessages from '../protocol/common/agentEntryMessages.js';
 import type * as liveRecords from '../state/common/liveRecords.js';
 
-import type * as processKit from './processKit.js';
+import type * as processContext from './processContext.js';
 
 /** Dependencies of the discovery. */
-export interface EntryDirectoryOptions {
-  readonly ctx: processKit.ProcessKit;
+export interface AgentDiscoveryOptions {
+  readonly ctx: processContext.ProcessContext;
   readonly region: string;
   readonly directory: agentDirectory.AgentDirectory;
   /** Live entries of all regions. */
@@ -24,11 +24,11 @@
 }
 
 /** Discovers agents through other entries. */
-export interface EntryDirectory {
+export interface AgentDiscovery {
   /** Copies the agents that another entry of the region knows; called once, when the process starts. */
-  readonly takeOver: () => Promise<void>;
+  readonly discoverRegion: () => Promise<void>;
   /** Requests a sample of the least loaded agents of each other region; rate-limited. */
-  readonly learnRemote: () => void;
+  readonly discoverRemote: () => void;
 }
 
 /** Agents sampled from one other region: choosing the better of two is as good among them as among all. */
@@ -71,7 +71,7 @@
  * @param options - dependencies of the discovery
  * @returns the discovery
  */
-export const createEntryDirectory = (options: EntryDirectoryOptions): EntryDirectory => {
+export const createAgentDiscovery = (options: AgentDiscoveryOptions): AgentDiscovery => {
   const { ctx, region, directory } = options;
   const discoveredAtMs = new Map<string, number>();
   const askOne = async (url: string, maxAgents: number): Promise<boolean> => {
@@ -102,13 +102,13 @@
     );
   };
   return {
-    takeOver: () => {
+    discoverRegion: () => {
       const { processId } = ctx.sender();
       const peers = options.entries().filter((it) => it.region === region);
       const urls = peers.filter((it) => it.processId !== processId).map((it) => it.url);
       return askAny(urls, ALL_AGENTS);
     },
-    learnRemote: () => {
+    discoverRemote: () => {
       const others = new Set(options.entries().map((it) => it.region));
       [...others].filter((it) => it !== region).forEach(discoverIn);
     },
--- a/src/programs/agentLinks.ts
+++ b/src/programs/agentLinks.ts
@@ -12,7 +12,7 @@
 import type * as worker from '../state/common/worker.js';
 
 import * as entryPresence from './entryPresence.js';
-import type * as processKit from './processKit.js';
+import type * as processContext from './processContext.js';
 
 /** Address and epoch of the cell's leader. */
 export interface LeaderHint {
@@ -22,7 +22,7 @@
 
 /** Dependencies of the links. */
 export interface AgentLinksOptions {
-  readonly ctx: processKit.ProcessKit;
+  readonly ctx: processContext.ProcessContext;
   readonly settings: settingsSchema.AgentSettings;
   readonly bootId: string;
   readonly host: requestHost.RequestHost;
@@ -35,9 +35,9 @@
 export interface AgentLinks {
   readonly report: (report: agentRuntime.OutgoingReport) => Promise<agentRuntime.ReportAnswer>;
   /** Records the leader; one of a lower epoch is ignored. */
-  readonly noteLeader: (leader: LeaderHint) => void;
+  readonly recordLeader: (leader: LeaderHint) => void;
   /** Fetches the configuration if the version is higher than the active one. */
-  readonly noteVersion: (version: number) => void;
+  readonly recordVersion: (version: number) => void;
   readonly registerSoon: () => void;
   /** State of the upstream as sent in registrations. */
   readonly upstreamState: () => agentEntryMessages.UpstreamState | undefined;
@@ -154,7 +154,7 @@
     random: ctx.random,
     call: ctx.http.call,
     note: () => ({ agentUrl: ownUrl, configVersion: ctx.configuration.version() }),
-    onDidHearVersion: (url, version) => catchUp(version, url),
+    onDidReceiveVersion: (url, version) => catchUp(version, url),
     onDidReturn: (url) => {
       void registerWith(url);
     },
@@ -164,8 +164,8 @@
     if (ctx.clock.monotonicMs() - registeredAtMs >= MIN_PERIOD_MS) schedule(0);
   };
   return {
-    noteLeader,
-    noteVersion,
+    recordLeader: noteLeader,
+    recordVersion: noteVersion,
     registerNow,
     upstreamState,
     registerSoon: () => schedule(0),
--- a/src/programs/cellClaims.ts
+++ b/src/programs/cellClaims.ts
@@ -13,11 +13,11 @@
 import type * as job from '../state/common/job.js';
 import type * as store from '../state/common/store.js';
 
-import type * as processKit from './processKit.js';
+import type * as processContext from './processContext.js';
 
 /** Dependencies of the claims. */
 export interface CellClaimsOptions {
-  readonly ctx: processKit.ProcessKit;
+  readonly ctx: processContext.ProcessContext;
   readonly settings: settingsSchema.SchedulerSettings;
   readonly store: store.Store;
   readonly live: liveWatch.LiveWatch;
--- a/src/programs/configurationGateway.ts
+++ b/src/programs/configurationGateway.ts
@@ -13,11 +13,11 @@
 import type * as operatorGateway from '../transport/node/operatorGateway.js';
 
 import type * as operatorViews from './operatorViews.js';
-import type * as processKit from './processKit.js';
+import type * as processContext from './processContext.js';
 
 /** Dependencies of the gateway. */
 export interface ConfigurationGatewayOptions {
-  readonly ctx: processKit.ProcessKit;
+  readonly ctx: processContext.ProcessContext;
   readonly store: store.Store;
   readonly sync: configurationSync.ConfigurationSync;
   readonly views: operatorViews.OperatorViews;
--- a/src/programs/configurationLinks.ts
+++ b/src/programs/configurationLinks.ts
@@ -7,7 +7,7 @@
 import type * as envelope from '../protocol/common/envelope.js';
 import type * as store from '../state/common/store.js';
 
-import type * as processKit from './processKit.js';
+import type * as processContext from './processContext.js';
 
 /**
  * @param ctx - shared services of the process
@@ -17,7 +17,7 @@
  * @returns the running configuration sync, owned by the process
  */
 export const startSync = (
-  ctx: processKit.ProcessKit,
+  ctx: processContext.ProcessContext,
   target: store.Store,
   live: liveWatch.LiveWatch,
   peerUrls: readonly string[] = [],
@@ -38,7 +38,7 @@
       },
     }),
   );
-  ctx.owned.add(ctx.onDidHearVersion(({ version, url }) => sync.noteVersion(version, url)));
+  ctx.owned.add(ctx.onDidReceiveVersion(({ version, url }) => sync.noteVersion(version, url)));
   return sync;
 };
 
--- a/src/programs/entry.ts
+++ b/src/programs/entry.ts
@@ -22,17 +22,17 @@
 import * as rpcServer from '../transport/node/rpcServer.js';
 
 import * as configurationLinks from './configurationLinks.js';
-import * as entryDirectory from './entryDirectory.js';
+import * as agentDiscovery from './agentDiscovery.js';
 import * as entryGateways from './entryGateways.js';
 import * as entryPresence from './entryPresence.js';
-import * as operatorExtras from './operatorExtras.js';
+import * as operatorJobAndLedgerRoutes from './operatorJobAndLedgerRoutes.js';
 import * as operatorViews from './operatorViews.js';
-import * as processKit from './processKit.js';
+import * as processContext from './processContext.js';
 import * as serviceLevels from './serviceLevels.js';
 import * as storeLinks from './storeLinks.js';
 
 /** A running entry. */
-export interface EntryProgram extends processKit.Program {
+export interface EntryProgram extends processContext.Program {
   readonly callersUrl: string;
   readonly operatorsUrl: string;
 }
@@ -48,7 +48,7 @@
 const DEFAULT_DEADLINE_MS = 30_000;
 
 const createService = (
-  ctx: processKit.ProcessKit,
+  ctx: processContext.ProcessContext,
   directory: agentDirectory.AgentDirectory,
   live: liveWatch.LiveWatch,
   region: string,
@@ -84,7 +84,7 @@
   },
   directory: ({ maxAgents }) => {
     const nowMs = ctx.clock.monotonicMs();
-    const agents = entryDirectory.describeAgents(directory, region, maxAgents, nowMs);
+    const agents = agentDiscovery.describeAgents(directory, region, maxAgents, nowMs);
     return Promise.resolve({ from: ctx.sender(), agents });
   },
   agents: ({ zone }) => {
@@ -101,14 +101,14 @@
  * @returns the running entry
  */
 export const startEntry = async (settings: settingsSchema.EntrySettings): Promise<EntryProgram> => {
-  const ctx = processKit.createProcessKit('entry', settings);
+  const ctx = processContext.createProcessContext('entry', settings);
   const { store, live } = storeLinks.connectStore(ctx, settings);
   let isLeaving = false;
   let isRefusing = false;
   const sync = configurationLinks.startSync(ctx, store, live, settings.peerUrls);
   const registerMs = settings.registerMs ?? agentDirectory.REGISTER_MS;
   const directory = agentDirectory.createAgentDirectory(registerMs);
-  const discovery = entryDirectory.createEntryDirectory({
+  const discovery = agentDiscovery.createAgentDiscovery({
     ctx,
     region: settings.region,
     directory,
@@ -119,14 +119,15 @@
     live.onDidChange(() => {
       if (hasStartedDiscovery) return;
       hasStartedDiscovery = true;
-      void discovery.takeOver();
+      void discovery.discoverRegion();
     }),
   );
   const presence = ctx.owned.add(
     entryPresence.createPresenceHolder({
       clock: ctx.clock,
       version: ctx.configuration.version,
-      onDidHear: ({ agentUrl, configVersion }) => directory.recordVersion(agentUrl, configVersion),
+      onDidReceive: ({ agentUrl, configVersion }) =>
+        directory.recordVersion(agentUrl, configVersion),
     }),
   );
   ctx.owned.add(ctx.configuration.onDidChange(presence.release));
@@ -142,7 +143,7 @@
     sender: ctx.sender,
     policy: () => ctx.configuration.current()?.document.routing,
     peerSecretHeaders: ctx.peerHeaders,
-    onRegionSaturated: discovery.learnRemote,
+    onRegionSaturated: discovery.discoverRemote,
     claims: requestClaims.createRequestClaims(store, ctx.clock),
   });
   const health: healthApi.HealthOptions = {
@@ -154,7 +155,7 @@
     warnings: sync.warnings,
   };
   const gateways = entryGateways.createGateways({ ctx, store, live, sync, directory });
-  const levels = serviceLevels.keepServiceLevels(ctx, store);
+  const levels = serviceLevels.startServiceLevels(ctx, store);
   const callers = await httpServer.listen(
     {
       ...settings.callers,
@@ -186,13 +187,13 @@
   const api = operatorApi.createOperatorApi(
     [
       ...operatorApi.createApiRoutes(gateways.operators),
-      ...operatorExtras.createExtraRoutes(ctx, store, gateways.jobs),
+      ...operatorJobAndLedgerRoutes.createJobAndLedgerRoutes(ctx, store, gateways.jobs),
     ],
     authenticate,
   );
   const pages = consoleApp.createConsole({
     gateway: gateways.operators,
-    serviceLevels: operatorExtras.createLevelReport(ctx, store),
+    serviceLevels: operatorJobAndLedgerRoutes.createServiceLevelReporter(ctx, store),
     newId: ctx.newId,
     authenticate,
     sessions: session.createSessions({
@@ -258,7 +259,7 @@
       ctx.log('info', 'draining', { open: callers.openRequests() });
       // The balancer detects with a delay that the entry is not ready; until then requests are accepted
       // as before, and each response asks the caller to use another connection.
-      callers.discourage();
+      callers.requestConnectionClose();
       const notReadyMs = settings.drainMs * NOT_READY_SHARE;
       await clock.sleep(ctx.clock, notReadyMs);
       isRefusing = true;
--- a/src/programs/entryGateways.ts
+++ b/src/programs/entryGateways.ts
@@ -18,7 +18,7 @@
 
 import * as configurationGateway from './configurationGateway.js';
 import * as operatorViews from './operatorViews.js';
-import type * as processKit from './processKit.js';
+import type * as processContext from './processContext.js';
 
 /** Both gateways of an entry. */
 export interface Gateways {
@@ -30,7 +30,7 @@
 
 /** Dependencies of the gateways. */
 export interface GatewayOptions {
-  readonly ctx: processKit.ProcessKit;
+  readonly ctx: processContext.ProcessContext;
   readonly store: store.Store;
   readonly live: liveWatch.LiveWatch;
   readonly sync: configurationSync.ConfigurationSync;
--- a/src/programs/entryPresence.ts
+++ b/src/programs/entryPresence.ts
@@ -35,7 +35,7 @@
 const TIMEOUT_MS = HOLD_MS + 5000;
 
 /** Data that an agent sends with its open request. */
-export interface PresenceNote {
+export interface AgentPresence {
   readonly agentUrl: string;
   readonly configVersion: number;
 }
@@ -46,7 +46,7 @@
   /** Active configuration version of the entry. */
   readonly version: () => number;
   /** Called with the active configuration version of an agent. */
-  readonly onDidHear: (note: PresenceNote) => void;
+  readonly onDidReceive: (note: AgentPresence) => void;
 }
 
 /** The entry's side: the open requests of agents. Disposing answers them all. */
@@ -56,7 +56,7 @@
   readonly release: () => void;
 }
 
-const parsePresence = (query: URLSearchParams): PresenceNote => ({
+const parsePresence = (query: URLSearchParams): AgentPresence => ({
   agentUrl: query.get('url') ?? '',
   configVersion: Number(query.get('version') ?? 0),
 });
@@ -82,7 +82,7 @@
   return {
     hold: async (request) => {
       const note = parsePresence(request.query);
-      options.onDidHear(note);
+      options.onDidReceive(note);
       if (!isOver && note.configVersion >= options.version()) await wait();
       return httpServer.jsonReply({ configVersion: options.version() });
     },
@@ -100,11 +100,11 @@
   readonly random: random.Random;
   readonly call: http.HttpCall;
   /** Gives the data to send with each request. */
-  readonly note: () => PresenceNote;
+  readonly note: () => AgentPresence;
   /** Called before the next request after a failed one, so that the agent registers again. */
   readonly onDidReturn: (url: string) => void;
   /** Called when the entry has a later active version; settles once the fetch succeeded or failed. */
-  readonly onDidHearVersion: (url: string, version: number) => Promise<void>;
+  readonly onDidReceiveVersion: (url: string, version: number) => Promise<void>;
 }
 
 /** The agent's side: keeps a request open at each of the given entries. */
@@ -137,7 +137,7 @@
     if (configVersion <= options.note().configVersion) return;
     // All agents of a region are notified of a change simultaneously.
     await clock.sleep(options.clock, options.random() * CHANGE_SPREAD_MS);
-    await options.onDidHearVersion(url, configVersion);
+    await options.onDidReceiveVersion(url, configVersion);
     // An agent that could not fetch the version must not retry without a delay.
     if (configVersion > options.note().configVersion) await clock.sleep(options.clock, RETRY_MS);
   };
--- a/src/programs/operatorExtras.ts
+++ b/src/programs/operatorJobAndLedgerRoutes.ts
@@ -15,7 +15,7 @@
 import * as operatorLedgerApi from '../transport/node/operatorLedgerApi.js';
 import type * as operatorRoutes from '../transport/node/operatorRoutes.js';
 
-import type * as processKit from './processKit.js';
+import type * as processContext from './processContext.js';
 
 const readDays = async (
   target: store.Store,
@@ -32,8 +32,8 @@
  * @param target - the store
  * @returns a function that reports on the active objectives
  */
-export const createLevelReport = (
-  ctx: processKit.ProcessKit,
+export const createServiceLevelReporter = (
+  ctx: processContext.ProcessContext,
   target: store.Store,
 ): (() => Promise<serviceLevelReport.ServiceLevelReport>) => {
   const readLevels = serviceLevelRecorder.createServiceLevelReader(target);
@@ -53,17 +53,18 @@
  * @param jobs - the entry's gateway to jobs
  * @returns the routes
  */
-export const createExtraRoutes = (
-  ctx: processKit.ProcessKit,
+export const createJobAndLedgerRoutes = (
+  ctx: processContext.ProcessContext,
   target: store.Store,
   jobs: callerApi.JobGateway,
 ): readonly operatorRoutes.Route[] => [
   ...operatorJobsApi.createJobRoutes({
     jobs,
-    archived: (cell, jobId) => jobArchive.findArchivedJob(target, cell, jobId, ctx.clock.wallMs()),
+    findArchived: (cell, jobId) =>
+      jobArchive.findArchivedJob(target, cell, jobId, ctx.clock.wallMs()),
   }),
   ...operatorLedgerApi.createLedgerRoutes({
     ledgerDays: (cell) => readDays(target, cell),
-    serviceLevels: createLevelReport(ctx, target),
+    serviceLevels: createServiceLevelReporter(ctx, target),
   }),
 ];
--- a/src/programs/operatorViews.ts
+++ b/src/programs/operatorViews.ts
@@ -9,11 +9,11 @@
 import type * as operatorGateway from '../transport/node/operatorGateway.js';
 import type * as rpcClient from '../transport/node/rpcClient.js';
 
-import type * as processKit from './processKit.js';
+import type * as processContext from './processContext.js';
 
 /** Dependencies of the views. */
 export interface OperatorViewOptions {
-  readonly ctx: processKit.ProcessKit;
+  readonly ctx: processContext.ProcessContext;
   readonly live: liveWatch.LiveWatch;
   readonly directory: agentDirectory.AgentDirectory;
   readonly cells: () => readonly string[];
--- a/src/programs/poolAgent.ts
+++ b/src/programs/poolAgent.ts
@@ -10,7 +10,7 @@
 import * as poolKeys from '../state/common/pool/poolKeys.js';
 import * as httpServer from '../transport/node/httpServer.js';
 
-import * as poolKit from './poolKit.js';
+import * as poolContext from './poolContext.js';
 
 /** Far above a worker's heartbeat, which has a few hundred bytes. */
 const MAX_HEARTBEAT_BYTES = 65_536;
@@ -21,7 +21,9 @@
  * @param ctx - shared services of the program
  * @returns the running agent
  */
-export const startPoolAgent = async (ctx: poolKit.PoolKit): Promise<poolKit.PoolProgram> => {
+export const startPoolAgent = async (
+  ctx: poolContext.PoolContext,
+): Promise<poolContext.PoolProgram> => {
   const settings = ctx.settings();
   const { worker, heartbeats } = settings;
   if (worker === undefined || heartbeats === undefined) {
@@ -50,7 +52,7 @@
     sync: async ({ sync }) => ({ from: ctx.sender(), news: await agent.sync(sync) }),
     order: async ({ order }) => ({ from: ctx.sender(), reply: await agent.order(order) }),
   });
-  const server = await poolKit.listenForPeers(ctx, router, () => undefined);
+  const server = await poolContext.listenForPeers(ctx, router, () => undefined);
   const api = heartbeatApi.createHeartbeatApi({ agent, log: ctx.log, metrics: ctx.metrics });
   ctx.owned.add(
     await httpServer.listen(
@@ -63,7 +65,7 @@
     ),
   );
   const url = http.formatAddress(server.address);
-  const presence = poolKit.keepPresence(ctx, poolKeys.agentKey(settings.nodeId), url);
+  const presence = poolContext.maintainPresence(ctx, poolKeys.agentKey(settings.nodeId), url);
   return {
     shutdown: async () => {
       await presence.dispose();
--- a/src/programs/poolKit.ts
+++ b/src/programs/poolContext.ts
@@ -33,7 +33,7 @@
 import * as relayRpc from './relayRpc.js';
 
 /** Services that every program of a pool has. */
-export interface PoolKit {
+export interface PoolContext {
   readonly clock: clock.Clock;
   readonly random: random.Random;
   readonly newId: () => string;
@@ -43,7 +43,7 @@
   readonly call: http.HttpCall;
   readonly store: recordStore.RecordStore;
   /** Executes store calls on behalf of other processes. */
-  readonly serveStore: http.HttpCall;
+  readonly relayStoreCall: http.HttpCall;
   /** Time since the last response of the store. */
   readonly storeAgeMs: () => number;
   /** The active settings; a reload replaces them. */
@@ -94,10 +94,10 @@
  * @param settings - the active settings
  * @returns the services, owned by the program
  */
-export const createPoolKit = (
+export const createPoolContext = (
   role: bootSettings.PoolProgram,
   settings: () => poolSettings.PoolSettings,
-): PoolKit => {
+): PoolContext => {
   const owned = disposable.createDisposableStore();
   const client = owned.add(
     httpClient.createHttpClient({
@@ -151,7 +151,7 @@
             ownUrl: http.formatAddress(settings().peers),
           }),
         );
-  const peerUrls: PoolKit['peerUrls'] = (peerRole) => directory?.urls(peerRole) ?? [];
+  const peerUrls: PoolContext['peerUrls'] = (peerRole) => directory?.urls(peerRole) ?? [];
   return {
     clock: systemClock.systemClock,
     random: random.createRandom(crypto.randomInt(2 ** 31)),
@@ -161,7 +161,7 @@
     owned,
     call: client.call,
     store,
-    serveStore: relay.serve,
+    relayStoreCall: relay.serve,
     storeAgeMs: storeContact.ageMs,
     settings,
     sender,
@@ -178,7 +178,11 @@
  * @param url - its address for other processes
  * @returns the leased record that publishes the address, renewed until it is disposed
  */
-export const keepPresence = (ctx: PoolKit, key: string, url: string): disposable.Disposable =>
+export const maintainPresence = (
+  ctx: PoolContext,
+  key: string,
+  url: string,
+): disposable.Disposable =>
   leasedRecord.maintainLeasedRecord({
     store: ctx.store,
     clock: ctx.clock,
@@ -197,7 +201,7 @@
  * @returns the server
  */
 export const listenForPeers = async (
-  ctx: PoolKit,
+  ctx: PoolContext,
   router: Parameters<typeof rpcServer.createRpcListener>[0] | undefined,
   notReadyReason: () => string | undefined,
 ): Promise<httpServer.HttpServer> => {
--- a/src/programs/poolEntry.ts
+++ b/src/programs/poolEntry.ts
@@ -16,9 +16,9 @@
 import * as httpServer from '../transport/node/httpServer.js';
 import * as rpcClient from '../transport/node/rpcClient.js';
 
-import * as poolKit from './poolKit.js';
+import * as poolContext from './poolContext.js';
 import * as relayRpc from './relayRpc.js';
-import * as schedulerNews from './schedulerNews.js';
+import * as schedulerNotifier from './schedulerNotifier.js';
 
 /** Limit of clients' connections; the platform allows a process about four thousand descriptors. */
 const MAX_CONNECTIONS = 3000;
@@ -45,7 +45,9 @@
  * @param ctx - shared services of the program
  * @returns the running entry
  */
-export const startPoolEntry = async (ctx: poolKit.PoolKit): Promise<poolKit.PoolProgram> => {
+export const startPoolEntry = async (
+  ctx: poolContext.PoolContext,
+): Promise<poolContext.PoolProgram> => {
   const settings = ctx.settings();
   let isLeaving = false;
   const feed = ctx.owned.add(
@@ -60,7 +62,7 @@
   const clients = rpcClient.createRpcClients({
     call: ctx.call,
     timeoutMs: LEADER_TIMEOUT_MS,
-    peerSecret: poolKit.PEER_SECRET,
+    peerSecret: poolContext.PEER_SECRET,
   });
   const counts = pendingCounts.createPendingCounts({
     store: ctx.store,
@@ -86,7 +88,7 @@
     pending: counts.ofQueue,
     maxBodyBytes: () => feed.current()?.configuration.maxBodyBytes ?? MAX_BODY_BYTES,
     shouldCloseConnections: () => notReadyReason() !== undefined,
-    onDidStore: schedulerNews.createSchedulerNews(ctx),
+    onDidStore: schedulerNotifier.createSchedulerNotifier(ctx),
     newRequestId: () => ctx.newId().slice(0, 8),
     nowMs: ctx.clock.monotonicMs,
     log: ctx.log,
@@ -104,7 +106,7 @@
     }),
     relay: async (message) => ({
       from: ctx.sender(),
-      ...(await relayRpc.serveRelay(message, ctx.settings().store, ctx.serveStore)),
+      ...(await relayRpc.serveRelay(message, ctx.settings().store, ctx.relayStoreCall)),
     }),
   });
   const notReadyReason = (): string | undefined => {
@@ -138,13 +140,13 @@
   );
   ctx.owned.add(front);
   ctx.owned.add(ready);
-  const server = await poolKit.listenForPeers(ctx, router, notReadyReason);
+  const server = await poolContext.listenForPeers(ctx, router, notReadyReason);
   const key = poolKeys.peerKey(poolKeys.PeerRole.entry, settings.nodeId);
-  const presence = poolKit.keepPresence(ctx, key, http.formatAddress(server.address));
+  const presence = poolContext.maintainPresence(ctx, key, http.formatAddress(server.address));
   return {
     shutdown: async () => {
       isLeaving = true;
-      front.discourage();
+      front.requestConnectionClose();
       // In parallel to the wait: an unreachable store must not use up the time for the last responses.
       await Promise.all([presence.dispose(), clock.sleep(ctx.clock, BALANCER_DELAY_MS)]);
       await front.drain(settings.graceMs - BALANCER_DELAY_MS - EXIT_SLACK_MS);
--- a/src/programs/poolScheduler.ts
+++ b/src/programs/poolScheduler.ts
@@ -17,7 +17,7 @@
 import type * as recordStore from '../state/common/pool/recordStore.js';
 import * as rpcClient from '../transport/node/rpcClient.js';
 
-import * as poolKit from './poolKit.js';
+import * as poolContext from './poolContext.js';
 
 /** A sync waits up to 0.9 s at the agent for updates; after this timeout the agent counts as unreachable. */
 const SYNC_TIMEOUT_MS = 2200;
@@ -35,9 +35,9 @@
  */
 const LEADER_LEASE_MS = 1500;
 
-const createLink = (ctx: poolKit.PoolKit): agentContract.AgentApi => {
+const createLink = (ctx: poolContext.PoolContext): agentContract.AgentApi => {
   const clientsWith = (timeoutMs: number): rpcClient.RpcClients =>
-    rpcClient.createRpcClients({ call: ctx.call, timeoutMs, peerSecret: poolKit.PEER_SECRET });
+    rpcClient.createRpcClients({ call: ctx.call, timeoutMs, peerSecret: poolContext.PEER_SECRET });
   const syncClients = clientsWith(SYNC_TIMEOUT_MS);
   const orderClients = clientsWith(ORDER_TIMEOUT_MS);
   return {
@@ -54,7 +54,7 @@
 
 /** Reads the configuration record through the entry on this machine, if there is one. */
 const createConfigurationStore = (
-  ctx: poolKit.PoolKit,
+  ctx: poolContext.PoolContext,
 ): Pick<recordStore.RecordStore, 'list' | 'watch'> => {
   const { ownEntry } = ctx.settings();
   if (ownEntry === undefined) return ctx.store;
@@ -62,7 +62,7 @@
     call: ctx.call,
     timeoutMs: CONFIGURATION_TIMEOUT_MS,
     transfer: platformStore.TRANSFER_LIMITS,
-    peerSecret: poolKit.PEER_SECRET,
+    peerSecret: poolContext.PEER_SECRET,
   });
   const entry = clients.poolEntry(http.formatAddress(ownEntry));
   return configurationShare.createSharedConfigurationStore({
@@ -78,7 +78,9 @@
  * @param ctx - shared services of the program
  * @returns the running scheduler
  */
-export const startPoolScheduler = async (ctx: poolKit.PoolKit): Promise<poolKit.PoolProgram> => {
+export const startPoolScheduler = async (
+  ctx: poolContext.PoolContext,
+): Promise<poolContext.PoolProgram> => {
   const settings = ctx.settings();
   const link = createLink(ctx);
   const seenDone = doneRuns.createDoneRuns();
@@ -112,10 +114,10 @@
       return Promise.resolve({ from: ctx.sender() });
     },
   });
-  const server = await poolKit.listenForPeers(ctx, router, () => undefined);
+  const server = await poolContext.listenForPeers(ctx, router, () => undefined);
   const url = http.formatAddress(server.address);
   const key = poolKeys.peerKey(poolKeys.PeerRole.scheduler, settings.nodeId);
-  const presence = poolKit.keepPresence(ctx, key, url);
+  const presence = poolContext.maintainPresence(ctx, key, url);
   const leadership: poolLeadership.Leadership = ctx.owned.add(
     poolLeadership.createLeadership({
       store: ctx.store,
--- a/src/programs/processKit.ts
+++ b/src/programs/processContext.ts
@@ -35,7 +35,7 @@
 }
 
 /** Services that every program has. */
-export interface ProcessKit {
+export interface ProcessContext {
   readonly clock: clock.Clock;
   readonly random: random.Random;
   readonly newId: () => string;
@@ -46,7 +46,7 @@
   readonly clients: rpcClient.RpcClients;
   readonly configuration: configurationHolder.ConfigurationHolder;
   /** Fires with the configuration version of each answer from another process. */
-  readonly onDidHearVersion: event.Event<rpcClient.HeardVersion>;
+  readonly onDidReceiveVersion: event.Event<rpcClient.PeerVersion>;
   readonly sender: () => envelope.Sender;
   readonly peerHeaders: Readonly<Record<string, string>>;
 }
@@ -67,10 +67,10 @@
  * @param settings - its settings
  * @returns the services, owned by the program
  */
-export const createProcessKit = (
+export const createProcessContext = (
   role: envelope.Sender['role'],
   settings: CommonSettings,
-): ProcessKit => {
+): ProcessContext => {
   const owned = disposable.createDisposableStore();
   const timeSource = systemClock.systemClock;
   const client = owned.add(
@@ -81,7 +81,7 @@
       maxReplyBytes: MAX_REPLY_BYTES,
     }),
   );
-  const receivedVersions = owned.add(event.createEmitter<rpcClient.HeardVersion>());
+  const receivedVersions = owned.add(event.createEmitter<rpcClient.PeerVersion>());
   const configuration = configurationHolder.createConfigurationHolder();
   const { processId, peerSecret, logLevel } = settings;
   const call: http.HttpCall = (request) => client.call(request);
@@ -97,9 +97,9 @@
       call,
       timeoutMs: RPC_TIMEOUT_MS,
       peerSecret,
-      noteVersion: receivedVersions.fire,
+      recordVersion: receivedVersions.fire,
     }),
-    onDidHearVersion: receivedVersions.event,
+    onDidReceiveVersion: receivedVersions.event,
     configuration,
     sender: () => ({ processId, role, configVersion: configuration.version() }),
     peerHeaders: { [rpcClient.PEER_SECRET_HEADER]: peerSecret },
--- a/src/programs/runMain.ts
+++ b/src/programs/runMain.ts
@@ -8,7 +8,7 @@
 import * as errors from '../base/common/errors.js';
 import * as settingsFile from '../base/node/settingsFile.js';
 
-import type * as processKit from './processKit.js';
+import type * as processContext from './processContext.js';
 
 const SETTINGS_FLAG = '--settings';
 
@@ -36,7 +36,7 @@
  */
 export const runMain = async <TSettings>(
   schema: Schema.Codec<TSettings, unknown, never, never>,
-  start: (settings: TSettings) => Promise<processKit.Program>,
+  start: (settings: TSettings) => Promise<processContext.Program>,
 ): Promise<void> => {
   const lifecycle = Effect.gen(function* runUntilSignal() {
     const settings = settingsFile.readSettings(schema, settingsPath(process.argv));
--- a/src/programs/runPoolMain.ts
+++ b/src/programs/runPoolMain.ts
@@ -6,7 +6,7 @@
 import * as bootSettings from '../platform/bootSettings.js';
 import * as settingsWatch from '../platform/settingsWatch.js';
 
-import * as poolKit from './poolKit.js';
+import * as poolContext from './poolContext.js';
 
 const waitForSignal = (): Promise<string> =>
   new Promise((resolve) => {
@@ -16,11 +16,11 @@
 
 const runUntilSignal = async (
   role: bootSettings.PoolProgram,
-  start: (ctx: poolKit.PoolKit) => Promise<poolKit.PoolProgram>,
+  start: (ctx: poolContext.PoolContext) => Promise<poolContext.PoolProgram>,
 ): Promise<void> => {
   const path = bootSettings.bootSettingsPath();
   let settings = bootSettings.readBootSettings(path, role);
-  const ctx = poolKit.createPoolKit(role, () => settings);
+  const ctx = poolContext.createPoolContext(role, () => settings);
   const stopped = waitForSignal();
   const program = await start(ctx);
   const watch = settingsWatch.watchSettings({
@@ -53,7 +53,7 @@
  */
 export const runPoolMain = async (
   role: bootSettings.PoolProgram,
-  start: (ctx: poolKit.PoolKit) => Promise<poolKit.PoolProgram>,
+  start: (ctx: poolContext.PoolContext) => Promise<poolContext.PoolProgram>,
 ): Promise<void> => {
   try {
     await runUntilSignal(role, start);
--- a/src/programs/scheduler.ts
+++ b/src/programs/scheduler.ts
@@ -14,14 +14,14 @@
 
 import * as cellClaims from './cellClaims.js';
 import * as configurationLinks from './configurationLinks.js';
-import * as processKit from './processKit.js';
+import * as processContext from './processContext.js';
 import * as serviceLevels from './serviceLevels.js';
 import * as storeLinks from './storeLinks.js';
 
 const MAX_CONNECTIONS = 4096;
 
 const createService = (
-  ctx: processKit.ProcessKit,
+  ctx: processContext.ProcessContext,
   claims: cellClaims.CellClaims,
 ): schedulerRouter.SchedulerService => {
   const requireLeader = (cell: string): cellLeader.CellLeader => {
@@ -91,18 +91,18 @@
  */
 export const startScheduler = async (
   settings: settingsSchema.SchedulerSettings,
-): Promise<processKit.Program> => {
-  const ctx = processKit.createProcessKit('scheduler', settings);
+): Promise<processContext.Program> => {
+  const ctx = processContext.createProcessContext('scheduler', settings);
   const { store, live } = storeLinks.connectStore(ctx, settings);
   let isLeaving = false;
   const sync = configurationLinks.startSync(ctx, store, live, settings.peerUrls);
-  const levels = serviceLevels.keepServiceLevels(ctx, store);
+  const levels = serviceLevels.startServiceLevels(ctx, store);
   const claims = cellClaims.createCellClaims({
     ctx,
     settings,
     store,
     live,
-    onDidChangeJob: levels.noteJob,
+    onDidChangeJob: levels.recordJob,
   });
   const health: healthApi.HealthOptions = {
     metrics: ctx.metrics,
--- a/src/programs/schedulerNews.ts
+++ b/src/programs/schedulerNotifier.ts
@@ -8,7 +8,7 @@
 import * as poolKeys from '../state/common/pool/poolKeys.js';
 import * as rpcClient from '../transport/node/rpcClient.js';
 
-import * as poolKit from './poolKit.js';
+import * as poolContext from './poolContext.js';
 
 /** Short, since the leader also receives the job through its watch. */
 const NOTIFY_TIMEOUT_MS = 500;
@@ -17,13 +17,13 @@
  * @param ctx - shared services of the program
  * @returns notifies all schedulers, since an entry does not know the leader; does not wait for responses
  */
-export const createSchedulerNews = (
-  ctx: poolKit.PoolKit,
+export const createSchedulerNotifier = (
+  ctx: poolContext.PoolContext,
 ): ((jobId: string, part: poolKeys.JobPart) => void) => {
   const clients = rpcClient.createRpcClients({
     call: ctx.call,
     timeoutMs: NOTIFY_TIMEOUT_MS,
-    peerSecret: poolKit.PEER_SECRET,
+    peerSecret: poolContext.PEER_SECRET,
   });
   const notify = async (url: string, jobId: string, part: poolKeys.JobPart): Promise<void> => {
     try {
--- a/src/programs/serviceLevels.ts
+++ b/src/programs/serviceLevels.ts
@@ -11,13 +11,13 @@
 import * as callObserver from '../transport/node/callObserver.js';
 import type * as httpServer from '../transport/node/httpServer.js';
 
-import type * as processKit from './processKit.js';
+import type * as processContext from './processContext.js';
 
 /** The service level counters of one process. */
 export interface ServiceLevels {
   /** Wraps the callers' API so that each request to an upstream is evaluated. */
   readonly observeCalls: (handler: httpServer.Handler) => httpServer.Handler;
-  readonly noteJob: (before: job.JobRecord, after: job.JobRecord) => void;
+  readonly recordJob: (before: job.JobRecord, after: job.JobRecord) => void;
   /** Writes the counters; a failed write is only logged. */
   readonly flush: () => Promise<void>;
 }
@@ -27,8 +27,8 @@
  * @param target - the store
  * @returns the counters, owned by the process
  */
-export const keepServiceLevels = (
-  ctx: processKit.ProcessKit,
+export const startServiceLevels = (
+  ctx: processContext.ProcessContext,
   target: store.Store,
 ): ServiceLevels => {
   const recorder = ctx.owned.add(
@@ -46,7 +46,7 @@
       callObserver.observeCalls(handler, ctx.clock, (end) => {
         recorder.note(serviceLevelCounters.evaluateRequest(objectives(), end));
       }),
-    noteJob: (before, after) => {
+    recordJob: (before, after) => {
       const nowMs = ctx.clock.wallMs();
       recorder.note(serviceLevelCounters.evaluateStart(objectives(), before, after, nowMs));
     },
--- a/src/programs/storeLinks.ts
+++ b/src/programs/storeLinks.ts
@@ -5,7 +5,7 @@
 import type * as store from '../state/common/store.js';
 import * as httpStore from '../state/node/httpStore.js';
 
-import type * as processKit from './processKit.js';
+import type * as processContext from './processContext.js';
 
 /** Settings of the connection to the store. */
 export interface StoreSettings {
@@ -32,7 +32,10 @@
  * @param settings - address and timeout of the store
  * @returns the store and the watch, already running
  */
-export const connectStore = (ctx: processKit.ProcessKit, settings: StoreSettings): StoreLinks => {
+export const connectStore = (
+  ctx: processContext.ProcessContext,
+  settings: StoreSettings,
+): StoreLinks => {
   const target = httpStore.createHttpStore({
     url: settings.storeUrl,
     timeoutMs: settings.storeTimeoutMs,
--- a/src/programs/test/entryPresence.test.ts
+++ b/src/programs/test/entryPresence.test.ts
@@ -9,7 +9,7 @@
 import * as random from '../../base/common/random.js';
 import * as agentDirectory from '../../coordination/common/agentDirectory.js';
 import type * as httpServer from '../../transport/node/httpServer.js';
-import * as entryDirectory from '../entryDirectory.js';
+import * as agentDiscovery from '../agentDiscovery.js';
 import * as entryPresence from '../entryPresence.js';
 
 const ENTRY = 'http://entry:1';
@@ -18,9 +18,9 @@
 const createHolder = (
   time: clock.Clock,
   version: () => number = () => 1,
-  onDidHear: (note: entryPresence.PresenceNote) => void = () => undefined,
+  onDidHear: (note: entryPresence.AgentPresence) => void = () => undefined,
 ): entryPresence.PresenceHolder =>
-  entryPresence.createPresenceHolder({ clock: time, version, onDidHear });
+  entryPresence.createPresenceHolder({ clock: time, version, onDidReceive: onDidHear });
 
 const requestOf = (path: string): httpServer.ServerRequest => {
   const url = new URL(path, ENTRY);
@@ -59,7 +59,7 @@
         random: random.createRandom(index),
         call,
         note: () => ({ agentUrl: `http://agent-${index}:1`, configVersion: 1 }),
-        onDidHearVersion: () => Promise.resolve(),
+        onDidReceiveVersion: () => Promise.resolve(),
         onDidReturn: () => returnsAtMs.push(time.monotonicMs()),
       });
       watch.watch([ENTRY]);
@@ -134,7 +134,7 @@
         agentUrl: `http://agent-${index}:1`,
         configVersion: activeVersions.get(index) ?? 0,
       }),
-      onDidHearVersion: (_url, next) => {
+      onDidReceiveVersion: (_url, next) => {
         if (index !== stuck) activeVersions.set(index, next);
         atMs.push(time.monotonicMs());
         return Promise.resolve();
@@ -181,7 +181,7 @@
   register('leaving', 0, true);
   register('silent', 0, false);
   directory.recordNoResponse('http://silent:1', 60);
-  const described = entryDirectory.describeAgents(directory, 'r', 2, 60);
+  const described = agentDiscovery.describeAgents(directory, 'r', 2, 60);
   assert.deepEqual(
     described.map((it) => [it.agentId, it.clockMs]),
     [
--- a/src/programs/test/poolPrograms.test.ts
+++ b/src/programs/test/poolPrograms.test.ts
@@ -66,7 +66,7 @@
 const createPoolHarness = async (workMs: number): Promise<PoolHarness> => {
   const folder = fs.mkdtempSync(path.join(os.tmpdir(), 'auburnlift-pool-'));
   const children: childProcess.ChildProcess[] = [];
-  const ports = await portBlock.takePorts(process.pid);
+  const ports = await portBlock.reservePorts(process.pid);
   let taken = 0;
   const takePort = (): number => {
     taken += 1;
@@ -93,7 +93,7 @@
       maxLeaseMs: 6000,
       gangMs: 3000,
     },
-    memoryPoolWorker.createGangBoard(),
+    memoryPoolWorker.createGangRegistry(),
   );
   const start = (program: string, env: Record<string, string>): childProcess.ChildProcess => {
     const child = childProcess.spawn(process.execPath, [path.join(BIN, `${program}.js`)], {
--- a/src/soak/callers.ts
+++ b/src/soak/callers.ts
@@ -9,7 +9,7 @@
 import * as evidence from './evidence.js';
 
 /** The address of an entry for callers. */
-export interface EntryDoor {
+export interface EntryEndpoint {
   readonly name: string;
   /** Loopback port of the link to it. */
   readonly port: number;
@@ -19,7 +19,7 @@
 export interface CallersOptions {
   readonly clock: clock.Clock;
   readonly random: random.Random;
-  readonly doors: readonly EntryDoor[];
+  readonly endpoints: readonly EntryEndpoint[];
   /** Host name and path of the queue. */
   readonly host: string;
   readonly pathPrefix: string;
@@ -33,10 +33,10 @@
   readonly calls: evidence.CallRecord[];
   /** Submits one job and retries until a response is final or the attempts are used up. */
   readonly submit: () => Promise<void>;
-  readonly askAny: () => Promise<void>;
+  readonly readAny: () => Promise<void>;
   readonly cancelAny: () => Promise<void>;
   /** Polls every accepted job until it has ended, but no longer than this time. */
-  readonly askUntilEnded: (untilMs: number) => Promise<void>;
+  readonly pollUntilEnded: (untilMs: number) => Promise<void>;
   readonly dispose: () => void;
 }
 
@@ -134,7 +134,7 @@
     jobId: string,
     body = '',
   ): Promise<evidence.CallRecord> => {
-    const endpoint = pick(options.doors) as EntryDoor;
+    const endpoint = pick(options.endpoints) as EntryEndpoint;
     const apiKey = pick(options.apiKeys) ?? '';
     const sentAtMs = time.monotonicMs();
     const request = http.request({
@@ -187,7 +187,7 @@
         await clock.sleep(time, RETRY_MS);
       }
     },
-    askAny: async () => {
+    readAny: async () => {
       const jobId = pick([...accepted]);
       if (jobId !== undefined) await call('GET', jobId);
     },
@@ -195,7 +195,7 @@
       const jobId = pick([...accepted]);
       if (jobId !== undefined) await call('DELETE', jobId);
     },
-    askUntilEnded: async (untilMs) => {
+    pollUntilEnded: async (untilMs) => {
       const pollOne = async (jobId: string): Promise<void> => {
         while (time.monotonicMs() < untilMs && !(await readHasEnded(jobId))) {
           await clock.sleep(time, POLL_MS);
--- a/src/soak/faults.ts
+++ b/src/soak/faults.ts
@@ -2,20 +2,20 @@
  * The faults that a soak injects into a site. Each lasts for a while, may overlap others, and is then removed.
  */
 import * as random from '../base/common/random.js';
-import * as lineProxy from './lineProxy.js';
+import * as linkProxy from './linkProxy.js';
 import type * as soakSite from './soakSite.js';
 
 /** What a fault acts on. */
-export interface FaultScene {
+export interface FaultContext {
   readonly site: soakSite.SoakSite;
   readonly random: random.Random;
   /** Revokes the next API key that may be revoked. */
-  readonly takeKeyAway: () => Promise<void>;
+  readonly revokeKey: () => Promise<void>;
   readonly reconfigure: () => Promise<void>;
 }
 
 /** An injected fault. */
-export interface BegunFault {
+export interface ActiveFault {
   /** The kind of fault and its target, for the report. */
   readonly what: string;
   /** Processes whose calls it may cut; planned stops list none. */
@@ -24,20 +24,20 @@
 }
 
 /** A kind of fault. */
-export type Fault = (scene: FaultScene) => BegunFault;
+export type Fault = (scene: FaultContext) => ActiveFault;
 
 const NO_END = (): void => undefined;
 
-const pick = <T>(scene: FaultScene, items: readonly T[]): T => random.pick(scene.random, items);
+const pick = <T>(scene: FaultContext, items: readonly T[]): T => random.pick(scene.random, items);
 
-const allNodes = ({ site }: FaultScene): readonly soakSite.SoakNode[] => [
+const allNodes = ({ site }: FaultContext): readonly soakSite.SoakNode[] => [
   ...site.entries,
   ...site.schedulers,
   ...site.schedulers,
   ...site.agents,
 ];
 
-const activeFault = (what: string, end = NO_END, affects: readonly string[] = []): BegunFault => ({
+const activeFault = (what: string, end = NO_END, affects: readonly string[] = []): ActiveFault => ({
   what,
   affects,
   end,
@@ -45,7 +45,7 @@
 
 const onNode = (
   name: string,
-  begin: (node: soakSite.SoakNode, scene: FaultScene) => () => void,
+  begin: (node: soakSite.SoakNode, scene: FaultContext) => () => void,
 ): Fault => {
   const fault: Fault = (scene) => {
     const node = pick(scene, allNodes(scene));
@@ -55,12 +55,12 @@
   return fault;
 };
 
-const onLink = (what: lineProxy.LinkFault): Fault =>
+const onLink = (what: linkProxy.LinkFault): Fault =>
   onNode(`link ${what}`, (node, scene) => {
     const link = pick(scene, node.lines);
     link.setFault(what);
     return () => {
-      link.setFault(lineProxy.LinkFault.none);
+      link.setFault(linkProxy.LinkFault.none);
       // Connections that lost bytes stay stalled; neither end is notified.
     };
   });
@@ -69,7 +69,7 @@
   name: string,
   begin: (
     worker: soakSite.SoakSite['workers'][number],
-    scene: FaultScene,
+    scene: FaultContext,
   ) => (() => void) | undefined,
 ): Fault => {
   const fault: Fault = (scene) => {
@@ -82,7 +82,7 @@
 };
 
 /** All entries share the store, so a store fault may affect each of them. */
-const onStore = (name: string, begin: (scene: FaultScene) => () => void): Fault => {
+const onStore = (name: string, begin: (scene: FaultContext) => () => void): Fault => {
   const fault: Fault = (scene) => {
     const end = begin(scene);
     const entryNames = scene.site.entries.map((it) => it.process.name);
@@ -99,17 +99,17 @@
 
 /** Every kind of fault. */
 export const FAULTS: readonly Fault[] = [
-  onLink(lineProxy.LinkFault.delay),
-  onLink(lineProxy.LinkFault.refuse),
-  onLink(lineProxy.LinkFault.silence),
-  onLink(lineProxy.LinkFault.cutRequests),
-  onLink(lineProxy.LinkFault.cutAnswers),
+  onLink(linkProxy.LinkFault.delay),
+  onLink(linkProxy.LinkFault.refuse),
+  onLink(linkProxy.LinkFault.silence),
+  onLink(linkProxy.LinkFault.cutRequests),
+  onLink(linkProxy.LinkFault.cutAnswers),
   onNode('reset', (node) => {
     node.lines.forEach((it) => it.reset());
     return NO_END;
   }),
   onNode('stall connections', (node) => {
-    node.lines.forEach((it) => it.silenceOpen());
+    node.lines.forEach((it) => it.stallOpen());
     return NO_END;
   }),
   onNode('kill', (node) => {
@@ -211,7 +211,7 @@
     return activeFault('configuration');
   },
   (scene) => {
-    void scene.takeKeyAway();
+    void scene.revokeKey();
     return activeFault('key revoked');
   },
 ];
--- a/src/soak/promises.ts
+++ b/src/soak/invariants.ts
@@ -214,4 +214,4 @@
 ];
 
 /** Checks every invariant. */
-export const findBroken: Check = (seen) => CHECKS.flatMap((check) => check(seen));
+export const findViolations: Check = (seen) => CHECKS.flatMap((check) => check(seen));
--- a/src/soak/keptSeeds.ts
+++ b/src/soak/keptSeeds.ts
@@ -4,14 +4,14 @@
  */
 
 /** A seed that exposed a fault. */
-export interface KeptSeed {
+export interface RegressionSeed {
   readonly seed: number;
   readonly seconds: number;
   readonly cause: string;
 }
 
 /** Every seed that failed because of a fault in the product. */
-export const KEPT_SEEDS: readonly KeptSeed[] = [
+export const REGRESSION_SEEDS: readonly RegressionSeed[] = [
   { seed: 103, seconds: 20, cause: 'SIGHUP killed a program that was still loading' },
   {
     seed: 403,
--- a/src/soak/lineProxy.ts
+++ b/src/soak/linkProxy.ts
@@ -25,14 +25,14 @@
 export type LinkFault = (typeof LinkFault)[keyof typeof LinkFault];
 
 /** A link into which faults can be injected. */
-export interface LineProxy extends disposable.Disposable {
+export interface LinkProxy extends disposable.Disposable {
   readonly port: number;
   /** Applies a fault until the next call; connections that lost bytes stay stalled. */
   readonly setFault: (fault: LinkFault) => void;
   /** Resets every open connection. */
   readonly reset: () => void;
   /** Stalls all open connections permanently; new ones work. */
-  readonly silenceOpen: () => void;
+  readonly stallOpen: () => void;
 }
 
 /** Longer than the interval between two renewals of a leadership, shorter than any timeout. */
@@ -88,7 +88,7 @@
  * @param isLowBandwidth - whether its bandwidth is limited
  * @returns the link, without a fault
  */
-export const openLine = async (targetPort: number, isLowBandwidth = false): Promise<LineProxy> => {
+export const openLink = async (targetPort: number, isLowBandwidth = false): Promise<LinkProxy> => {
   const connections = new Set<Connection>();
   const reserveForRequests = createBandwidthLimit();
   const reserveForAnswers = createBandwidthLimit();
@@ -157,7 +157,7 @@
       fault = next;
     },
     reset,
-    silenceOpen: () => {
+    stallOpen: () => {
       for (const connection of connections) connection.isStalled = true;
     },
     dispose: () =>
--- a/src/soak/soakRun.ts
+++ b/src/soak/soakRun.ts
@@ -11,7 +11,7 @@
 import * as callers from './callers.js';
 import type * as evidence from './evidence.js';
 import * as faults from './faults.js';
-import * as promises from './promises.js';
+import * as invariants from './invariants.js';
 import * as soakSite from './soakSite.js';
 
 /** Parameters of a soak. */
@@ -70,7 +70,7 @@
   const time = systemClock.systemClock;
   const next = random.createRandom(options.seed);
   fs.mkdirSync(options.folder, { recursive: true });
-  const ports = await portBlock.takePorts(options.seed);
+  const ports = await portBlock.reservePorts(options.seed);
   const submittedJobs = (): readonly evidence.SubmittedJob[] => soakCallers.jobs;
   const site = await soakSite.startSite({
     sizes: options.sizes,
@@ -86,7 +86,7 @@
   const soakCallers = callers.createCallers({
     clock: time,
     random: random.createRandom(options.seed + 1),
-    doors: site.doorPorts.map((port, index) => ({ name: `edge-${index}`, port })),
+    endpoints: site.callerPorts.map((port, index) => ({ name: `edge-${index}`, port })),
     ...soakSite.QUEUE,
     apiKeys: [...PERMANENT_KEYS, ...REVOCABLE_KEYS],
   });
@@ -99,11 +99,11 @@
 
   const unrevokedKeys = (): string[] => REVOCABLE_KEYS.slice(revocations.length);
   const reconfigure = (): Promise<void> => site.configure([...PERMANENT_KEYS, ...unrevokedKeys()]);
-  const scene: faults.FaultScene = {
+  const scene: faults.FaultContext = {
     site,
     random: next,
     reconfigure,
-    takeKeyAway: async () => {
+    revokeKey: async () => {
       const [apiKey] = unrevokedKeys();
       if (apiKey === undefined) return;
       const record = { apiKey, atMs: Infinity };
@@ -145,8 +145,8 @@
     const loadLoops = [
       runLoad(soakCallers.submit, 0.2),
       runLoad(soakCallers.submit, 0.2),
-      runLoad(soakCallers.askAny, 1),
-      runLoad(soakCallers.askAny, 1),
+      runLoad(soakCallers.readAny, 1),
+      runLoad(soakCallers.readAny, 1),
       runLoad(soakCallers.cancelAny, 0.1),
     ];
     const untilMs = time.monotonicMs() + options.faultsMs;
@@ -159,7 +159,7 @@
     site.store.faults.delayTransactions = 0;
     isLoadRunning = false;
     await Promise.all(loadLoops);
-    await soakCallers.askUntilEnded(time.monotonicMs() + SETTLE_MS);
+    await soakCallers.pollUntilEnded(time.monotonicMs() + SETTLE_MS);
     await clock.sleep(time, START_MS);
     const seen: evidence.Evidence = {
       jobs: soakCallers.jobs,
@@ -174,7 +174,7 @@
     };
     return {
       seed: options.seed,
-      broken: promises.findBroken(seen),
+      broken: invariants.findViolations(seen),
       faults: faultLog,
       jobs: seen.jobs.length,
       calls: seen.calls.length,
--- a/src/soak/soakSite.ts
+++ b/src/soak/soakSite.ts
@@ -18,7 +18,7 @@
 import * as poolKeys from '../state/common/pool/poolKeys.js';
 import type * as recordStore from '../state/common/pool/recordStore.js';
 import type * as evidence from './evidence.js';
-import * as lineProxy from './lineProxy.js';
+import * as linkProxy from './linkProxy.js';
 import * as supervisedProcess from './supervisedProcess.js';
 
 /** Number of processes and workers of a site. */
@@ -44,7 +44,7 @@
 /** A process with the links that faults on it may disturb. */
 export interface SoakNode {
   readonly process: supervisedProcess.SupervisedProcess;
-  readonly lines: readonly lineProxy.LineProxy[];
+  readonly lines: readonly linkProxy.LinkProxy[];
   /** Whether the store refuses this process while it serves the others. */
   isStoreDenied: boolean;
 }
@@ -57,7 +57,7 @@
   readonly workers: readonly memoryPoolWorker.MemoryPoolWorker[];
   readonly store: memoryStore.MemoryStore;
   /** Ports at which callers reach the entries, through a link. */
-  readonly doorPorts: readonly number[];
+  readonly callerPorts: readonly number[];
   readonly readyPorts: readonly number[];
   /** Processes that exited unexpectedly. */
   readonly failures: readonly string[];
@@ -128,7 +128,7 @@
   const owned = disposable.createDisposableStore();
   const store = memoryStore.createMemoryStore(systemClock.systemClock);
   const failures: string[] = [];
-  const gangBoard = memoryPoolWorker.createGangBoard();
+  const gangBoard = memoryPoolWorker.createGangRegistry();
   const agentLinkPorts = new Map<string, number>();
   let version = 0;
   let nodeCount = 0;
@@ -136,8 +136,8 @@
   const openLink = async (
     targetPort: number,
     isLowBandwidth = false,
-  ): Promise<lineProxy.LineProxy> =>
-    owned.add(await lineProxy.openLine(targetPort, isLowBandwidth));
+  ): Promise<linkProxy.LinkProxy> =>
+    owned.add(await linkProxy.openLink(targetPort, isLowBandwidth));
 
   const allocatePorts = (): number => {
     nodeCount += 1;
@@ -193,7 +193,7 @@
     program: string,
     ports: { readonly peerPort: number; readonly front?: number; readonly ready?: number },
     worker: { readonly control: number; readonly workerAddress: string } | undefined,
-    workerLink: lineProxy.LineProxy | undefined,
+    workerLink: linkProxy.LinkProxy | undefined,
   ): Promise<SoakNode> => {
     const state = { isStoreDenied: false };
     const server = owned.add(await storeServer.serveStore(storeFor(() => state.isStoreDenied)));
@@ -309,7 +309,7 @@
     agents: workerNodes.map((it) => it.node),
     workers,
     store,
-    doorPorts: entries.map((it) => it.doorPort),
+    callerPorts: entries.map((it) => it.doorPort),
     readyPorts: entries.map((it) => it.readyPort),
     failures,
     configure,
--- a/src/soak/test/promises.test.ts
+++ b/src/soak/test/invariants.test.ts
@@ -5,7 +5,7 @@
 import * as test from 'node:test';
 
 import * as evidence from '../evidence.js';
-import * as promises from '../promises.js';
+import * as invariants from '../invariants.js';
 
 const JOB: evidence.SubmittedJob = {
   jobId: 'aa',
@@ -178,7 +178,7 @@
 test.describe('the invariants of a soak', () => {
   for (const [name, changes, expected] of CASES) {
     test.it(name, () => {
-      const violations = promises.findBroken({ ...VALID, ...changes });
+      const violations = invariants.findViolations({ ...VALID, ...changes });
       if (expected === undefined) assert.deepEqual(violations, []);
       else assert.match(violations.join('\n'), expected);
     });
--- a/src/soak/test/lineProxy.test.ts
+++ b/src/soak/test/linkProxy.test.ts
@@ -5,7 +5,7 @@
 import * as net from 'node:net';
 import * as test from 'node:test';
 
-import * as lineProxy from '../lineProxy.js';
+import * as linkProxy from '../linkProxy.js';
 
 /** Starts an echo server that records what it receives. */
 const listen = async (): Promise<{ port: number; received: string[]; close: () => void }> => {
@@ -43,7 +43,7 @@
     socket.write(text);
   });
 
-const CASES: readonly [fault: lineProxy.LinkFault, answer: string, received: readonly string[]][] =
+const CASES: readonly [fault: linkProxy.LinkFault, answer: string, received: readonly string[]][] =
   [
     ['none', 'a', ['a']],
     ['delay', 'a', ['a']],
@@ -57,7 +57,7 @@
   for (const [fault, answer, received] of CASES) {
     test.it(`${fault}: the caller observes ${answer}`, async () => {
       const target = await listen();
-      const link = await lineProxy.openLine(target.port);
+      const link = await linkProxy.openLink(target.port);
       link.setFault(fault);
       const socket = net.connect({ port: link.port, host: '127.0.0.1' });
       assert.equal(await sendText(socket, 'a'), answer);
@@ -70,10 +70,10 @@
 
   test.it('open connections stay stalled, and new ones work', async () => {
     const target = await listen();
-    const link = await lineProxy.openLine(target.port);
+    const link = await linkProxy.openLink(target.port);
     const old = net.connect({ port: link.port, host: '127.0.0.1' });
     assert.equal(await sendText(old, 'a'), 'a');
-    link.silenceOpen();
+    link.stallOpen();
     assert.equal(await sendText(old, 'b'), 'silence');
     const fresh = net.connect({ port: link.port, host: '127.0.0.1' });
     assert.equal(await sendText(fresh, 'c'), 'c');
--- a/src/soak/test/longCalls.test.ts
+++ b/src/soak/test/longCalls.test.ts
@@ -18,7 +18,7 @@
 import * as httpServer from '../../transport/node/httpServer.js';
 import * as rpcClient from '../../transport/node/rpcClient.js';
 import * as rpcServer from '../../transport/node/rpcServer.js';
-import * as lineProxy from '../lineProxy.js';
+import * as linkProxy from '../linkProxy.js';
 
 const KEY = 'configuration';
 const ENTRY_TIMEOUT_MS = 450;
@@ -38,7 +38,7 @@
   const owned = disposable.createDisposableStore();
   const memory = memoryStore.createMemoryStore(systemClock.systemClock);
   const storeHttp = owned.add(await storeServer.serveStore(memory));
-  const link = owned.add(await lineProxy.openLine(storeHttp.address.port, true));
+  const link = owned.add(await linkProxy.openLink(storeHttp.address.port, true));
   const address = { host: '127.0.0.1', port: link.port };
   const client = owned.add(
     httpClient.createHttpClient({
--- a/src/soak/test/narrowLine.test.ts
+++ b/src/soak/test/lowBandwidth.test.ts
@@ -17,7 +17,7 @@
 import * as portBlock from '../../standins/test/portBlock.js';
 import * as until from '../../standins/test/until.js';
 import * as httpClient from '../../transport/node/httpClient.js';
-import * as lineProxy from '../lineProxy.js';
+import * as linkProxy from '../linkProxy.js';
 
 const BIN = path.join(path.dirname(url.fileURLToPath(import.meta.url)), '../../bin');
 const JOB_ID = '5c0e7a21d94b36f8';
@@ -57,10 +57,10 @@
   const owned = disposable.createDisposableStore();
   const folder = fs.mkdtempSync(path.join(os.tmpdir(), 'auburnlift-line-'));
   owned.add({ dispose: () => fs.rmSync(folder, { recursive: true, force: true }) });
-  const { firstPort } = owned.add(await portBlock.takePorts(process.pid));
+  const { firstPort } = owned.add(await portBlock.reservePorts(process.pid));
   const store = memoryStore.createMemoryStore(systemClock.systemClock);
   const server = owned.add(await storeServer.serveStore(store));
-  const link = owned.add(await lineProxy.openLine(server.address.port, true));
+  const link = owned.add(await linkProxy.openLink(server.address.port, true));
   const client = owned.add(
     httpClient.createHttpClient({
       clock: systemClock.systemClock,
--- a/src/standins/memoryPoolWorker.ts
+++ b/src/standins/memoryPoolWorker.ts
@@ -85,7 +85,7 @@
   `${record.task.slice(0, record.task.lastIndexOf('.'))}#${record.run}`;
 
 /** Registry of gang members over all workers of a test. */
-export interface GangBoard {
+export interface GangRegistry {
   readonly members: Map<string, Set<LiveRun>>;
   readonly workers: Set<(key: string, how: poolWorker.EndKind) => void>;
 }
@@ -93,7 +93,7 @@
 /**
  * @returns an empty registry
  */
-export const createGangBoard = (): GangBoard => ({ members: new Map(), workers: new Set() });
+export const createGangRegistry = (): GangRegistry => ({ members: new Map(), workers: new Set() });
 
 /**
  * @param options - options of the stand-in
@@ -102,7 +102,7 @@
  */
 export const createMemoryPoolWorker = (
   options: MemoryPoolWorkerOptions,
-  board: GangBoard,
+  board: GangRegistry,
 ): MemoryPoolWorker => {
   const { clock: time } = options;
   const runs: RecordedRun[] = [];
--- a/src/standins/test/cellKit.ts
+++ b/src/standins/test/cellHarness.ts
@@ -54,7 +54,7 @@
   /** Links that are cut, as `leader workerId` or `leader store`. */
   readonly cut: Set<string>;
   /** Starts a leader that takes over the cell; the agents that it reaches report to it from then on. */
-  readonly lead: (name: string) => Promise<TestLeader>;
+  readonly startLeader: (name: string) => Promise<TestLeader>;
   /** Runs of one job that were executed, over all workers. */
   readonly runsOf: (jobId: string) => readonly memoryWorker.RunRecord[];
 }
@@ -106,7 +106,7 @@
  * @param change - changes to a job of one member with one accelerator that runs for an hour
  * @returns a job
  */
-export const specOf = (jobId: string, change: Partial<job.JobSpec> = {}): job.JobSpec => ({
+export const makeJobSpec = (jobId: string, change: Partial<job.JobSpec> = {}): job.JobSpec => ({
   jobId,
   customerId: 'c',
   kind: 'k',
@@ -242,7 +242,7 @@
     cut,
     runsOf: (jobId) =>
       agents.flatMap((it) => it.worker.runs()).filter((it) => it.key.startsWith(`${jobId}/`)),
-    lead: async (name) => {
+    startLeader: async (name) => {
       const linkedStore = storeOf(name);
       const won = await leadership.tryAcquireLeadership({
         store: linkedStore,
--- a/src/standins/test/cellLeadership.test.ts
+++ b/src/standins/test/cellLeadership.test.ts
@@ -7,7 +7,7 @@
 
 import type * as memoryWorker from '../memoryWorker.js';
 
-import * as cellKit from './cellKit.js';
+import * as cellHarness from './cellHarness.js';
 
 const isLive = (it: memoryWorker.RunRecord): boolean => it.endedAtMs === undefined;
 
@@ -29,8 +29,8 @@
 /** After this time the uptime of the agents is long enough for their votes to count. */
 const VOTING_UPTIME_MS = 40_000;
 
-const withCell = async (run: (cell: cellKit.TestCell) => Promise<void>): Promise<void> => {
-  const cell = cellKit.createCell();
+const withCell = async (run: (cell: cellHarness.TestCell) => Promise<void>): Promise<void> => {
+  const cell = cellHarness.createCell();
   try {
     await cell.clock.advance(100);
     await run(cell);
@@ -39,17 +39,17 @@
   }
 };
 
-const leadAndSubmit = async (cell: cellKit.TestCell): Promise<cellKit.TestLeader> => {
-  const first = await cell.lead('first');
+const leadAndSubmit = async (cell: cellHarness.TestCell): Promise<cellHarness.TestLeader> => {
+  const first = await cell.startLeader('first');
   await cell.clock.advance(SETTLE_MS);
-  const spec = cellKit.specOf('gang', { members: 3, acceleratorsPerMember: 4 });
+  const spec = cellHarness.makeJobSpec('gang', { members: 3, acceleratorsPerMember: 4 });
   await first.leader.submit(spec);
   await cell.clock.advance(SETTLE_MS);
   assert.equal(first.leader.show('gang').state, 'running');
   return first;
 };
 
-const kill = async (leader: cellKit.TestLeader): Promise<void> => {
+const kill = async (leader: cellHarness.TestLeader): Promise<void> => {
   leader.won.lease.abandon();
   await leader.leader.dispose();
 };
@@ -59,8 +59,8 @@
   // time, because its agents keep its leases until the new leader renews them.
   withCell(async (cell) => {
     await kill(await leadAndSubmit(cell));
-    await cell.clock.advance(cellKit.STORE_LEASE_MS + 1000);
-    const second = await cell.lead('second');
+    await cell.clock.advance(cellHarness.STORE_LEASE_MS + 1000);
+    const second = await cell.startLeader('second');
     await cell.clock.advance(60_000);
     assert.equal(second.leader.show('gang').state, 'running');
     assert.equal(cell.runsOf('gang').filter(isLive).length, 3);
@@ -75,8 +75,8 @@
     const first = await leadAndSubmit(cell);
     await cell.clock.advance(VOTING_UPTIME_MS);
     cell.store.faults.isDown = true;
-    await cell.clock.advance(cellKit.TASK_LEASE_MS);
-    await assert.rejects(first.leader.submit(cellKit.specOf('late')), {
+    await cell.clock.advance(cellHarness.TASK_LEASE_MS);
+    await assert.rejects(first.leader.submit(cellHarness.makeJobSpec('late')), {
       kind: 'storeUnavailable',
     });
     await cell.clock.advance(600_000);
@@ -86,7 +86,7 @@
     await cell.clock.advance(SETTLE_MS);
     assert.equal(first.won.lease.isLost(), true);
     await kill(first);
-    const second = await cell.lead('second');
+    const second = await cell.startLeader('second');
     await cell.clock.advance(SETTLE_MS);
     assert.equal(second.leader.show('gang').state, 'running');
     assert.equal(cell.runsOf('gang').length, 3);
@@ -101,17 +101,17 @@
     // leader reaches the other two. If the first kept renewing leases, the job would run on the third
     // worker while the second leader restarts it on another one.
     withCell(async (cell) => {
-      const first = await cell.lead('first');
+      const first = await cell.startLeader('first');
       await cell.clock.advance(SETTLE_MS);
-      await first.leader.submit(cellKit.specOf('job', { acceleratorsPerMember: 4 }));
+      await first.leader.submit(cellHarness.makeJobSpec('job', { acceleratorsPerMember: 4 }));
       await cell.clock.advance(VOTING_UPTIME_MS);
       const workerId = first.leader.show('job').placement[0]?.workerId ?? '';
       cell.cut.add('first store');
       for (const { info } of cell.agents) {
         cell.cut.add(`${info.workerId === workerId ? 'second' : 'first'} ${info.workerId}`);
       }
-      await cell.clock.advance(cellKit.STORE_LEASE_MS + 1000);
-      const second = await cell.lead('second');
+      await cell.clock.advance(cellHarness.STORE_LEASE_MS + 1000);
+      const second = await cell.startLeader('second');
       await cell.clock.advance(10_000);
       assert.equal(cell.runsOf('job').length, 1);
       await cell.clock.advance(60_000);
@@ -125,10 +125,10 @@
   // The store applies the write that commits a placement, but its answer is lost. The leader reads the
   // record back and finds its own write id; treating the write as failed would start a second attempt.
   withCell(async (cell) => {
-    const first = await cell.lead('first');
+    const first = await cell.startLeader('first');
     await cell.clock.advance(SETTLE_MS);
     cell.store.faults.loseWriteAnswers = 3;
-    await first.leader.submit(cellKit.specOf('job'));
+    await first.leader.submit(cellHarness.makeJobSpec('job'));
     await cell.clock.advance(SETTLE_MS);
     assert.equal(first.leader.show('job').state, 'running');
     assert.equal(cell.runsOf('job').length, 1);
@@ -137,12 +137,12 @@
 
 nodeTest.test('a start whose answer from the worker is lost runs once', () =>
   withCell(async (cell) => {
-    const first = await cell.lead('first');
+    const first = await cell.startLeader('first');
     await cell.clock.advance(SETTLE_MS);
     cell.agents.forEach((it) => {
       it.worker.faults.loseAnswers = 1;
     });
-    await first.leader.submit(cellKit.specOf('job'));
+    await first.leader.submit(cellHarness.makeJobSpec('job'));
     await cell.clock.advance(SETTLE_MS);
     assert.equal(first.leader.show('job').state, 'running');
     assert.equal(cell.runsOf('job').length, 1);
@@ -153,14 +153,16 @@
   // A VM fails with its worker and its agent. When its leases have expired, the other members are stopped
   // and the gang is placed again; until it has enough machines it waits, and no member of it runs.
   withCell(async (cell) => {
-    const first = await cell.lead('first');
+    const first = await cell.startLeader('first');
     await cell.clock.advance(SETTLE_MS);
-    await first.leader.submit(cellKit.specOf('gang', { members: 2, acceleratorsPerMember: 4 }));
+    await first.leader.submit(
+      cellHarness.makeJobSpec('gang', { members: 2, acceleratorsPerMember: 4 }),
+    );
     await cell.clock.advance(SETTLE_MS);
     const workerId = first.leader.show('gang').placement[0]?.workerId ?? '';
     cell.cut.add(`first ${workerId}`);
     cell.agents.find((it) => it.info.workerId === workerId)?.worker.crash();
-    await cell.clock.advance(cellKit.TASK_LEASE_MS + 10_000);
+    await cell.clock.advance(cellHarness.TASK_LEASE_MS + 10_000);
     assert.equal(first.leader.show('gang').state, 'running');
     assert.equal(cell.runsOf('gang').filter(isLive).length, 2);
     assert.equal(overlaps(cell.runsOf('gang')), 0);
@@ -169,9 +171,9 @@
 
 nodeTest.test('a live but unreachable worker stops its task before it runs on another worker', () =>
   withCell(async (cell) => {
-    const first = await cell.lead('first');
+    const first = await cell.startLeader('first');
     await cell.clock.advance(SETTLE_MS);
-    await first.leader.submit(cellKit.specOf('job', { acceleratorsPerMember: 4 }));
+    await first.leader.submit(cellHarness.makeJobSpec('job', { acceleratorsPerMember: 4 }));
     await cell.clock.advance(SETTLE_MS);
     cell.cut.add(`first ${first.leader.show('job').placement[0]?.workerId ?? ''}`);
     await cell.clock.advance(40_000);
@@ -202,8 +204,8 @@
       await first.leader.cancel(['gang']);
       await kill(first);
       assert.equal(cell.runsOf('gang').filter(isLive).length, 3);
-      await cell.clock.advance(cellKit.STORE_LEASE_MS + 500);
-      const second = await cell.lead('second');
+      await cell.clock.advance(cellHarness.STORE_LEASE_MS + 500);
+      const second = await cell.startLeader('second');
       await cell.clock.advance(SETTLE_MS);
       assert.equal(second.leader.show('gang').state, 'cancelled');
       assert.equal(cell.runsOf('gang').filter(isLive).length, 0);
@@ -217,14 +219,16 @@
     const first = await leadAndSubmit(cell);
     await first.leader.cancel(['gang']);
     await cell.clock.advance(SETTLE_MS);
-    await first.leader.submit(cellKit.specOf('pair', { members: 2, acceleratorsPerMember: 4 }));
+    await first.leader.submit(
+      cellHarness.makeJobSpec('pair', { members: 2, acceleratorsPerMember: 4 }),
+    );
     await cell.clock.advance(SETTLE_MS);
     const workerId = first.leader.show('pair').placement[0]?.workerId ?? '';
     cell.agents.find((it) => it.info.workerId === workerId)?.worker.finish('pair/1/0');
     await cell.clock.advance(30_000);
     await kill(first);
-    await cell.clock.advance(cellKit.STORE_LEASE_MS + 500);
-    const second = await cell.lead('second');
+    await cell.clock.advance(cellHarness.STORE_LEASE_MS + 500);
+    const second = await cell.startLeader('second');
     await cell.clock.advance(30_000);
     assert.equal(second.leader.show('pair').state, 'running');
     assert.equal(cell.runsOf('pair').length, 2);
--- a/src/standins/test/cellWaves.test.ts
+++ b/src/standins/test/cellWriteCost.test.ts
@@ -7,16 +7,16 @@
 import * as errors from '../../base/common/errors.js';
 import * as jobSegments from '../../coordination/common/jobSegments.js';
 
-import * as cellKit from './cellKit.js';
+import * as cellHarness from './cellHarness.js';
 
 const SETTLE_MS = 3000;
 
-const writesOf = (cell: cellKit.TestCell): number => cell.store.calls().cas ?? 0;
+const writesOf = (cell: cellHarness.TestCell): number => cell.store.calls().cas ?? 0;
 
-const createLedCell = async (): Promise<[cellKit.TestCell, cellKit.TestLeader]> => {
-  const cell = cellKit.createCell();
+const createLedCell = async (): Promise<[cellHarness.TestCell, cellHarness.TestLeader]> => {
+  const cell = cellHarness.createCell();
   await cell.clock.advance(100);
-  const held = await cell.lead('first');
+  const held = await cell.startLeader('first');
   await cell.clock.advance(SETTLE_MS);
   return [cell, held];
 };
@@ -30,7 +30,7 @@
     const [cell, { leader }] = await createLedCell();
     const ids = idsOf(1000);
     const before = writesOf(cell);
-    await Promise.all(ids.map((it) => leader.submit(cellKit.specOf(it))));
+    await Promise.all(ids.map((it) => leader.submit(cellHarness.makeJobSpec(it))));
     const submitWrites = writesOf(cell) - before;
     await cell.clock.advance(SETTLE_MS);
     const beforeWave = writesOf(cell);
@@ -56,7 +56,7 @@
   const [cell, { leader }] = await createLedCell();
   const payload = 'x'.repeat(4096);
   const answers = await Promise.allSettled(
-    idsOf(2000).map((it) => leader.submit(cellKit.specOf(it, { payload }))),
+    idsOf(2000).map((it) => leader.submit(cellHarness.makeJobSpec(it, { payload }))),
   );
   const refused = answers.filter((it) => it.status === 'rejected');
   assert.ok(refused.length > 0);
--- a/src/standins/test/configurationFeed.test.ts
+++ b/src/standins/test/configurationFeed.test.ts
@@ -5,14 +5,14 @@
 import * as test from 'node:test';
 
 import type * as configurationFeed from '../../coordination/node/pool/configurationFeed.js';
-import * as configurationKit from './configurationKit.js';
+import * as configuredStore from './configuredStore.js';
 
-interface Rig extends configurationKit.ConfiguredStore {
+interface Rig extends configuredStore.ConfiguredStore {
   readonly feed: configurationFeed.ConfigurationFeed;
 }
 
 const createRig = async (): Promise<Rig> => {
-  const configured = await configurationKit.createConfiguredStore();
+  const configured = await configuredStore.createConfiguredStore();
   const feed = configured.follow(configured.store);
   await configured.clock.advance(100);
   return { ...configured, feed };
--- a/src/standins/test/configurationShare.test.ts
+++ b/src/standins/test/configurationShare.test.ts
@@ -7,9 +7,9 @@
 import * as logging from '../../base/common/logging.js';
 import type * as configurationFeed from '../../coordination/node/pool/configurationFeed.js';
 import * as configurationShare from '../../coordination/node/pool/configurationShare.js';
-import * as configurationKit from './configurationKit.js';
+import * as configuredStore from './configuredStore.js';
 
-interface Rig extends configurationKit.ConfiguredStore {
+interface Rig extends configuredStore.ConfiguredStore {
   readonly entry: configurationFeed.ConfigurationFeed;
   readonly scheduler: configurationFeed.ConfigurationFeed;
   /** Whether the entry answers the scheduler. */
@@ -19,7 +19,7 @@
 }
 
 const createRig = async (): Promise<Rig> => {
-  const configured = await configurationKit.createConfiguredStore();
+  const configured = await configuredStore.createConfiguredStore();
   const { clock: time, store } = configured;
   const counts = { asks: 0, storeCalls: 0 };
   let isAnswering = true;
@@ -44,7 +44,7 @@
         return store.watch(...watched);
       },
     },
-    key: configurationKit.KEY,
+    key: configuredStore.KEY,
     log: logging.silentLog,
   });
   const scheduler = configured.follow(shared);
--- a/src/standins/test/poolCancelExploration.ts
+++ b/src/standins/test/poolCancelExploration.ts
@@ -7,7 +7,7 @@
 import * as random from '../../base/common/random.js';
 import * as fixtures from '../../coordination/common/pool/test/poolFixtures.js';
 import type * as poolJob from '../../state/common/pool/poolJob.js';
-import * as poolKit from './poolKit.js';
+import * as poolHarness from './poolHarness.js';
 import * as poolPromises from './poolPromises.js';
 
 const WORKERS = 4;
@@ -29,7 +29,7 @@
 
 /** A pool with its jobs and the cancellations so far. */
 interface Scenario {
-  readonly pool: poolKit.Pool;
+  readonly pool: poolHarness.Pool;
   readonly next: random.Random;
   readonly jobIds: readonly string[];
   /** Time at which each cancellation was stored, by job id. */
@@ -110,7 +110,7 @@
 
 const assertCancelled = ({ pool, cancelledAtMs }: Scenario, healedAtMs: number): void => {
   for (const run of pool.runs().filter((it) => !it.isLate)) {
-    const atMs = cancelledAtMs.get(poolKit.jobIdOf(run)) ?? Infinity;
+    const atMs = cancelledAtMs.get(poolHarness.jobIdOf(run)) ?? Infinity;
     const name = `${run.task}#${run.run}`;
     const lastStartMs = Math.max(
       atMs + poolPromises.CANCEL_MS,
@@ -134,7 +134,7 @@
  */
 export const explore = async (seed: number): Promise<void> => {
   const next = random.createRandom(seed);
-  const pool = poolKit.createPool({
+  const pool = poolHarness.createPool({
     workers: WORKERS,
     seed,
     workMs: (task) => (task.includes('.0.0.') && next() < 0.5 ? SHORT_MS : LONG_MS),
@@ -148,11 +148,11 @@
   const scenario = { pool, next, jobIds, cancelledAtMs: new Map<string, number>() };
   await pool.clock.advance(1000 + next() * 2 * MAX_PAUSE_MS);
   await makeFaults(scenario);
-  poolKit.heal(pool);
+  poolHarness.clearFaults(pool);
   pool.store.faults.skipNextWatch = false;
   const healedAtMs = pool.clock.monotonicMs();
   await runWithoutFaults(scenario);
   assertCancelled(scenario, healedAtMs);
-  poolKit.assertAtMostOnce(pool.runs());
+  poolHarness.assertAtMostOnce(pool.runs());
   pool.dispose();
 };
--- a/src/standins/test/poolCancelFaults.test.ts
+++ b/src/standins/test/poolCancelFaults.test.ts
@@ -6,7 +6,7 @@
 import * as fixtures from '../../coordination/common/pool/test/poolFixtures.js';
 import * as poolKeys from '../../state/common/pool/poolKeys.js';
 import * as poolCases from './poolCases.js';
-import * as poolKit from './poolKit.js';
+import * as poolHarness from './poolHarness.js';
 import * as poolPromises from './poolPromises.js';
 
 /** After this time, every watch in flight was sent while the fault was active. */
@@ -15,12 +15,12 @@
 /** Ends between a renewal of the leadership lease and a retried write of the leader. */
 const OUTAGE_MS = 4050;
 
-const isSecondStepStored = async (pool: poolKit.Pool): Promise<boolean> => {
+const isSecondStepStored = async (pool: poolHarness.Pool): Promise<boolean> => {
   const progress = await pool.progress('a');
   return progress?.tasks.some((it) => it.step === 1 && it.phase === 'assigned') === true;
 };
 
-const loseWatches = async (pool: poolKit.Pool): Promise<void> => {
+const loseWatches = async (pool: poolHarness.Pool): Promise<void> => {
   await pool.clock.advance(1000);
   pool.store.faults.areWatchesLost = true;
   await pool.clock.advance(WATCH_OVER_MS);
@@ -117,7 +117,7 @@
       await loseWatches(pool);
       await pool.clock.advance(WATCH_OVER_MS);
       first.kill();
-      await pool.clock.advance(poolKit.LEADER_LEASE_MS);
+      await pool.clock.advance(poolHarness.LEADER_LEASE_MS);
       pool.store.faults.areWatchesLost = false;
       await pool.submit(fixtures.makeJob([{}], { jobId: 'a' }));
       await pool.clock.advance(poolPromises.RECLAIM_MS);
--- a/src/standins/test/poolExploration.ts
+++ b/src/standins/test/poolExploration.ts
@@ -7,7 +7,7 @@
 import * as fixtures from '../../coordination/common/pool/test/poolFixtures.js';
 import type * as poolJob from '../../state/common/pool/poolJob.js';
 import type * as memoryPoolWorker from '../memoryPoolWorker.js';
-import * as poolKit from './poolKit.js';
+import * as poolHarness from './poolHarness.js';
 import * as poolPromises from './poolPromises.js';
 
 const WORKERS = 4;
@@ -22,7 +22,7 @@
 type Cancellations = Map<string, number>;
 
 type FaultAction = (
-  pool: poolKit.Pool,
+  pool: poolHarness.Pool,
   next: random.Random,
   cancelled: Cancellations,
 ) => Promise<void> | void;
@@ -100,7 +100,7 @@
 ];
 
 /** Asserts that the runs of a worker never needed more accelerators than it has. */
-const assertWithinCapacity = (pool: poolKit.Pool, jobs: readonly poolJob.PoolJob[]): void => {
+const assertWithinCapacity = (pool: poolHarness.Pool, jobs: readonly poolJob.PoolJob[]): void => {
   const neededBy = new Map(jobs.map((it) => [it.jobId, it]));
   const acceleratorsOf = ({ task }: memoryPoolWorker.RecordedRun): number => {
     const [jobId = '', , step] = task.split('.');
@@ -121,9 +121,9 @@
 };
 
 /** Asserts that no task starts long after its cancellation, except by orders that the worker executes late. */
-const assertNoneAfterCancel = (pool: poolKit.Pool, cancelled: Cancellations): void => {
+const assertNoneAfterCancel = (pool: poolHarness.Pool, cancelled: Cancellations): void => {
   for (const run of pool.runs().filter((it) => !it.isLate)) {
-    const cancelledAtMs = cancelled.get(poolKit.jobIdOf(run)) ?? Infinity;
+    const cancelledAtMs = cancelled.get(poolHarness.jobIdOf(run)) ?? Infinity;
     assert.ok(
       run.startedAtMs <= cancelledAtMs + poolPromises.CANCEL_MS,
       `${run.task}#${run.run} started ${run.startedAtMs - cancelledAtMs} ms after the cancellation`,
@@ -132,7 +132,7 @@
 };
 
 /** Asserts that every task of a complete job was done. */
-const assertDone = (pool: poolKit.Pool, job: poolJob.PoolJob): void => {
+const assertDone = (pool: poolHarness.Pool, job: poolJob.PoolJob): void => {
   job.steps.forEach((step, stepIndex) => {
     for (let index = 0; index < step.count; index += 1) {
       const task = `${job.jobId}.0.${stepIndex}.${index}`;
@@ -156,7 +156,7 @@
 export const explore = async ({ seed, losesWatches }: Exploration): Promise<void> => {
   const actions = losesWatches ? WATCH_FAULT_ACTIONS : FAULT_ACTIONS;
   const next = random.createRandom(seed);
-  const pool = poolKit.createPool({
+  const pool = poolHarness.createPool({
     workers: WORKERS,
     seed,
     workMs: (task) => 500 + ((task.length * 997 + task.charCodeAt(1) * 331) % 4000),
@@ -184,10 +184,10 @@
     await action(pool, next, cancelled);
     await pool.clock.advance(next() * MAX_PAUSE_MS);
   }
-  poolKit.heal(pool);
+  poolHarness.clearFaults(pool);
   await pool.clock.advance(SETTLE_MS);
-  poolKit.assertAtMostOnce(pool.runs());
-  poolKit.assertNoneAfterDone(pool.runs());
+  poolHarness.assertAtMostOnce(pool.runs());
+  poolHarness.assertNoStartAfterDone(pool.runs());
   assertWithinCapacity(pool, submitted);
   assertNoneAfterCancel(pool, cancelled);
   for (const job of submitted) {
--- a/src/standins/test/poolFaults.test.ts
+++ b/src/standins/test/poolFaults.test.ts
@@ -6,7 +6,7 @@
 import * as clock from '../../base/common/clock.js';
 import * as fixtures from '../../coordination/common/pool/test/poolFixtures.js';
 import * as poolCases from './poolCases.js';
-import * as poolKit from './poolKit.js';
+import * as poolHarness from './poolHarness.js';
 
 const CASES: readonly poolCases.Case[] = [
   {
@@ -177,7 +177,7 @@
       const busy = pool.sites.find(({ worker }) => worker.runs.length > 0);
       assert.ok(busy);
       busy.isCut = true;
-      await pool.clock.advance(poolKit.MAX_LEASE_MS - 1000);
+      await pool.clock.advance(poolHarness.MAX_LEASE_MS - 1000);
       assert.equal(pool.runs().length, 1);
       await pool.clock.advance(4000);
       assert.equal(pool.runs().length, 2);
@@ -196,13 +196,13 @@
       const busy = pool.sites.find(({ worker }) => worker.runs.length > 0);
       assert.ok(busy);
       busy.isCut = true;
-      await pool.clock.advance(poolKit.MAX_LEASE_MS + 4000);
+      await pool.clock.advance(poolHarness.MAX_LEASE_MS + 4000);
       assert.equal(pool.runs().length, 2);
       busy.isCut = false;
     },
     states: { a: 'complete' },
     runs: 2,
-    hows: ['done', 'done'],
+    runEnds: ['done', 'done'],
   },
   {
     // The policy service allows one worker only, and refuses the first call.
--- a/src/standins/test/poolKit.ts
+++ b/src/standins/test/poolHarness.ts
@@ -54,7 +54,7 @@
 }
 
 /** Identity of a candidate; a restarted process has that of its previous incarnation. */
-export interface CandidatePlace {
+export interface CandidateIdentity {
   readonly holderId: string;
   readonly url: string;
 }
@@ -67,7 +67,7 @@
   /** Resolves when the agents' records are stored; awaited before the first fault. */
   readonly ready: Promise<unknown>;
   /** @param place - holder id and address; absent for a new process */
-  readonly addCandidate: (place?: CandidatePlace) => Candidate;
+  readonly addCandidate: (place?: CandidateIdentity) => Candidate;
   readonly submit: (job: poolJob.PoolJob) => Promise<void>;
   readonly cancel: (jobId: string) => Promise<void>;
   readonly progress: (jobId: string) => Promise<progressRecord.ProgressRecord | undefined>;
@@ -132,7 +132,7 @@
   const log = options.log ?? logging.silentLog;
   const counters = metrics.createMetrics();
   const gangs = gangSizes();
-  const board = memoryPoolWorker.createGangBoard();
+  const board = memoryPoolWorker.createGangRegistry();
   const configuration = configurationOf(options);
   const candidates = new Set<Candidate>();
   let ids = 0;
@@ -234,7 +234,7 @@
     ),
   );
 
-  const newPlace = (): CandidatePlace => {
+  const newPlace = (): CandidateIdentity => {
     const holderId = newId();
     return { holderId, url: `http://${holderId}:1` };
   };
@@ -324,7 +324,7 @@
  *
  * @param pool - the pool
  */
-export const heal = (pool: Pool): void => {
+export const clearFaults = (pool: Pool): void => {
   const { faults } = pool.store;
   faults.isDown = false;
   faults.areWatchesLost = false;
@@ -376,7 +376,7 @@
  *
  * @param runs - all runs on all workers
  */
-export const assertNoneAfterDone = (runs: readonly memoryPoolWorker.RecordedRun[]): void => {
+export const assertNoStartAfterDone = (runs: readonly memoryPoolWorker.RecordedRun[]): void => {
   for (const done of runs.filter(isSettled)) {
     const again = runs.find(
       (it) =>
--- a/src/standins/test/poolLateOrders.test.ts
+++ b/src/standins/test/poolLateOrders.test.ts
@@ -6,7 +6,7 @@
 
 import * as fixtures from '../../coordination/common/pool/test/poolFixtures.js';
 import * as poolCases from './poolCases.js';
-import type * as poolKit from './poolKit.js';
+import type * as poolHarness from './poolHarness.js';
 
 /** An order's lease is a time on the clock of the incarnation that it addresses; a new incarnation's clock is behind. */
 const PREVIOUS_AGE_MS = 20_000;
@@ -25,9 +25,9 @@
 
 /** Submits a job whose order gets no answer; returns the worker that received it. */
 const openOrder = async (
-  pool: poolKit.Pool,
+  pool: poolHarness.Pool,
   { copies, lateByMs }: OpenOrder,
-): Promise<poolKit.Site> => {
+): Promise<poolHarness.Site> => {
   await pool.clock.advance(PREVIOUS_AGE_MS);
   pool.sites.forEach(({ worker }) => {
     worker.faults.delayOrders = copies;
@@ -43,15 +43,15 @@
   return ordered;
 };
 
-const crashAndBecomeUnreachable = ({ worker }: poolKit.Site, nextId?: string): void => {
+const crashAndBecomeUnreachable = ({ worker }: poolHarness.Site, nextId?: string): void => {
   worker.crash(nextId);
   worker.faults.isSilent = true;
 };
 
 /** Ends leader and worker; after the delayed duplicate, worker and link work again. */
 const crashWithLeader = async (
-  pool: poolKit.Pool,
-  first: poolKit.Candidate,
+  pool: poolHarness.Pool,
+  first: poolHarness.Candidate,
   isCut: boolean,
 ): Promise<void> => {
   const site = await openOrder(pool, { copies: ALL_COPIES, lateByMs: 10_000 });
@@ -108,7 +108,7 @@
       site.worker.faults.isSilent = false;
     },
     states: { a: 'complete' },
-    hows: ['crashed', 'done'],
+    runEnds: ['crashed', 'done'],
   },
   {
     // Guards against a job that is blocked forever by an order that is never executed.
--- a/src/standins/test/poolLostWatches.test.ts
+++ b/src/standins/test/poolLostWatches.test.ts
@@ -8,22 +8,22 @@
 import * as test from 'node:test';
 
 import * as fixtures from '../../coordination/common/pool/test/poolFixtures.js';
-import * as poolKit from './poolKit.js';
+import * as poolHarness from './poolHarness.js';
 import * as poolPromises from './poolPromises.js';
 
 /** End times of the outage, spanning more than the longest time that a lost watch is in flight. */
 const ENDS_MS = Array.from({ length: 35 }, (_, index) => 6500 + index * 170);
 
-const loseWatchesFor = async (pool: poolKit.Pool, durationMs: number): Promise<void> => {
+const loseWatchesFor = async (pool: poolHarness.Pool, durationMs: number): Promise<void> => {
   pool.store.faults.areWatchesLost = true;
   await pool.clock.advance(durationMs);
 };
 
-const runsOf = (pool: poolKit.Pool, jobId: string) =>
-  pool.runs().filter((it) => poolKit.jobIdOf(it) === jobId);
+const runsOf = (pool: poolHarness.Pool, jobId: string) =>
+  pool.runs().filter((it) => poolHarness.jobIdOf(it) === jobId);
 
 const checkUpdates = async (endMs: number): Promise<void> => {
-  const pool = poolKit.createPool({ workers: 2, workMs: () => 60_000 });
+  const pool = poolHarness.createPool({ workers: 2, workMs: () => 60_000 });
   await pool.submit(fixtures.makeJob([{ count: 2 }], { jobId: 'a' }));
   pool.addCandidate();
   await pool.clock.advance(1000);
@@ -48,14 +48,14 @@
 };
 
 const checkTakeover = async (endMs: number): Promise<void> => {
-  const pool = poolKit.createPool({ workers: 1 });
+  const pool = poolHarness.createPool({ workers: 1 });
   await pool.ready;
   const first = pool.addCandidate();
   pool.addCandidate();
   await pool.clock.advance(1000);
-  await loseWatchesFor(pool, endMs - poolKit.LEADER_LEASE_MS);
+  await loseWatchesFor(pool, endMs - poolHarness.LEADER_LEASE_MS);
   first.kill();
-  await pool.clock.advance(poolKit.LEADER_LEASE_MS);
+  await pool.clock.advance(poolHarness.LEADER_LEASE_MS);
   pool.store.faults.areWatchesLost = false;
   await pool.submit(fixtures.makeJob([{}], { jobId: 'a' }));
   await pool.clock.advance(poolPromises.RECLAIM_MS);
@@ -65,7 +65,7 @@
 
 /** Guards against a watch that reports no changes while all other calls are answered. */
 const checkNotified = async (): Promise<void> => {
-  const pool = poolKit.createPool({ workers: 2, workMs: () => 60_000 });
+  const pool = poolHarness.createPool({ workers: 2, workMs: () => 60_000 });
   await pool.ready;
   const candidate = pool.addCandidate();
   await pool.clock.advance(1000);
--- a/src/standins/test/portBlock.ts
+++ b/src/standins/test/portBlock.ts
@@ -28,7 +28,7 @@
  * @returns a block that no other test has reserved
  * @throws Error if all blocks are taken
  */
-export const takePorts = async (preference: number): Promise<PortBlock> => {
+export const reservePorts = async (preference: number): Promise<PortBlock> => {
   for (let offset = 0; offset < BLOCKS; offset += 1) {
     const port = LOWEST_PORT + ((preference + offset) % BLOCKS) * BLOCK_PORTS;
     const listener = await tryToListen(port);
--- a/src/standins/test/storeContract.test.ts
+++ b/src/standins/test/storeContract.test.ts
@@ -7,9 +7,9 @@
 import * as store from '../../state/common/store.js';
 import type * as memoryStore from '../memoryStore.js';
 
-import * as contractKit from './contractKit.js';
+import * as contractSubjects from './contractSubjects.js';
 
-type Run = (it: contractKit.Subject<store.Store, memoryStore.MemoryStore>) => Promise<void>;
+type Run = (it: contractSubjects.Subject<store.Store, memoryStore.MemoryStore>) => Promise<void>;
 
 const isUnavailable = { kind: 'storeUnavailable' };
 const isUnknown = { name: 'StoreOutcomeUnknown' };
@@ -102,7 +102,7 @@
       const { revision } = await subject.list('p/');
       const { signal } = new AbortController();
       const seen = subject.watch('p/', revision, 60_000, signal);
-      await contractKit.until(() => standIn.calls().watch === 1);
+      await contractSubjects.until(() => standIn.calls().watch === 1);
       await subject.compareAndSwap(put('q/other', '1'));
       await subject.compareAndSwap(put('p/new', '2'));
       const result = await seen;
@@ -131,7 +131,7 @@
     async ({ subject, standIn, clock }) => {
       standIn.faults.areWatchesSilent = true;
       const seen = subject.watch('p/', 0, 1000, new AbortController().signal);
-      await contractKit.until(() => standIn.calls().watch === 1);
+      await contractSubjects.until(() => standIn.calls().watch === 1);
       await subject.compareAndSwap(put('p/a', '1'));
       await clock.advance(1000);
       const result = await seen;
@@ -161,7 +161,7 @@
   ],
 ];
 
-for (const [name, create] of contractKit.STORES) {
+for (const [name, create] of contractSubjects.STORES) {
   nodeTest.describe(`store contract: ${name}`, () => {
     for (const [title, run] of CASES) {
       nodeTest.test(title, async () => {
@@ -181,7 +181,7 @@
   async () => {
     // A caller whose write timed out knows neither success nor failure; the store may apply it later.
     // Treating the timeout as a failure would let the caller overwrite its own change.
-    const [, http] = contractKit.STORES;
+    const [, http] = contractSubjects.STORES;
     const made = await http?.[1]();
     assert.ok(made);
     made.standIn.faults.delayMs = 10_000;
--- a/src/standins/test/workerContract.test.ts
+++ b/src/standins/test/workerContract.test.ts
@@ -7,9 +7,9 @@
 import type * as workerContract from '../../state/common/workerContract.js';
 import type * as memoryWorker from '../memoryWorker.js';
 
-import * as contractKit from './contractKit.js';
+import * as contractSubjects from './contractSubjects.js';
 
-type Made = contractKit.Subject<workerContract.Worker, memoryWorker.MemoryWorker>;
+type Made = contractSubjects.Subject<workerContract.Worker, memoryWorker.MemoryWorker>;
 
 const startOf = (key: string, runMs = 10_000): workerContract.WorkerStart => ({
   key,
@@ -141,7 +141,7 @@
   ],
 ];
 
-for (const [name, create] of contractKit.WORKERS) {
+for (const [name, create] of contractSubjects.WORKERS) {
   nodeTest.describe(`worker contract: ${name}`, () => {
     for (const [title, run] of CASES) {
       nodeTest.test(title, async () => {
--- a/src/transport/node/console/cellPicture.ts
+++ b/src/transport/node/console/cellDiagram.ts
@@ -39,7 +39,7 @@
  * @param record - a job
  * @returns its guaranteed shape or spare rule, its state, and the reason of its placement or last decision
  */
-export const reasonOf = (record: job.JobRecord): string => {
+export const describeAllocation = (record: job.JobRecord): string => {
   const { spec, ruleId, state } = record;
   const claimText =
     spec.claim === job.Claim.guaranteed
@@ -125,7 +125,7 @@
       x,
       y,
       colour: colourOf(customerIds, customerId),
-      title: `${place}: ${customerId}, job ${jobId}, ${reasonOf(record)}`,
+      title: `${place}: ${customerId}, job ${jobId}, ${describeAllocation(record)}`,
       isBorrowed: claim === job.Claim.spare,
     });
   });
--- a/src/transport/node/console/changeForms.ts
+++ b/src/transport/node/console/changeForms.ts
@@ -31,7 +31,7 @@
  * @param context - the request
  * @returns the base for a newly opened form
  */
-export const newBase = (context: consoleContext.PageContext): FormBase => ({
+export const createBase = (context: consoleContext.PageContext): FormBase => ({
   baseVersion: context.options.gateway.configuration()?.version ?? 0,
   writeId: context.options.newId(),
 });
--- a/src/transport/node/console/consoleApp.ts
+++ b/src/transport/node/console/consoleApp.ts
@@ -6,7 +6,7 @@
 import type * as httpServer from '../httpServer.js';
 import * as operatorAuth from '../operatorAuth.js';
 import * as operatorRoutes from '../operatorRoutes.js';
-import * as burnPage from './burnPage.js';
+import * as serviceLevelPage from './serviceLevelPage.js';
 import * as changeForms from './changeForms.js';
 import type * as consoleContext from './consoleContext.js';
 import * as documentPages from './documentPages.js';
@@ -31,7 +31,7 @@
 
 const ROUTES: readonly consoleContext.ConsoleRoute[] = [
   ...viewPages.VIEW_ROUTES,
-  ...burnPage.BURN_ROUTES,
+  ...serviceLevelPage.SERVICE_LEVEL_ROUTES,
   ...documentPages.DOCUMENT_ROUTES,
   ...wholeDocumentPages.WHOLE_DOCUMENT_ROUTES,
   ...historyPages.HISTORY_ROUTES,
@@ -54,7 +54,7 @@
   options: ConsoleAppOptions,
   request: httpServer.ServerRequest,
 ): Promise<httpServer.ServerReply> => {
-  session.assertOwnOrigin(request.headers);
+  session.assertSameOrigin(request.headers);
   try {
     const operator = await options.authenticate(formOf(request).get('token') ?? '');
     const isSecure = request.headers['x-forwarded-proto'] === 'https';
@@ -109,8 +109,8 @@
   try {
     const form = formOf(request);
     if (request.method === 'POST') {
-      session.assertOwnOrigin(request.headers);
-      session.assertForm(form, found);
+      session.assertSameOrigin(request.headers);
+      session.assertFormToken(form, found);
       if (request.path === SIGN_OUT_PATH) {
         return layout.redirectReply(SIGN_IN_PATH, { 'set-cookie': session.END_COOKIE });
       }
--- a/src/transport/node/console/documentEdit.ts
+++ b/src/transport/node/console/documentEdit.ts
@@ -85,7 +85,7 @@
   issues: readonly schemaIssues.FieldIssue[],
   editor: editors.Editor,
   index: number,
-  typed: fields.Typed,
+  typed: fields.EnteredValues,
 ): fields.FieldErrors => {
   const prefix = editor.idKey === undefined ? [editor.name] : [editor.name, index];
   const found = new Map<string, string[]>();
--- a/src/transport/node/console/documentPages.ts
+++ b/src/transport/node/console/documentPages.ts
@@ -19,7 +19,7 @@
   /** Id of the edited item; empty for a new one. */
   readonly id: string;
   readonly base: changeForms.FormBase;
-  readonly typed: fields.Typed;
+  readonly typed: fields.EnteredValues;
   readonly errors: fields.FieldErrors;
 }
 
@@ -63,7 +63,7 @@
 const deleteForm = (context: Context, editor: editors.Editor, id: string): html.Html =>
   html.html`<form class="card" method="post"
 action="${pathOf(editor)}/delete/${encodeURIComponent(id)}" aria-label="Remove">
-${changeForms.hiddenFields(context, changeForms.newBase(context))}
+${changeForms.hiddenFields(context, changeForms.createBase(context))}
 <div class="field"><label for="delete-reason">Reason to remove it</label>
 <input type="text" id="delete-reason" name="reason"></div>
 <button class="danger" type="submit">Remove ${id}</button></form>`;
@@ -82,7 +82,7 @@
   const document = currentDocument(context);
   const listFields = editor.fields(document);
   const rows = documentEdit.itemsOf(document, editor).map((item) => {
-    const typed = fields.toTyped(listFields, item);
+    const typed = fields.toEnteredValues(listFields, item);
     return listFields.map((it) => {
       const text = typed[it.name] ?? '';
       if (it.name !== editor.idKey) return text;
@@ -103,8 +103,9 @@
   if (!isNew && item === undefined) {
     throw errors.fail('notFound', `no ${editor.itemTitle} ${id}`, { field: 'id' });
   }
-  const typed = item === undefined ? editor.initial : fields.toTyped(editor.fields(document), item);
-  const base = changeForms.newBase(context);
+  const typed =
+    item === undefined ? editor.initial : fields.toEnteredValues(editor.fields(document), item);
+  const base = changeForms.createBase(context);
   return formPage(context, { editor, id, base, typed, errors: new Map() });
 };
 
@@ -112,7 +113,7 @@
  * @param typed - entered values
  * @returns validation errors of the reason
  */
-export const reasonErrors = (typed: fields.Typed): readonly string[] => {
+export const reasonErrors = (typed: fields.EnteredValues): readonly string[] => {
   const { reason = '' } = typed;
   if (reason === '') return ['a reason is expected'];
   return reason.length > MAX_REASON ? [`at most ${MAX_REASON} characters expected`] : [];
@@ -126,7 +127,10 @@
   const base = changeForms.readBase(context.form);
   const before = await openedDocument(context, base.baseVersion);
   const itemFields = editor.fields(before);
-  const typed = fields.readTyped([...itemFields, ...changeForms.CHANGE_FIELDS], context.form);
+  const typed = fields.readEnteredValues(
+    [...itemFields, ...changeForms.CHANGE_FIELDS],
+    context.form,
+  );
   const item = fields.toItem(itemFields, typed);
   const edited = documentEdit.withItem(before, editor, id, item);
   const decoded = configurationChecks.decodeDocument(edited.document);
--- a/src/transport/node/console/editors.ts
+++ b/src/transport/node/console/editors.ts
@@ -22,7 +22,7 @@
   readonly idKey: string | undefined;
   readonly fields: (document: Document) => readonly fields.Field[];
   /** Initial values of a new item. */
-  readonly initial: fields.Typed;
+  readonly initial: fields.EnteredValues;
 }
 
 const text = (name: string, label: string, hint = ''): fields.Field => ({
--- a/src/transport/node/console/fields.ts
+++ b/src/transport/node/console/fields.ts
@@ -21,7 +21,7 @@
 }
 
 /** Entered values by field. */
-export type Typed = Readonly<Record<string, string>>;
+export type EnteredValues = Readonly<Record<string, string>>;
 
 /** Validation errors by field; those of no field have the empty name. */
 export type FieldErrors = ReadonlyMap<string, readonly string[]>;
@@ -40,15 +40,17 @@
  * @param item - an item of the document
  * @returns the item as form input
  */
-export const toTyped = (fields: readonly Field[], item: Readonly<Record<string, unknown>>): Typed =>
-  Object.fromEntries(fields.map((it) => [it.name, toText(item[it.name])]));
+export const toEnteredValues = (
+  fields: readonly Field[],
+  item: Readonly<Record<string, unknown>>,
+): EnteredValues => Object.fromEntries(fields.map((it) => [it.name, toText(item[it.name])]));
 
 /**
  * @param fields - fields of the form
  * @param form - fields of a POST
  * @returns the entered values, trimmed
  */
-export const readTyped = (fields: readonly Field[], form: URLSearchParams): Typed =>
+export const readEnteredValues = (fields: readonly Field[], form: URLSearchParams): EnteredValues =>
   Object.fromEntries(fields.map((it) => [it.name, (form.get(it.name) ?? '').trim()]));
 
 const toValue = (field: Field, text: string): unknown => {
@@ -70,7 +72,7 @@
  * @param typed - entered values
  * @returns the item, not validated
  */
-export const toItem = (fields: readonly Field[], typed: Typed): Record<string, unknown> =>
+export const toItem = (fields: readonly Field[], typed: EnteredValues): Record<string, unknown> =>
   Object.fromEntries(
     fields
       .filter((it) => !(it.isOptional === true && (typed[it.name] ?? '') === ''))
--- a/src/transport/node/console/historyPages.ts
+++ b/src/transport/node/console/historyPages.ts
@@ -42,7 +42,7 @@
 
 const rollbackForm = (context: Context, version: number): html.Html =>
   html.html`<form class="card" method="post" action="/console/history/${version}/undo">
-${changeForms.hiddenFields(context, changeForms.newBase(context))}
+${changeForms.hiddenFields(context, changeForms.createBase(context))}
 <div class="field"><label for="reason">Reason</label>
 <p class="hint">The document of version ${version} is written as a new version.</p>
 <input type="text" id="reason" name="reason" value="back to version ${version}"></div>
--- a/src/transport/node/console/burnPage.ts
+++ b/src/transport/node/console/serviceLevelPage.ts
@@ -46,4 +46,4 @@
 };
 
 /** Routes of the service-level page. */
-export const BURN_ROUTES: readonly consoleContext.ConsoleRoute[] = [show];
+export const SERVICE_LEVEL_ROUTES: readonly consoleContext.ConsoleRoute[] = [show];
--- a/src/transport/node/console/session.ts
+++ b/src/transport/node/console/session.ts
@@ -98,7 +98,7 @@
  * @param headers - headers of a POST
  * @throws AuburnliftError `forbidden` if the Origin header is missing or names another site
  */
-export const assertOwnOrigin = (headers: nodeHttp.IncomingHttpHeaders): void => {
+export const assertSameOrigin = (headers: nodeHttp.IncomingHttpHeaders): void => {
   const { origin, host } = headers;
   const isOwn = URL.canParse(origin ?? '') && new URL(origin ?? '').host === host;
   if (!isOwn) throw errors.fail('forbidden', 'the form was sent from another site; nothing ran');
@@ -109,7 +109,7 @@
  * @param session - the session
  * @throws AuburnliftError `forbidden` if the form's token is missing or belongs to another session
  */
-export const assertForm = (form: URLSearchParams, session: Session): void => {
+export const assertFormToken = (form: URLSearchParams, session: Session): void => {
   if (isEqual(form.get('csrf') ?? '', session.csrf)) return;
   throw errors.fail('forbidden', 'the form is not from this session; nothing ran');
 };
--- a/src/transport/node/console/viewPages.ts
+++ b/src/transport/node/console/viewPages.ts
@@ -6,7 +6,7 @@
 import type * as entrySchedulerMessages from '../../../protocol/common/entrySchedulerMessages.js';
 import type * as httpServer from '../httpServer.js';
 import type * as operatorGateway from '../operatorGateway.js';
-import * as cellPicture from './cellPicture.js';
+import * as cellDiagram from './cellDiagram.js';
 import type * as consoleContext from './consoleContext.js';
 import * as historyPages from './historyPages.js';
 import * as html from './html.js';
@@ -87,7 +87,7 @@
   record.spec.cell,
   record.state,
   job.acceleratorsOf(record),
-  cellPicture.reasonOf(record),
+  cellDiagram.describeAllocation(record),
 ];
 
 const jobTable = (jobs: readonly job.JobRecord[], caption: string): html.Html =>
@@ -134,7 +134,7 @@
     const waiting = cell.jobs.filter((it) => it.state === job.JobState.queued);
     const body = html.html`${alerts(cell.warnings)}
 <p>Led by ${cell.leaderId}, epoch ${cell.epoch}</p>
-${cellPicture.renderDiagram(cell, customerIds)}
+${cellDiagram.renderDiagram(cell, customerIds)}
 <h2>Jobs</h2>${jobTable(held, 'Jobs that hold accelerators')}${jobTable(waiting, 'Waiting')}
 <h2>Workers</h2>${workerTable(context, cell)}`;
     return reply(context, `Cell ${cell.cell}`, body);
--- a/src/transport/node/console/wholeDocumentPages.ts
+++ b/src/transport/node/console/wholeDocumentPages.ts
@@ -60,7 +60,7 @@
   handle: (context) => {
     const document = context.options.gateway.configuration()?.document;
     const text = document === undefined ? '' : JSON.stringify(document, undefined, INDENT);
-    const base = changeForms.newBase(context);
+    const base = changeForms.createBase(context);
     return Promise.resolve(textPage(context, { base, text, reason: '', problems: [] }));
   },
 };
--- a/src/transport/node/exchangeServer.ts
+++ b/src/transport/node/exchangeServer.ts
@@ -16,9 +16,9 @@
   readonly maxBodyBytes: number;
   readonly sender: () => envelope.Sender;
   readonly host: requestHost.RequestHost;
-  readonly noteVersion: (version: number) => void;
+  readonly recordVersion: (version: number) => void;
   /** Handles all other paths. */
-  readonly otherwise: httpServer.Listener;
+  readonly fallback: httpServer.Listener;
 }
 
 const parseHead = (header: string | string[] | undefined): exchange.ExchangeRequest => {
@@ -64,7 +64,7 @@
 export const createExchangeListener = (options: ExchangeListenerOptions): httpServer.Listener => {
   const handler: httpServer.Handler = async (request) => {
     const head = parseHead(request.headers[exchange.REQUEST_HEADER]);
-    options.noteVersion(head.from.configVersion);
+    options.recordVersion(head.from.configVersion);
     return toReply(options, head, await options.host.exchange(head, request.body));
   };
   const exchangeListener = httpServer.toListener(handler, options.maxBodyBytes);
@@ -72,7 +72,7 @@
     throw errors.fail('unauthenticated', 'the peer secret is missing or wrong');
   }, options.maxBodyBytes);
   return (message, response) => {
-    if (message.url !== exchange.EXCHANGE_PATH) return options.otherwise(message, response);
+    if (message.url !== exchange.EXCHANGE_PATH) return options.fallback(message, response);
     return rpcServer.isPeer(message, options.peerSecret)
       ? exchangeListener(message, response)
       : refuse(message, response);
--- a/src/transport/node/httpClient.ts
+++ b/src/transport/node/httpClient.ts
@@ -74,9 +74,9 @@
 const SHORT_BODY_BYTES = 16_384;
 
 const shouldSkipBody = (request: http.HttpRequest, message: nodeHttp.IncomingMessage): boolean => {
-  const isOfNoUse = request.unreadStatuses?.includes(message.statusCode ?? 0) ?? false;
+  const isBodyUnneeded = request.unreadStatuses?.includes(message.statusCode ?? 0) ?? false;
   const length = Number(message.headers['content-length'] ?? Infinity);
-  return isOfNoUse && length > SHORT_BODY_BYTES;
+  return isBodyUnneeded && length > SHORT_BODY_BYTES;
 };
 
 /** Callbacks for the progress of a response. */
--- a/src/transport/node/httpServer.ts
+++ b/src/transport/node/httpServer.ts
@@ -46,7 +46,7 @@
   /** Number of requests whose responses have not been sent. */
   readonly openRequests: () => number;
   /** Asks callers to close their connections after the next response; new connections are still accepted. */
-  readonly discourage: () => void;
+  readonly requestConnectionClose: () => void;
   /**
    * Stops accepting connections, asks callers to close theirs and waits for open requests to finish.
    *
@@ -250,7 +250,7 @@
   return {
     address: { host: options.host, port },
     openRequests: () => open.size,
-    discourage: sendConnectionClose,
+    requestConnectionClose: sendConnectionClose,
     drain: async (timeoutMs) => {
       sendConnectionClose();
       server.close();
--- a/src/transport/node/operatorJobsApi.ts
+++ b/src/transport/node/operatorJobsApi.ts
@@ -15,7 +15,7 @@
 export interface JobsGateway {
   readonly jobs: callerApi.JobGateway;
   /** Looks up an ended job in the archive. */
-  readonly archived: (cell: string, jobId: string) => Promise<job.JobRecord | undefined>;
+  readonly findArchived: (cell: string, jobId: string) => Promise<job.JobRecord | undefined>;
 }
 
 const CancelBody = Schema.Struct({
@@ -50,7 +50,7 @@
   try {
     return httpServer.jsonReply({ job: await gateway.jobs.show(cell, jobId), source: 'leader' });
   } catch (thrown) {
-    const archived = await gateway.archived(cell, jobId);
+    const archived = await gateway.findArchived(cell, jobId);
     if (archived === undefined) throw thrown;
     return httpServer.jsonReply({ job: archived, source: 'archive' });
   }
--- a/src/transport/node/rpcClient.ts
+++ b/src/transport/node/rpcClient.ts
@@ -20,7 +20,7 @@
 export const PEER_SECRET_HEADER = 'auburnlift-peer-secret';
 
 /** The active configuration version of another process, as sent in its reply. */
-export interface HeardVersion {
+export interface PeerVersion {
   readonly version: number;
   readonly url: string;
 }
@@ -34,7 +34,7 @@
   /** Shared by the system's processes; never logged. */
   readonly peerSecret: string;
   /** Called with the configuration version in each reply and the URL of its sender. */
-  readonly noteVersion?: (heard: HeardVersion) => void;
+  readonly recordVersion?: (heard: PeerVersion) => void;
 }
 
 /** The options of a fetch request that tRPC sets. */
@@ -96,7 +96,7 @@
   async (input: TInput): Promise<TOutput> => {
     try {
       const answer = await target.mutate(input);
-      options.noteVersion?.({ version: answer.from.configVersion, url });
+      options.recordVersion?.({ version: answer.from.configVersion, url });
       return answer;
     } catch (thrown) {
       throw toAuburnliftError(thrown);
--- a/src/transport/node/test/connections.test.ts
+++ b/src/transport/node/test/connections.test.ts
@@ -192,7 +192,7 @@
     const client = httpClient.createHttpClient({ ...LIMITS, clock: systemClock.systemClock });
     const open = client.call(requestTo(server.address));
     await handlerEntered;
-    server.discourage();
+    server.requestConnectionClose();
     const drained = server.drain(5000);
     answer();
     const reply = await open;
--- a/src/transport/node/test/operatorJobsApi.test.ts
+++ b/src/transport/node/test/operatorJobsApi.test.ts
@@ -39,7 +39,7 @@
         shown === 'found' ? Promise.resolve(RECORD) : Promise.reject(errors.fail(shown, 'none')),
       cancel: () => Promise.resolve([RECORD]),
     },
-    archived: () => Promise.resolve(isArchived ? RECORD : undefined),
+    findArchived: () => Promise.resolve(isArchived ? RECORD : undefined),
   });
 
 const SHOW_CASES = [
--- a/tools/guards.js
+++ b/tools/guards.js
@@ -17,7 +17,7 @@
   'standins/test/poolLostWatches.test.js',
   'standins/test/leasedRecord.test.js',
   'standins/test/poolParts.test.js',
-  'standins/test/jobDesk.test.js',
+  'standins/test/jobRequestHandler.test.js',
   'standins/test/storeRelay.test.js',
   'standins/test/configurationFeed.test.js',
   'standins/test/configurationShare.test.js',
@@ -120,7 +120,7 @@
   [
     'a large response body is not read if its status makes it unnecessary',
     'transport/node/httpClient.js',
-    'return isOfNoUse && length > SHORT_BODY_BYTES;',
+    'return isBodyUnneeded && length > SHORT_BODY_BYTES;',
     'return false;',
   ],
   [
